--- a/core/src/main/java/org/cornelramp/core/retry/Attempt.java
+++ b/core/src/main/java/org/cornelramp/core/retry/Attempt.java
@@ -7,12 +7,12 @@
 /**
  * A failed attempt at a request. Immutable, safe for use by any thread.
  *
- * @param problem how it failed
+ * @param problem why it failed
  * @param idempotent whether the request may run more than once
- * @param number attempts made, this one included
+ * @param number attempts made for the request, this one included
  * @param crashes attempts that ended in a crash of the backend server, this one included
- * @param deadline when the whole answer must be there
- * @param expected least time that another attempt takes
+ * @param deadline time by which the answer must be complete
+ * @param expected minimum duration of another attempt
  */
 public record Attempt(
         Problem problem, boolean idempotent, int number, int crashes, Instant deadline, Duration expected) {}
--- a/core/src/main/java/org/cornelramp/core/retry/RepeatAccount.java
+++ b/core/src/main/java/org/cornelramp/core/retry/RepeatAccount.java
@@ -5,94 +5,99 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The repeats that this process may send to one service: a share of its own requests and its part of the reserve of all
- * processes, less what it has lent to others, and what it has borrowed of them. Owned by one thread.
+ * Retry budget of this process for one service: a share of its own requests plus its part of the reserve of all
+ * processes, minus the retries lent to other processes, plus those borrowed from them. Owned by one thread.
  */
 public final class RepeatAccount {
     /**
-     * Part of what is allowed that requests may take which have not begun to be answered. The rest is for begun answers,
-     * which nobody but this process can carry on; a fresh request is refused, and its client comes again.
+     * Part of the allowed retries that requests may use whose answer has not begun. The rest is kept for answers that
+     * have begun, as only this process can continue them; a request without an answer can be refused, and its client
+     * sends it again.
      */
-    private static final double FRESH_PART = 0.7;
+    private static final double NOT_BEGUN_PART = 0.7;
 
-    /** Part of what is allowed that a process keeps when it lends: for a server that dies the next moment. */
-    private static final double KEPT_PART = 0.3;
+    /** Part of the allowed retries that a process does not lend, for a server that dies right after the loan. */
+    private static final double NOT_LENT_PART = 0.3;
 
-    /** Part of what is allowed below which a process asks others for more before it lacks any. */
-    private static final double LOW_PART = 0.25;
+    /** Part of the allowed retries below which a process requests loans, so that it does so before it has none left. */
+    private static final double LOW_WATER_PART = 0.25;
 
     private final RetryWindow window;
-    private final RepeatLoans loans;
+    private final RetryLoans retryLoans;
 
     /**
-     * @param ratio repeats for each request
-     * @param windowMillis length of the window
-     * @param ids makes the numbers of asks; they must differ from those of this process's earlier lives
+     * @param ratio retries for each request
+     * @param windowMillis length of the sliding window
+     * @param ids source of the ids of loan requests, which must differ from those before a restart of this process
      */
     public RepeatAccount(double ratio, long windowMillis, RandomGenerator ids) {
         this.window = new RetryWindow(ratio, windowMillis);
-        this.loans = new RepeatLoans(windowMillis, ids);
+        this.retryLoans = new RetryLoans(windowMillis, ids);
     }
 
-    /** Notes a client's request. */
+    /** Records a client's request. */
     public void request(long nowMillis) {
-        window.request(nowMillis);
+        window.recordRequest(nowMillis);
     }
 
     /**
-     * Takes one repeat; false if none is left now.
+     * Consumes one retry; returns false if none is left now.
      *
-     * @param even this process's part of the reserve
-     * @param begun whether a part of the answer has been passed on
+     * @param reserve this process's part of the reserve of all processes
+     * @param begun whether a part of the answer has been sent to the client
      */
-    public boolean tryRepeat(double even, boolean begun, long nowMillis) {
-        return window.tryRepeat(even - loans.booked(nowMillis), part(begun), nowMillis) || loans.tryUse(nowMillis);
+    public boolean tryRepeat(double reserve, boolean begun, long nowMillis) {
+        return window.tryRetry(reserve - retryLoans.lentAmount(nowMillis), usablePart(begun), nowMillis)
+                || retryLoans.tryUse(nowMillis);
     }
 
-    /** Whether {@link #tryRepeat} would take one now. */
-    public boolean hasRepeat(double even, boolean begun, long nowMillis) {
-        return window.hasRepeat(even - loans.booked(nowMillis), part(begun), nowMillis) || loans.left(nowMillis) > 0;
+    /** Whether {@link #tryRepeat} would succeed now. */
+    public boolean hasRepeat(double reserve, boolean begun, long nowMillis) {
+        return window.hasRetry(reserve - retryLoans.lentAmount(nowMillis), usablePart(begun), nowMillis)
+                || retryLoans.remaining(nowMillis) > 0;
     }
 
-    private static double part(boolean begun) {
-        return begun ? 1 : FRESH_PART;
+    private static double usablePart(boolean begun) {
+        return begun ? 1 : NOT_BEGUN_PART;
     }
 
-    /** Repeats left now, for logs; negative if what was lent is needed here. */
-    public double left(double even, long nowMillis) {
-        return window.left(even - loans.booked(nowMillis), nowMillis) + loans.left(nowMillis);
+    /** Returns the retries left now, for logs; negative if retries that were lent are missing here. */
+    public double left(double reserve, long nowMillis) {
+        return window.remaining(reserve - retryLoans.lentAmount(nowMillis), nowMillis)
+                + retryLoans.remaining(nowMillis);
     }
 
-    /** Repeats that are missing to a comfortable rest, of which the next failures take theirs at once. */
-    public int shortage(double even, long nowMillis) {
-        double low = LOW_PART * window.allowed(even, nowMillis);
-        return (int) Math.max(0, low - left(even, nowMillis));
+    /** Returns the retries missing to the low-water mark, with which the next failures can be retried at once. */
+    public int shortage(double reserve, long nowMillis) {
+        double low = LOW_WATER_PART * window.allowed(reserve, nowMillis);
+        return (int) Math.max(0, low - left(reserve, nowMillis));
     }
 
-    /** Asks each peer for so many repeats, or for none. */
+    /** Requests a loan of {@code amount} retries from each peer; 0 withdraws the request. */
     public void ask(int amount, long nowMillis) {
-        loans.ask(amount, nowMillis);
+        retryLoans.requestLoan(amount, nowMillis);
     }
 
-    /** What this process asks for now. */
+    /** Returns the open loan request, if any. */
     public Optional<RepeatNews.Ask> asks() {
-        return loans.asks();
+        return retryLoans.openRequest();
     }
 
-    /** Lends what is not needed here to a process that lacks repeats; at most half, so that others find some too. */
-    public void lend(String to, RepeatNews.Ask theirs, double even, long nowMillis) {
-        double allowed = window.allowed(even, nowMillis);
-        double spare = window.left(even - loans.booked(nowMillis), nowMillis) - KEPT_PART * allowed;
-        loans.lend(to, theirs, (int) (spare / 2), nowMillis);
+    /** Lends spare retries on a peer's request; at most half of them, so that some are left for other peers. */
+    public void lend(String to, RepeatNews.Ask request, double reserve, long nowMillis) {
+        double allowed = window.allowed(reserve, nowMillis);
+        double spare =
+                window.remaining(reserve - retryLoans.lentAmount(nowMillis), nowMillis) - NOT_LENT_PART * allowed;
+        retryLoans.lend(to, request, (int) (spare / 2), nowMillis);
     }
 
-    /** The loans that are still to be told. */
+    /** Returns the loans that peer updates still have to carry. */
     public List<RepeatNews.Loan> loans(long nowMillis) {
-        return loans.toTell(nowMillis);
+        return retryLoans.loansToSend(nowMillis);
     }
 
-    /** Takes a loan to this process that another one tells of. */
+    /** Accepts a loan to this process from a peer's update. */
     public void borrow(String from, RepeatNews.Loan loan, long nowMillis) {
-        loans.told(from, loan, nowMillis);
+        retryLoans.acceptLoan(from, loan, nowMillis);
     }
 }
--- a/core/src/main/java/org/cornelramp/core/retry/RepeatNews.java
+++ b/core/src/main/java/org/cornelramp/core/retry/RepeatNews.java
@@ -5,13 +5,13 @@
 import org.cornelramp.core.model.ServiceName;
 
 /**
- * What a process tells of its repeats. Immutable, safe for use by any thread.
+ * The part of a peer update that shares retries between processes. Immutable, safe for use by any thread.
  *
- * @param asks what it lacks now, for each service for which it lacks any
- * @param loans what it has just lent to others, for each service of which it lends
+ * @param asks the sender's open loan request for each service whose retries run low there
+ * @param loans the sender's loans to other processes, by service
  */
 public record RepeatNews(Map<ServiceName, Ask> asks, Map<ServiceName, List<Loan>> loans) {
-    /** News of a process that lacks nothing and lends nothing. */
+    /** The update of a process that requests no loan and lends nothing. */
     public static final RepeatNews NONE = new RepeatNews(Map.of(), Map.of());
 
     public RepeatNews {
@@ -20,19 +20,19 @@
     }
 
     /**
-     * Asks each peer for some repeats. Immutable, safe for use by any thread.
+     * A request to each peer for a loan of retries. Immutable, safe for use by any thread.
      *
-     * @param id tells it from all other asks, of earlier lives of the process as well
-     * @param amount repeats wanted of each peer
+     * @param id unique among all requests of the process, those before a restart included
+     * @param amount retries requested from each peer
      */
     public record Ask(long id, int amount) {}
 
     /**
-     * Repeats lent to one process. Immutable, safe for use by any thread.
+     * Retries lent to one process. Immutable, safe for use by any thread.
      *
-     * @param to who may use them
-     * @param ask the ask that they answer
-     * @param amount how many they are
+     * @param to name of the process that may use them
+     * @param ask id of the loan request that they answer
+     * @param amount number of retries
      */
     public record Loan(String to, long ask, int amount) {}
 }
--- a/core/src/main/java/org/cornelramp/core/retry/RepeatQueue.java
+++ b/core/src/main/java/org/cornelramp/core/retry/RepeatQueue.java
@@ -8,56 +8,57 @@
 import java.util.Optional;
 
 /**
- * Requests whose attempt has failed and which wait for a repeat, in the order in which they get one: those whose answer
- * has begun first, as nobody else can carry them on; then by deadline.
+ * Requests whose attempt has failed and that wait until the retry budget allows another one. Requests whose answer has
+ * begun come first, as no other process can continue them; the rest are ordered by deadline.
  *
- * <p>A burst of failures uses up a process's own repeats within moments. Refused at once, callers would be turned away
- * while other processes have repeats to lend; those come within two rounds of news. Owned by one thread.
+ * <p>A burst of failures exhausts a process's own retries at once. Without the queue its callers would be refused while
+ * other processes have retries to lend, which arrive within two rounds of peer updates. Owned by one thread.
  *
- * <p>Invariant: at most {@value #MOST_FRESH} requests wait that have not begun, and none of them longer than its time.
+ * <p>Invariant: at most {@value #MAX_NOT_BEGUN} requests wait whose answer has not begun, and none of them beyond its
+ * {@link Waiting#untilMillis}.
  */
 public final class RepeatQueue<T> {
-    /** Most requests that wait and have not begun: some seconds of a busy process's. */
-    static final int MOST_FRESH = 256;
+    /** Most waiting requests whose answer has not begun: as many as a busy process receives in some seconds. */
+    static final int MAX_NOT_BEGUN = 256;
 
     private final Map<T, Waiting> waiting = new LinkedHashMap<>();
-    private int fresh;
+    private int notBegunCount;
 
     /**
-     * How a request waits. Immutable, safe for use by any thread.
+     * State of one waiting request. Immutable, safe for use by any thread.
      *
-     * @param begun whether a part of its answer has been passed on; it waits until its client leaves
-     * @param deadlineMillis when its client must have an answer
-     * @param untilMillis when it is refused if it has not begun
+     * @param begun whether a part of the answer has been sent to the client; the request then waits until the client
+     *     disconnects
+     * @param deadlineMillis time by which the client must have an answer
+     * @param untilMillis time at which the request is refused if its answer has not begun
      */
     public record Waiting(boolean begun, long deadlineMillis, long untilMillis) {}
 
-    /** Lets a request wait; false if too many do. One that waits already keeps its time. */
-    public boolean add(T request, Waiting how) {
+    /** Adds a request; returns false if the queue is full. A request that waits already keeps its state. */
+    public boolean add(T request, Waiting state) {
         if (waiting.containsKey(request)) {
             return true;
         }
-        if (!how.begun() && fresh >= MOST_FRESH) {
+        if (!state.begun() && notBegunCount >= MAX_NOT_BEGUN) {
             return false;
         }
-        fresh += how.begun() ? 0 : 1;
-        waiting.put(request, how);
+        notBegunCount += state.begun() ? 0 : 1;
+        waiting.put(request, state);
         return true;
     }
 
-    /** Lets a request wait no longer; how it waited, empty if it did not. */
+    /** Removes a request; returns the state that it had, empty if it did not wait. */
     public Optional<Waiting> remove(T request) {
-        Optional<Waiting> how = Optional.ofNullable(waiting.remove(request));
-        fresh -= how.isPresent() && !how.get().begun() ? 1 : 0;
-        return how;
+        Optional<Waiting> state = Optional.ofNullable(waiting.remove(request));
+        notBegunCount -= state.isPresent() && !state.get().begun() ? 1 : 0;
+        return state;
     }
 
-    /** Whether a request waits. */
     public boolean contains(T request) {
         return waiting.containsKey(request);
     }
 
-    /** All that wait, the first to get a repeat first. */
+    /** Returns all waiting requests in the order in which they are retried. */
     public List<T> inOrder() {
         Comparator<Map.Entry<T, Waiting>> begunFirst =
                 Comparator.comparing(entry -> !entry.getValue().begun());
@@ -67,11 +68,11 @@
                 .toList();
     }
 
-    /** Takes out the requests that have not begun and whose time to wait is over. */
+    /** Removes and returns the requests whose answer has not begun and whose waiting time is over. */
     public List<T> takeOverdue(long nowMillis) {
         List<T> overdue = new ArrayList<>();
-        waiting.forEach((request, how) -> {
-            if (!how.begun() && nowMillis >= how.untilMillis()) {
+        waiting.forEach((request, state) -> {
+            if (!state.begun() && nowMillis >= state.untilMillis()) {
                 overdue.add(request);
             }
         });
--- a/core/src/main/java/org/cornelramp/core/retry/RetryBudget.java
+++ b/core/src/main/java/org/cornelramp/core/retry/RetryBudget.java
@@ -7,23 +7,23 @@
 import org.cornelramp.core.model.OrganisationId;
 
 /**
- * Bounds each organisation's retries and hedges to a share of its successes.
+ * Bounds each organisation's retries and hedged requests to a share of its successful requests.
  *
- * <p>Without it every request that fails in an overload comes back as two, and the overload outlives its cause. A
- * success adds a part of a retry, a retry takes a whole one; a small reserve comes in with time, so that an
- * organisation with few requests may retry at all.
+ * <p>Without the bound, each request that fails in an overload is sent twice, and the overload outlasts its cause.
+ * Each success adds a fraction of a retry and each retry consumes one. The balance also grows at a small constant
+ * rate, so that an organisation with few requests may retry at all.
  *
- * <p>Invariant: over any time t an organisation gets at most {@code most + share × successes + reserve × t}
- * retries. Owned by one thread; holds at most {@value #MAX_ORGANISATIONS} organisations and forgets the one that
- * was used longest ago.
+ * <p>Invariant: over any time t an organisation gets at most
+ * {@code maxBalance + share × successes + reservePerSecond × t} retries. Owned by one thread; holds at most
+ * {@value #MAX_ORGANISATIONS} organisations and evicts the least recently used one.
  */
 public final class RetryBudget {
-    /** Most organisations held. */
+    /** Largest number of organisations held. */
     public static final int MAX_ORGANISATIONS = 8_192;
 
     private final double share;
     private final double reservePerSecond;
-    private final double most;
+    private final double maxBalance;
     private final Map<OrganisationId, Account> accounts = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
@@ -34,28 +34,28 @@
     };
 
     /**
-     * @param share retries that one success earns, such as 0.1
-     * @param reservePerSecond retries a second that are earned without successes
-     * @param most most retries saved up
+     * @param share retries that one success adds, such as 0.1
+     * @param reservePerSecond retries added each second, without any success
+     * @param maxBalance largest balance, in retries
      */
-    public RetryBudget(double share, double reservePerSecond, double most) {
+    public RetryBudget(double share, double reservePerSecond, double maxBalance) {
         this.share = share;
         this.reservePerSecond = reservePerSecond;
-        this.most = most;
+        this.maxBalance = maxBalance;
     }
 
-    /** A tenth of the successes, one retry a second without any, ten saved up. */
+    /** Returns a budget of 0.1 retries for each success and one retry a second, with a balance of at most ten. */
     public static RetryBudget standard() {
         return new RetryBudget(0.1, 1, 10);
     }
 
-    /** Notes that a request of the organisation was answered. */
+    /** Records that a request of the organisation succeeded. */
     public void succeeded(OrganisationId organisation, Instant now) {
         Account a = account(organisation, now);
-        a.balance = Math.min(most, a.balance + share);
+        a.balance = Math.min(maxBalance, a.balance + share);
     }
 
-    /** Takes one retry or hedge from the budget; false if there is none left. */
+    /** Consumes one retry or hedged request; returns false if none is left. */
     public boolean tryRetry(OrganisationId organisation, Instant now) {
         Account a = account(organisation, now);
         if (a.balance < 1) {
@@ -65,26 +65,26 @@
         return true;
     }
 
-    /** Retries that the organisation has left, for reports. */
-    public double left(OrganisationId organisation, Instant now) {
+    /** Returns the organisation's balance of retries, for reports. */
+    public double remaining(OrganisationId organisation, Instant now) {
         return account(organisation, now).balance;
     }
 
     private Account account(OrganisationId organisation, Instant now) {
-        Account a = accounts.computeIfAbsent(organisation, o -> new Account(most, now));
-        double passed = Math.max(0, Duration.between(a.at, now).toNanos() / 1e9);
-        a.balance = Math.min(most, a.balance + passed * reservePerSecond);
-        a.at = now.isAfter(a.at) ? now : a.at;
+        Account a = accounts.computeIfAbsent(organisation, o -> new Account(maxBalance, now));
+        double elapsedSeconds = Math.max(0, Duration.between(a.updatedAt, now).toNanos() / 1e9);
+        a.balance = Math.min(maxBalance, a.balance + elapsedSeconds * reservePerSecond);
+        a.updatedAt = now.isAfter(a.updatedAt) ? now : a.updatedAt;
         return a;
     }
 
     private static final class Account {
         private double balance;
-        private Instant at;
+        private Instant updatedAt;
 
         Account(double balance, Instant at) {
             this.balance = balance;
-            this.at = at;
+            this.updatedAt = at;
         }
     }
 }
--- a/core/src/main/java/org/cornelramp/core/retry/RetryRule.java
+++ b/core/src/main/java/org/cornelramp/core/retry/RetryRule.java
@@ -5,40 +5,40 @@
 import org.cornelramp.core.model.ProblemKind;
 
 /**
- * Whether a failed attempt may be made again. The caller of the rule also takes one from the {@link RetryBudget}
- * and adds the failed agent to those to avoid, so that no request meets the same fault twice. Stateless, safe for
- * use by any thread.
+ * Decides whether a failed attempt may be retried. The caller also consumes a retry of the {@link RetryBudget} and
+ * excludes the failed agent, so that a request does not meet the same fault twice. Stateless, safe for use by any
+ * thread.
  */
 public final class RetryRule {
-    /** Most attempts at one request. */
+    /** Most attempts for one request. */
     public static final int MAX_ATTEMPTS = 3;
 
     /**
-     * Crashes after which a request is not tried again. The reports that set a poison request aside are late, and
-     * its own entry would send it to a third backend server before they arrive.
+     * Crashes after which a request is not retried. The crash reports that identify a poison request arrive late, and
+     * without this limit its entry would send it to a third backend server before they arrive.
      */
     public static final int MAX_CRASHES = 2;
 
     private RetryRule() {}
 
     /**
-     * Returns whether another attempt is safe, may help and still fits the deadline.
+     * Returns whether another attempt is safe, may succeed and fits the deadline.
      *
-     * <p>An attempt of unknown outcome is repeated only if the request is idempotent: it may have taken effect, and
-     * a second booking sends a second crew.
+     * <p>An attempt with an unknown outcome is retried only if the request is idempotent: it may have taken effect, and
+     * for example a second booking sends a second crew.
      */
     public static boolean mayRetry(Attempt failed, Instant now) {
         boolean safe = failed.problem().outcome() == Outcome.NOT_RUN || failed.idempotent();
         boolean inTime = now.plus(failed.expected()).isBefore(failed.deadline());
-        return safe && helps(failed.problem().kind()) && inTime && attemptsLeft(failed);
+        return safe && isRetryable(failed.problem().kind()) && inTime && attemptsLeft(failed);
     }
 
     private static boolean attemptsLeft(Attempt failed) {
         return failed.number() < MAX_ATTEMPTS && failed.crashes() < MAX_CRASHES;
     }
 
-    /** Whether another backend server may do better. A refusal of the request itself stays one everywhere. */
-    static boolean helps(ProblemKind kind) {
+    /** Whether another backend server may succeed. A refusal of the request itself is the same on every server. */
+    static boolean isRetryable(ProblemKind kind) {
         return switch (kind) {
             case OVERLOADED, LEAVING, NOT_READY, BACKEND_FAILED, BACKEND_LOST, NO_BACKEND_SERVER -> true;
             default -> false;
--- a/core/src/main/java/org/cornelramp/core/retry/RunLimit.java
+++ b/core/src/main/java/org/cornelramp/core/retry/RunLimit.java
@@ -6,27 +6,29 @@
 import org.cornelramp.core.model.BackendServerId;
 
 /**
- * Keeps one request from running on more backend servers than its route allows. Stateless, safe for use by any thread.
+ * Limits the number of backend servers on which one request may run. Stateless, safe for use by any thread.
  *
- * <p>A stream that breaks off is started anew on another engine. Without a limit, one that always breaks, or a request
- * that makes its engine crash, would visit the whole fleet. Servers that have gone meanwhile do not count: what ran
- * there has ended with them, and a rack that fails under a stream must not use up its attempts. One that is only suspected
- * counts: a link that loses packets makes living engines look dead, and streams ran on three of two.
+ * <p>A stream that breaks off is restarted on another engine. Without a limit, a stream that always breaks off, or a
+ * request that crashes its engine, would run on every engine of the fleet. Servers that are no longer registered do
+ * not count: the run there ended with the server, and the failure of a whole rack must not use up the attempts of a
+ * stream. A server that is only suspected to be dead counts: on a link that loses packets live engines look dead, and
+ * streams ran on three servers where two were allowed.
  */
 public final class RunLimit {
     private RunLimit() {}
 
     /**
-     * The servers that may take the request: all of them, given as the empty set, while fewer than {@code most} living
-     * ones have run it; after that only those again.
+     * Returns the servers that may take the request. The empty set stands for any server and is returned while fewer
+     * than {@code limit} registered servers have run the request; after that only those servers may take it again.
      *
-     * @param ran servers that may have run the request
-     * @param alive whether a server is still registered
-     * @param most servers on which the route lets a request run
+     * @param used servers that may have run the request
+     * @param isRegistered whether a server is still registered
+     * @param limit most servers on which the route lets a request run
      */
-    public static Set<BackendServerId> allowed(Set<BackendServerId> ran, Predicate<BackendServerId> alive, int most) {
-        Set<BackendServerId> living = new HashSet<>(ran);
-        living.removeIf(alive.negate());
-        return living.size() < most ? Set.of() : living;
+    public static Set<BackendServerId> allowed(
+            Set<BackendServerId> used, Predicate<BackendServerId> isRegistered, int limit) {
+        Set<BackendServerId> registered = new HashSet<>(used);
+        registered.removeIf(isRegistered.negate());
+        return registered.size() < limit ? Set.of() : registered;
     }
 }
--- a/core/src/test/java/org/cornelramp/core/retry/RunLimitProperties.java
+++ b/core/src/test/java/org/cornelramp/core/retry/RequestServerLimitProperties.java
@@ -12,8 +12,8 @@
 import net.jqwik.api.constraints.Size;
 import org.cornelramp.core.model.BackendServerId;
 
-/** On how many servers a request that keeps breaking off is run. */
-class RunLimitProperties {
+/** Number of servers on which a request runs that repeatedly breaks off. */
+class RequestServerLimitProperties {
     private static final int SERVERS = 12;
 
     private static BackendServerId server(int number) {
@@ -21,8 +21,8 @@
     }
 
     /**
-     * A client's stream breaks off again and again; each time it is started anew on a server that the limit allows,
-     * whichever that is, while servers die. The living servers that have run it are never more than the route allows.
+     * A stream breaks off repeatedly and is restarted each time on any server that the limit allows, while servers die.
+     * The number of live servers that have run it never exceeds the limit of the route.
      */
     @Property(seed = "20261203")
     void neverRunsOnMoreLivingServersThanAllowed(
@@ -45,9 +45,9 @@
         }
     }
 
-    /** Two of two allowed servers have run the request; when one dies, any other may take its place. */
+    /** Two of two allowed servers have run the request; when one of them dies, any other server may run it. */
     @Property(tries = 1)
-    void aDeadServerMakesRoomForAnother() {
+    void aDeadServerDoesNotCount() {
         Set<BackendServerId> ran = Set.of(server(1), server(2));
         assertEquals(RunLimit.allowed(ran, id -> true, 2), ran);
         assertEquals(RunLimit.allowed(ran, id -> !id.equals(server(1)), 2), Set.of());
--- a/core/src/test/java/org/cornelramp/core/retry/RetryRuleTest.java
+++ b/core/src/test/java/org/cornelramp/core/retry/RetryPolicyTest.java
@@ -12,19 +12,19 @@
 import org.cornelramp.core.model.ProblemKind;
 import org.testng.annotations.Test;
 
-/** A retry must be safe, may help and fit the deadline. */
-public class RetryRuleTest {
+/** A retry must be safe, may succeed and must fit the deadline. */
+public class RetryPolicyTest {
     private static final Instant NOW = Instant.ofEpochSecond(1_000);
 
     @Test
-    public void anUnknownOutcomeIsRepeatedOnlyIfIdempotent() {
+    public void anUnknownOutcomeIsRetriedOnlyIfIdempotent() {
         Problem lost = Problem.unknown(ProblemKind.BACKEND_LOST, "gone");
         assertFalse(RetryRule.mayRetry(attempt(lost, false, 1), NOW));
         assertTrue(RetryRule.mayRetry(attempt(lost, true, 1), NOW));
     }
 
     @Test
-    public void whatDidNotRunIsRetriedUntilTheAttemptsAreUsedUp() {
+    public void aRequestThatDidNotRunIsRetriedWithinAttemptsAndDeadline() {
         Problem full = Problem.notRun(ProblemKind.OVERLOADED, "full");
         assertTrue(RetryRule.mayRetry(attempt(full, false, 2), NOW));
         assertFalse(RetryRule.mayRetry(attempt(full, false, RetryRule.MAX_ATTEMPTS), NOW));
@@ -32,14 +32,14 @@
     }
 
     @Test
-    public void theSecondCrashIsTheLast() {
+    public void isNotRetriedAfterTheSecondCrash() {
         Problem lost = Problem.unknown(ProblemKind.BACKEND_LOST, "crashed");
         assertTrue(RetryRule.mayRetry(new Attempt(lost, true, 1, 1, NOW.plusSeconds(2), Duration.ZERO), NOW));
         assertFalse(RetryRule.mayRetry(new Attempt(lost, true, 2, 2, NOW.plusSeconds(2), Duration.ZERO), NOW));
     }
 
     @Test
-    public void refusalsOfTheRequestItselfStay() {
+    public void refusalsOfTheRequestItselfAreNotRetried() {
         Set<ProblemKind> retried = EnumSet.noneOf(ProblemKind.class);
         for (ProblemKind kind : ProblemKind.values()) {
             if (RetryRule.mayRetry(attempt(Problem.notRun(kind, "why"), true, 1), NOW)) {
