--- a/core/src/main/java/org/cornelramp/core/path/FirstEvents.java
+++ b/core/src/main/java/org/cornelramp/core/path/FirstEvents.java
@@ -7,50 +7,56 @@
 import org.cornelramp.core.model.BackendServerId;
 
 /**
- * Tells a stream whose answer is lost from one whose engine is slow.
+ * Distinguishes a stream whose answer is lost from one whose engine is slow.
  *
- * <p>An engine may run a request whose answer never arrives, while the connection stays open and the engine answers every
- * question. The client hears nothing and leaves after two seconds, although a repeat would have served it. Streams that were
- * sent to the same engine later and have begun show it: an engine reads prompts in their order, so all of them are late
- * when it is slow. Without such witnesses nothing is done, since a repeat makes a full engine fuller.
+ * <p>An engine may run a request whose answer never arrives, although the connection stays open and the engine answers
+ * all probes. The client receives nothing and disconnects after two seconds, although a retry would have succeeded. An
+ * engine reads prompts in the order of arrival, so when it is slow, all its streams are late. An answer is therefore
+ * taken as lost if streams that were sent to the same engine later have begun. Without such streams nothing is done, as
+ * a retry would add load to an overloaded engine.
  *
- * <p>Of 12 streams that never began on a day with four answers of a hundred lost, this finds 8; on seventeen other days of up to
- * 2,000 streams, with full engines and restarts of all gateways, it took no stream that began later.
+ * <p>With four answers in a hundred lost, this finds 8 of the 12 streams that never begin. In seventeen other runs of up
+ * to 2,000 streams, with overloaded engines and restarts of all gateways, it finds no stream that begins later.
  *
- * <p>Invariant: nothing is kept of streams that were sent longer ago than {@value #KEPT_MILLIS} ms, so the memory is bounded
- * by the streams of that time. Owned by one thread.
+ * <p>Invariant: nothing is stored about streams that were sent more than {@value #RETENTION_MILLIS} ms ago, so the
+ * memory is bounded by the streams of that time. Owned by one thread.
  */
 public final class FirstEvents {
-    /** Time without a first event before a stream is looked at: ten times the usual one, a third of a client's patience. */
-    static final long PATIENCE_MILLIS = 700;
+    /** Least time without a first event: ten times the usual one and a third of the time that a client waits. */
+    static final long MIN_WAIT_MILLIS = 700;
 
-    /** How much later a witness was sent, at least: longer than the largest prompts take to be read beside small ones. */
-    static final long LEAD_MILLIS = 200;
+    /** Least time by which the other streams were sent later; reading a large prompt beside small ones takes less. */
+    static final long MIN_LEAD_MILLIS = 200;
 
-    /** Witnesses needed; one alone may have had a higher priority. */
-    static final int WITNESSES = 2;
+    /** Number of later streams that must have begun; a single one may have had a higher priority. */
+    static final int MIN_LATER_STREAMS = 2;
 
-    /** Streams sent longer ago are witnesses for nobody: the clients of streams sent before them have left. */
-    static final long KEPT_MILLIS = 2_000;
+    /** Streams sent longer ago prove nothing: the clients of streams sent before them have disconnected. */
+    static final long RETENTION_MILLIS = 2_000;
 
-    private final Map<BackendServerId, Deque<Long>> begun = new HashMap<>();
+    private final Map<BackendServerId, Deque<Long>> sentTimesByEngine = new HashMap<>();
 
-    /** Notes that a stream has begun: the first engine of its path, and when it was sent. */
+    /**
+     * Records that a stream has begun.
+     *
+     * @param first the first engine of its path
+     * @param sentMillis when the request was sent to it
+     */
     public void begun(BackendServerId first, long sentMillis, long nowMillis) {
-        Deque<Long> sent = begun.computeIfAbsent(first, any -> new ArrayDeque<>());
-        sent.add(sentMillis);
-        begun.values().forEach(one -> one.removeIf(at -> nowMillis - at > KEPT_MILLIS));
-        begun.values().removeIf(Deque::isEmpty);
+        Deque<Long> sentTimes = sentTimesByEngine.computeIfAbsent(first, any -> new ArrayDeque<>());
+        sentTimes.add(sentMillis);
+        sentTimesByEngine.values().forEach(times -> times.removeIf(at -> nowMillis - at > RETENTION_MILLIS));
+        sentTimesByEngine.values().removeIf(Deque::isEmpty);
     }
 
-    /** Whether a stream that has not begun waits for an answer that will not come. */
+    /** Whether the answer of a stream that has not begun is lost. */
     public boolean isAnswerLost(BackendServerId first, long sentMillis, long nowMillis) {
-        if (nowMillis - sentMillis < PATIENCE_MILLIS || !begun.containsKey(first)) {
+        if (nowMillis - sentMillis < MIN_WAIT_MILLIS || !sentTimesByEngine.containsKey(first)) {
             return false;
         }
-        long witnesses = begun.get(first).stream()
-                .filter(at -> at >= sentMillis + LEAD_MILLIS)
+        long overtaking = sentTimesByEngine.get(first).stream()
+                .filter(at -> at >= sentMillis + MIN_LEAD_MILLIS)
                 .count();
-        return witnesses >= WITNESSES;
+        return overtaking >= MIN_LATER_STREAMS;
     }
 }
--- a/core/src/main/java/org/cornelramp/core/path/SilentEngines.java
+++ b/core/src/main/java/org/cornelramp/core/path/SilentEngines.java
@@ -9,143 +9,143 @@
 import org.cornelramp.core.model.BackendServerId;
 
 /**
- * Tells from the pauses of streams which engines may be dead, and so are worth a question.
+ * Detects from gaps between the events of streams which engines may be dead and should be probed.
  *
- * <p>An engine in the middle of a path that dies is on no connection of the router; its streams only fall silent. Each of
- * them passes eight to ten engines, and asking all of them for every pause would cost more than it saves. But whatever
- * passed an engine a moment ago shows that it lived then, so only those are left that nothing has passed since the
- * silence began: one or two where many streams are under way.
+ * <p>The router has no connection to an engine in the middle of a path. When such an engine dies, its streams only stop
+ * sending events. Each stream passes eight to ten engines, and probing all of them at every gap would cost more than it
+ * saves. An event that has passed an engine shows that the engine was alive then, so only engines that no event has
+ * passed since the silence began are suspects: one or two if many streams are in progress.
  *
- * <p>Streams with slow events would have to be silent for long, each by itself. But the more streams pass an engine, the
- * shorter the time in which none of their events comes while it lives; so their silences count together, each in its own
- * usual pauses. Stateless, safe for use by any thread.
+ * <p>A stream with slow events would have to be silent for long to count by itself. But the more streams pass a live
+ * engine, the shorter is the time without an event of any of them. The silences of the streams of an engine are
+ * therefore added up, each in multiples of its own usual interval. Stateless, safe for use by any thread.
  */
 public final class SilentEngines {
     /**
-     * Silence of a stream that counts, at least. A client takes a stream for late after a pause of 200 ms or more; of
-     * that, finding the dead engine may take about half, since the prompt has to be read again elsewhere.
+     * Least silence of a single stream that counts. A client regards a stream as late after a gap of 200 ms or more.
+     * Finding the dead engine may take about half of that, as the prompt has to be read again on other engines.
      */
-    static final long LEAST_SILENCE_MILLIS = 100;
+    static final long MIN_SILENCE_MILLIS = 100;
 
     /**
-     * Silence of all streams of an engine that counts, if they are many enough. A third of the pause after which a client
-     * takes a stream for late: the questions take another third, and reading the prompt elsewhere the last.
+     * Least silence of all streams of an engine that counts, if there are enough of them. It is a third of the gap after
+     * which a client regards a stream as late; the probes take another third and reading the prompt again the last.
      */
-    static final long SHARED_SILENCE_MILLIS = 70;
+    static final long MIN_COMBINED_SILENCE_MILLIS = 70;
 
-    /** Silence that counts however slow the stream is: ten usual pauses between events. */
-    static final long MOST_SILENCE_MILLIS = 300;
+    /** Silence that counts however slow the stream is: ten usual intervals between events. */
+    static final long MAX_SILENCE_MILLIS = 300;
 
-    /** Silence before the first event that counts; a prompt is usually read in a tenth of it. */
-    static final long FIRST_SILENCE_MILLIS = 400;
+    /** Silence before the first event that counts: ten times the usual time to read a prompt. */
+    static final long FIRST_EVENT_SILENCE_MILLIS = 400;
 
-    /** A stream is silent after so many of its own usual pauses; the silences of an engine's streams add up to as many. */
-    private static final double USUAL_PAUSES = 4;
+    /** Usual intervals without an event after which a stream is silent, and an engine by the sum over its streams. */
+    private static final double SILENT_INTERVALS = 4;
 
-    /** A stream flows for so many of its own usual pauses after an event: one that is late once is still under way. */
-    private static final double FLOWING_PAUSES = 2;
+    /** Usual intervals after an event for which a stream is active, so that it stays so when a single event is late. */
+    private static final double ACTIVE_INTERVALS = 2;
 
-    /** Time after an event in which a stream flows at least; the turns of a busy process come up to 50 ms late. */
-    static final long LEAST_FLOWING_MILLIS = 60;
+    /** Least time after an event for which a stream is active; the event loop of a busy process lags by up to 50 ms. */
+    static final long MIN_ACTIVE_MILLIS = 60;
 
-    /** Time after an event in which a stream flows at most: half of what a client waits for the next one. */
-    static final long MOST_FLOWING_MILLIS = 1_000;
+    /** Most time after an event for which a stream is active: half the time that a client waits for the next one. */
+    static final long MAX_ACTIVE_MILLIS = 1_000;
 
-    /** Time after its first event in which a stream flows, while its usual pause is not known yet: ten usual pauses. */
-    static final long FIRST_FLOWING_MILLIS = 300;
+    /** Time after its first event for which a stream is active, until its interval is known: ten usual intervals. */
+    static final long FIRST_EVENT_ACTIVE_MILLIS = 300;
 
-    /** Events that passed different paths at the same time reach the router so much apart. */
-    private static final long SPREAD_MILLIS = 20;
+    /** Most difference of the arrival times of events that have passed an engine at the same time on different paths. */
+    private static final long ARRIVAL_SPREAD_MILLIS = 20;
 
-    /** Events of an engine that has died may come so long after. */
+    /** Longest time after the death of an engine in which events that it has passed on still arrive. */
     public static final long AFTER_DEATH_MILLIS = 20;
 
     private SilentEngines() {}
 
     /**
-     * One stream under way. Immutable, safe for use by any thread.
+     * One stream in progress. Immutable, safe for use by any thread.
      *
-     * @param engines the engines that it passes
-     * @param lastMillis when its last event came, or when it was sent if none has come since
-     * @param begun whether an event has come since it was sent
-     * @param usualPauseMillis its usual time between two events; 0 if that is not known
+     * @param engines the engines of its path
+     * @param lastMillis when its last event arrived, or when it was sent if none has arrived since
+     * @param begun whether an event has arrived since it was sent
+     * @param usualIntervalMillis usual time between two of its events; 0 if not known
      */
-    public record Stream(List<BackendServerId> engines, long lastMillis, boolean begun, double usualPauseMillis) {
+    public record Stream(List<BackendServerId> engines, long lastMillis, boolean begun, double usualIntervalMillis) {
         public Stream {
             engines = List.copyOf(engines);
         }
 
         boolean isSilent(long nowMillis) {
-            double usual = Math.min(MOST_SILENCE_MILLIS, USUAL_PAUSES * usualPauseMillis);
-            double limit = begun ? Math.max(LEAST_SILENCE_MILLIS, usual) : FIRST_SILENCE_MILLIS;
+            double usual = Math.min(MAX_SILENCE_MILLIS, SILENT_INTERVALS * usualIntervalMillis);
+            double limit = begun ? Math.max(MIN_SILENCE_MILLIS, usual) : FIRST_EVENT_SILENCE_MILLIS;
             return nowMillis - lastMillis > limit;
         }
 
         /**
-         * Whether its events still come. They pass each engine of its path, so all of those live, whatever a question
-         * that was not answered says; a stream that is cut then is lost for nothing.
+         * Whether its events still arrive. They pass each engine of the path, so all of these are alive, even if a probe
+         * was not answered. Cancelling such a stream would break it off without need.
          */
         public boolean isFlowing(long nowMillis) {
-            double usual = Math.min(MOST_FLOWING_MILLIS, FLOWING_PAUSES * usualPauseMillis);
-            double limit = usualPauseMillis == 0 ? FIRST_FLOWING_MILLIS : Math.max(LEAST_FLOWING_MILLIS, usual);
+            double usual = Math.min(MAX_ACTIVE_MILLIS, ACTIVE_INTERVALS * usualIntervalMillis);
+            double limit = usualIntervalMillis == 0 ? FIRST_EVENT_ACTIVE_MILLIS : Math.max(MIN_ACTIVE_MILLIS, usual);
             return begun && nowMillis - lastMillis <= limit;
         }
     }
 
     /**
-     * Whether events pass an engine, so that it lives although it has not answered a question. A gateway that has just
-     * started, or whose link loses packets, misses answers; taken for dead, an engine costs each of its streams a new
-     * start. What a dead engine had passed on arrives within {@value #AFTER_DEATH_MILLIS} ms, and it is asked only after
-     * a longer silence.
+     * Whether recent events have passed an engine, which is then alive even if it has not answered a probe. A gateway
+     * that has just started, or whose link loses packets, misses answers to probes, and an engine that is wrongly taken
+     * for dead costs a restart of each of its streams. Events of a dead engine arrive within
+     * {@value #AFTER_DEATH_MILLIS} ms of its death, and it is probed only after a longer silence.
      */
     public static boolean isPassed(Collection<Stream> streams, BackendServerId engine, long nowMillis) {
         return streams.stream()
                 .filter(stream ->
-                        stream.begun() && nowMillis - stream.lastMillis() <= LEAST_SILENCE_MILLIS - AFTER_DEATH_MILLIS)
+                        stream.begun() && nowMillis - stream.lastMillis() <= MIN_SILENCE_MILLIS - AFTER_DEATH_MILLIS)
                 .anyMatch(stream -> stream.engines().contains(engine));
     }
 
     /**
-     * The engines that may be dead.
+     * Returns the engines that may be dead.
      *
-     * @param late whether this process ran late just now; its streams then all look silent together, so only the silence of
-     *     single streams counts
+     * @param late whether this process has just been delayed; all its streams then look silent at once, so only the
+     *     silence of single streams counts
      */
     public static Set<BackendServerId> find(Collection<Stream> streams, boolean late, long nowMillis) {
-        Map<BackendServerId, Long> passed = new HashMap<>();
+        Map<BackendServerId, Long> lastPassed = new HashMap<>();
         for (Stream stream : streams) {
             if (stream.begun()) {
-                stream.engines().forEach(id -> passed.merge(id, stream.lastMillis(), Math::max));
+                stream.engines().forEach(id -> lastPassed.merge(id, stream.lastMillis(), Math::max));
             }
         }
-        Set<BackendServerId> found = new HashSet<>();
+        Set<BackendServerId> suspects = new HashSet<>();
         for (Stream stream : streams) {
             if (stream.isSilent(nowMillis)) {
-                long since = stream.lastMillis() + SPREAD_MILLIS;
+                long since = stream.lastMillis() + ARRIVAL_SPREAD_MILLIS;
                 stream.engines().stream()
-                        .filter(id -> passed.getOrDefault(id, Long.MIN_VALUE) <= since)
-                        .forEach(found::add);
+                        .filter(id -> lastPassed.getOrDefault(id, Long.MIN_VALUE) <= since)
+                        .forEach(suspects::add);
             }
         }
         if (!late) {
-            silentTogether(streams, nowMillis).forEach((id, pauses) -> {
-                if (pauses >= USUAL_PAUSES && nowMillis - passed.get(id) > SHARED_SILENCE_MILLIS) {
-                    found.add(id);
+            combinedSilences(streams, nowMillis).forEach((id, intervals) -> {
+                if (intervals >= SILENT_INTERVALS && nowMillis - lastPassed.get(id) > MIN_COMBINED_SILENCE_MILLIS) {
+                    suspects.add(id);
                 }
             });
         }
-        return found;
+        return suspects;
     }
 
-    /** For each engine the silences of the streams that pass it, each in usual pauses of that stream, in all. */
-    private static Map<BackendServerId, Double> silentTogether(Collection<Stream> streams, long nowMillis) {
-        Map<BackendServerId, Double> pauses = new HashMap<>();
+    /** For each engine, the sum of the silences of its streams, each in multiples of the stream's usual interval. */
+    private static Map<BackendServerId, Double> combinedSilences(Collection<Stream> streams, long nowMillis) {
+        Map<BackendServerId, Double> intervals = new HashMap<>();
         for (Stream stream : streams) {
-            if (stream.begun() && stream.usualPauseMillis() > 0) {
-                double silence = (nowMillis - stream.lastMillis()) / stream.usualPauseMillis();
-                stream.engines().forEach(id -> pauses.merge(id, silence, Double::sum));
+            if (stream.begun() && stream.usualIntervalMillis() > 0) {
+                double silence = (nowMillis - stream.lastMillis()) / stream.usualIntervalMillis();
+                stream.engines().forEach(id -> intervals.merge(id, silence, Double::sum));
             }
         }
-        return pauses;
+        return intervals;
     }
 }
--- a/core/src/test/java/org/cornelramp/core/path/PathFinderProperties.java
+++ b/core/src/test/java/org/cornelramp/core/path/PathFinderProperties.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Provide;
 import org.cornelramp.core.fleet.BackendServer;
 
-/** For any fleet: a path runs each layer once and in order, on engines that hold them, and is found if one exists. */
+/** For any fleet, a path runs each layer once and in order on engines that hold it, and is found if one exists. */
 class PathFinderProperties {
 
     @Provide
@@ -37,10 +37,11 @@
         return fleet;
     }
 
-    /** Memory is no limit here: the request has no tokens. */
+    /** The negative number of tokens excludes memory as a limit. */
     @Property(tries = 400, seed = "7")
-    void findsAPathExactlyIfEveryLayerHasAHolder(@ForAll("fleets") List<BackendServer> fleet) {
-        PathFinder.Demand demand = new PathFinder.Demand(Engines.demand("dc0").home(), 0, -1_000_000, Set.of());
+    void findsAPathIfAndOnlyIfEachLayerHasAHolder(@ForAll("fleets") List<BackendServer> fleet) {
+        PathFinder.Demand demand =
+                new PathFinder.Demand(Engines.demand("dc0").clientDataCentre(), 0, -1_000_000, Set.of());
         Optional<StagePath> path = PathFinder.find(Engines.spec(0), fleet, new EngineLoads(), demand);
         boolean covered = true;
         for (int layer = 0; layer < Engines.LAYERS; layer++) {
--- a/core/src/test/java/org/cornelramp/core/path/SilentEnginesTest.java
+++ b/core/src/test/java/org/cornelramp/core/path/SilentEngineDetectorTest.java
@@ -14,10 +14,10 @@
 import org.cornelramp.core.path.SilentEngines.Stream;
 import org.testng.annotations.Test;
 
-/** Which engines are asked when streams pause. Figures are of the deployments of today: an event in about 27 ms. */
-public class SilentEnginesTest {
+/** Engines that are probed when the events of streams stop; usually an event arrives every 27 ms. */
+public class SilentEngineDetectorTest {
     private static final long NOW = 100_000;
-    private static final double USUAL = 27;
+    private static final double USUAL_INTERVAL_MILLIS = 27;
 
     private static List<BackendServerId> path(String dataCentre, int engines) {
         return IntStream.range(0, engines)
@@ -26,21 +26,21 @@
     }
 
     private static Stream stream(List<BackendServerId> path, long silentMillis) {
-        return new Stream(path, NOW - silentMillis, true, USUAL);
+        return new Stream(path, NOW - silentMillis, true, USUAL_INTERVAL_MILLIS);
     }
 
-    private static Set<String> asked(List<Stream> streams) {
+    private static Set<String> suspects(List<Stream> streams) {
         return SilentEngines.find(streams, false, NOW).stream()
                 .map(BackendServerId::value)
                 .collect(Collectors.toSet());
     }
 
     /**
-     * Load of a busy evening: thirty streams over two copies of one data centre that share engines, and one of the
-     * engines dies. All streams through it fall silent; the others pass every engine but that one.
+     * Thirty streams run over two copies in one data centre that share engines, and one engine dies. All streams through
+     * it fall silent; the others pass every engine but the dead one, which alone is probed.
      */
     @Test
-    public void asksTheOneEngineThatNothingPasses() {
+    public void suspectsTheOneEngineThatNoEventPasses() {
         List<BackendServerId> one = path("dc1", 8);
         List<BackendServerId> other = new ArrayList<>(one);
         other.set(5, new BackendServerId("dc1-spare"));
@@ -49,51 +49,52 @@
             streams.add(stream(one, 115 + i));
             streams.add(stream(other, i));
         }
-        assertEquals(asked(streams), Set.of("dc1-5"));
+        assertEquals(suspects(streams), Set.of("dc1-5"));
     }
 
     /**
-     * A gateway has just started, and its processor is full: answers to its questions come too late, while events go on
-     * coming. Engines that events pass live; one whose streams are silent may be dead.
+     * Guards against live engines that are taken for dead by a gateway whose CPU is saturated after its start: answers to
+     * its probes arrive too late while events still arrive. An engine that events pass is alive; one whose streams are
+     * silent may be dead.
      */
     @Test
-    public void anEngineThatEventsPassLivesThoughItDoesNotAnswer() {
+    public void anEngineThatEventsPassIsAlive() {
         List<Stream> streams = List.of(stream(path("dc1", 8), 30), stream(path("dc2", 8), 130));
         assertTrue(SilentEngines.isPassed(streams, new BackendServerId("dc1-3"), NOW));
         assertFalse(SilentEngines.isPassed(streams, new BackendServerId("dc2-3"), NOW));
     }
 
-    /** Nobody else passes the path, so any of its engines may be the dead one. */
+    /** No other stream passes the path, so any of its engines may be the dead one. */
     @Test
-    public void asksTheWholePathOfALonelyStream() {
-        assertEquals(asked(List.of(stream(path("dc1", 8), 120))).size(), 8);
+    public void suspectsTheWholePathOfASingleStream() {
+        assertEquals(suspects(List.of(stream(path("dc1", 8), 120))).size(), 8);
     }
 
-    /** Under load every stream is slow, at 60 ms an event; a pause of 200 ms is usual then and asks nobody. */
+    /** Under load an event arrives every 60 ms in each stream; a gap of 200 ms is usual then and causes no probe. */
     @Test
-    public void aPauseThatIsUsualForTheStreamAsksNobody() {
+    public void aGapThatIsUsualForTheStreamSuspectsNoEngine() {
         Stream slow = new Stream(path("dc1", 8), NOW - 200, true, 60);
-        assertEquals(asked(List.of(slow)), Set.of());
-        assertEquals(asked(List.of(stream(path("dc1", 8), 100))), Set.of());
+        assertEquals(suspects(List.of(slow)), Set.of());
+        assertEquals(suspects(List.of(stream(path("dc1", 8), 100))), Set.of());
     }
 
-    /** A prompt takes longer than an event; only a stream whose first event is long due asks. */
+    /** Reading a prompt takes longer than an event, so the limit before the first event is higher. */
     @Test
     public void waitsLongerForTheFirstEvent() {
         Stream reading = new Stream(path("dc1", 2), NOW - 400, false, 0);
-        assertEquals(asked(List.of(reading)), Set.of());
+        assertEquals(suspects(List.of(reading)), Set.of());
         Stream due = new Stream(path("dc1", 2), NOW - 401, false, 0);
-        assertEquals(asked(List.of(due)).size(), 2);
+        assertEquals(suspects(List.of(due)).size(), 2);
     }
 
     /**
-     * An engine of a stream's path is held to be dead on a question that it did not answer. The stream's own events tell
-     * whether to believe it: while they come as usual nothing is cut, also where the usual is slow, and after some of its
-     * usual pauses without one the stream has stopped. A dead engine is found after 100 ms of silence or more, so the
-     * streams of the deployments of today have stopped by then.
+     * Guards against streams that are cancelled because an engine of their path did not answer a probe. While events
+     * arrive at the usual interval, also at a long one, the stream is active; after some usual intervals without an event
+     * it has stopped. A dead engine is found after a silence of at least 100 ms, by which time streams with the usual
+     * interval of 27 ms have stopped.
      */
     @Test
-    public void aStreamFlowsWhileItsEventsComeAsUsual() {
+    public void aStreamIsActiveWhileEventsArriveAtTheUsualInterval() {
         List<BackendServerId> path = path("dc1", 8);
         assertTrue(stream(path, 50).isFlowing(NOW));
         assertFalse(stream(path, 100).isFlowing(NOW));
@@ -109,30 +110,31 @@
     }
 
     /**
-     * Load of a deployment of 130 engines: events come each 90 ms, and three streams of this gateway pass an engine that
-     * dies. Each alone would be silent after 300 ms, when its client already takes it for late. Three silences of 130 ms
-     * are rarer than one of 360 ms, so the engine is asked, and the streams can go on elsewhere in time. With ten of them
-     * 70 ms are enough, and no less: answers to all of them may be late together for as long.
+     * In a fleet of 130 engines events arrive every 90 ms, and three streams of this gateway pass an engine that dies.
+     * Guards against streams that count as silent only after 300 ms, when their clients already regard them as late.
+     * Three silences of 130 ms at once are rarer than a single one of 360 ms, so the engine is probed early enough to
+     * continue the streams on another path. With ten streams 70 ms are enough, but no less: the events of all of them may
+     * be delayed together for that long.
      */
     @Test
-    public void slowStreamsThatAreSilentTogetherAskSooner() {
+    public void silencesOfSlowStreamsAddUp() {
         List<BackendServerId> one = path("dc1", 8);
         List<BackendServerId> other = new ArrayList<>(one);
         other.set(5, new BackendServerId("dc1-spare"));
         List<Stream> streams =
                 List.of(slow(one, 130), slow(one, 140), slow(one, 150), slow(other, 20), slow(other, 40));
-        assertEquals(asked(streams), Set.of("dc1-5"));
-        assertEquals(asked(streams.subList(1, 5)), Set.of(), "two of them are not enough yet");
-        assertEquals(asked(Collections.nCopies(10, slow(one, 71))).size(), 8);
-        assertEquals(asked(Collections.nCopies(10, slow(one, 70))), Set.of());
+        assertEquals(suspects(streams), Set.of("dc1-5"));
+        assertEquals(suspects(streams.subList(1, 5)), Set.of(), "two of them are not enough yet");
+        assertEquals(suspects(Collections.nCopies(10, slow(one, 71))).size(), 8);
+        assertEquals(suspects(Collections.nCopies(10, slow(one, 70))), Set.of());
     }
 
     /**
-     * A gateway stood still for 130 ms, so all its streams look silent together. It asks about none of their engines, or
-     * dozens of questions would take the processor time that it lacks; a stream that is silent for long by itself counts.
+     * A gateway was suspended for 130 ms, so all its streams look silent at once. Guards against dozens of probes that
+     * take the CPU time that the gateway lacks; a stream that is silent for long by itself still counts.
      */
     @Test
-    public void aLateProcessAsksForNoSharedSilence() {
+    public void aDelayedProcessIgnoresCombinedSilence() {
         List<Stream> streams = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             streams.add(slow(path("dc1", 8), 130));
