--- a/core/src/main/java/org/cornelramp/core/poison/SetAside.java
+++ b/core/src/main/java/org/cornelramp/core/poison/SetAside.java
@@ -12,45 +12,45 @@
 import java.util.TreeSet;
 
 /**
- * Which requests are set aside because they crash the backend servers that run them.
+ * Detects poison requests, which crash the backend servers that run them, so that they are refused.
  *
- * <p>Crash reports come from heartbeats and from the log, late, in any order and more than once; two processes
- * that have the same reports set the same requests aside. Every report is forgotten after the stated time, and with
- * it what it led to; a process that heard of a request set aside keeps its time, so that telling it round never
- * prolongs it. Owned by one thread; holds at most the stated number of reports, the newest.
+ * <p>Crash reports arrive from heartbeats and from the log, late, in any order and more than once; two processes with
+ * the same reports refuse the same requests. A report expires after the retention time, and with it the refusals that
+ * it caused. A refusal learnt from a peer keeps its expiry time, so that processes do not prolong it by passing it on.
+ * Owned by one thread; holds at most the given number of reports and drops the oldest.
  */
 public final class SetAside {
-    /** Most requests set aside that are told in one heartbeat. */
+    /** Most poison requests that one heartbeat carries. */
     public static final int MAX_TOLD = 48;
 
-    private static final Comparator<CrashReport> NEWEST_LAST =
+    private static final Comparator<CrashReport> BY_TIME =
             Comparator.comparing(CrashReport::at).thenComparing(CrashReport::crash);
 
-    private final Duration memory;
+    private final Duration retention;
     private final int maxReports;
     private final Map<String, CrashReport> reports = new HashMap<>();
-    private final Map<String, Instant> completed = new HashMap<>();
-    private final Map<String, Instant> heard = new HashMap<>();
-    private Blame blame = Blame.of(List.of());
+    private final Map<String, Instant> completionTimes = new HashMap<>();
+    private final Map<String, Instant> peerMarks = new HashMap<>();
+    private CrashAnalysis analysis = CrashAnalysis.analyse(List.of());
     private Instant nextExpiry = Instant.MAX;
 
     /**
-     * @param memory time after a crash at which it is forgotten
+     * @param retention retention time of a crash report, from the time of the crash
      * @param maxReports most crash reports held
      */
-    public SetAside(Duration memory, int maxReports) {
-        this.memory = memory;
+    public SetAside(Duration retention, int maxReports) {
+        this.retention = retention;
         this.maxReports = maxReports;
     }
 
-    /** Forgets after ten minutes and holds 256 reports. */
+    /** Returns an instance with a retention time of ten minutes and at most 256 reports. */
     public static SetAside standard() {
         return new SetAside(Duration.ofMinutes(10), 256);
     }
 
-    /** Takes a crash report; the same one again changes nothing. Returns whether it brought anything new. */
+    /** Adds a crash report; a repeated one changes nothing. Returns whether the report added any information. */
     public boolean crashed(CrashReport report, Instant now) {
-        if (!report.at().plus(memory).isAfter(now)) {
+        if (!report.at().plus(retention).isAfter(now)) {
             return false;
         }
         CrashReport before = reports.get(report.crash());
@@ -60,115 +60,114 @@
         }
         reports.put(after.crash(), after);
         if (reports.size() > maxReports) {
-            reports.remove(
-                    reports.values().stream().min(NEWEST_LAST).orElseThrow().crash());
+            reports.remove(reports.values().stream().min(BY_TIME).orElseThrow().crash());
         }
-        decide(now);
+        analyse(now);
         return reports.containsKey(after.crash());
     }
 
     /**
-     * Notes that a request ran to its end: it did not cause the crashes noticed until now. Without this a request
-     * that many callers send alike is in progress at most crashes, whatever their cause.
+     * Records that a request ran to completion, and therefore did not cause the crashes so far. Without this, a request
+     * that many callers send identically would be a suspect of most crashes, whatever their cause.
      */
     public void completed(String fingerprint, Instant now) {
         boolean known = reports.values().stream().anyMatch(r -> r.suspects().contains(fingerprint));
         if (known) {
-            completed.put(fingerprint, now);
-            decide(now);
+            completionTimes.put(fingerprint, now);
+            analyse(now);
         }
     }
 
-    /** Takes the marks of a peer's {@link #marks}. A mark that cannot be read is left out. */
+    /** Adds the {@link #marks} of a peer; marks that cannot be parsed are ignored. */
     public void heard(Collection<String> marks, Instant now) {
         for (String mark : marks) {
-            SetAsideMark.parse(mark).filter(m -> m.until().isAfter(now)).ifPresent(m -> hear(m, now));
+            PoisonMark.parse(mark).filter(m -> m.until().isAfter(now)).ifPresent(m -> addMark(m, now));
         }
     }
 
-    /** Whether a request must not run; its caller gets the final answer at once. */
+    /** Whether a request is refused as poison; its caller gets the final answer at once. */
     public boolean isSetAside(String fingerprint, Instant now) {
-        refresh(now);
-        return blame.blamed().contains(fingerprint)
-                || heard.getOrDefault(fingerprint, Instant.MIN).isAfter(now);
+        removeExpired(now);
+        return analysis.culprits().contains(fingerprint)
+                || peerMarks.getOrDefault(fingerprint, Instant.MIN).isAfter(now);
     }
 
-    /** Whether a request was in progress at a crash that is not explained yet. */
+    /** Whether a request was in progress at a crash whose cause is not known yet. */
     public boolean isSuspect(String fingerprint, Instant now) {
-        refresh(now);
-        return blame.suspects().contains(fingerprint);
+        removeExpired(now);
+        return analysis.suspects().contains(fingerprint);
     }
 
     /**
-     * Whether a request may start at a backend server beside those in progress there. Two suspects never run side
-     * by side: if they did, the next crash would again not tell which of them caused it.
+     * Whether a request may start on a backend server beside those in progress there. Two suspects never run on one
+     * server at the same time, as another crash would again not show which of them caused it.
      */
     public boolean mayRunBeside(String fingerprint, Collection<String> inProgress, Instant now) {
         return !isSuspect(fingerprint, now) || inProgress.stream().noneMatch(f -> isSuspect(f, now));
     }
 
-    /** Requests set aside, in the form that heartbeats carry, those that stay so the longest first. */
+    /** Returns the poison requests in the form that heartbeats carry, those with the latest expiry first. */
     public List<String> marks(Instant now) {
-        refresh(now);
-        Map<String, Instant> all = new HashMap<>(heard);
-        blame.blamed().forEach(f -> all.merge(f, until(f), (a, b) -> a.isAfter(b) ? a : b));
+        removeExpired(now);
+        Map<String, Instant> all = new HashMap<>(peerMarks);
+        analysis.culprits().forEach(f -> all.merge(f, expiry(f), (a, b) -> a.isAfter(b) ? a : b));
         return all.entrySet().stream()
                 .filter(e -> e.getValue().isAfter(now))
-                .map(e -> new SetAsideMark(e.getKey(), e.getValue()))
-                .sorted(Comparator.comparing(SetAsideMark::until).reversed().thenComparing(SetAsideMark::fingerprint))
+                .map(e -> new PoisonMark(e.getKey(), e.getValue()))
+                .sorted(Comparator.comparing(PoisonMark::until).reversed().thenComparing(PoisonMark::fingerprint))
                 .limit(MAX_TOLD)
-                .map(SetAsideMark::toString)
+                .map(PoisonMark::toString)
                 .toList();
     }
 
-    /** Crash reports since a time, in the form that heartbeats carry, for peers that do not read the log. */
+    /** Returns the crash reports after a time in the form that heartbeats carry, for peers that do not read the log. */
     public List<String> reportsSince(Instant since) {
         return reports.values().stream()
                 .filter(r -> r.at().isAfter(since))
-                .sorted(NEWEST_LAST)
+                .sorted(BY_TIME)
                 .map(CrashReport::toString)
                 .toList();
     }
 
-    private void hear(SetAsideMark mark, Instant now) {
-        // A peer whose clock runs ahead must not set a request aside for longer than the stated time.
-        Instant latest = now.plus(memory);
+    private void addMark(PoisonMark mark, Instant now) {
+        // A peer whose clock is ahead must not extend a refusal beyond the retention time.
+        Instant latest = now.plus(retention);
         Instant until = mark.until().isBefore(latest) ? mark.until() : latest;
-        heard.values().removeIf(t -> !t.isAfter(now));
-        if (heard.size() < maxReports) {
-            heard.merge(mark.fingerprint(), until, (a, b) -> a.isAfter(b) ? a : b);
+        peerMarks.values().removeIf(t -> !t.isAfter(now));
+        if (peerMarks.size() < maxReports) {
+            peerMarks.merge(mark.fingerprint(), until, (a, b) -> a.isAfter(b) ? a : b);
         }
     }
 
-    private Instant until(String fingerprint) {
+    private Instant expiry(String fingerprint) {
         return reports.values().stream()
                 .filter(r -> r.suspects().contains(fingerprint))
-                .map(r -> r.at().plus(memory))
+                .map(r -> r.at().plus(retention))
                 .max(Comparator.naturalOrder())
                 .orElse(Instant.MIN);
     }
 
-    private void refresh(Instant now) {
+    private void removeExpired(Instant now) {
         if (!nextExpiry.isAfter(now)) {
-            decide(now);
+            analyse(now);
         }
     }
 
-    private void decide(Instant now) {
-        reports.values().removeIf(r -> !r.at().plus(memory).isAfter(now));
-        heard.values().removeIf(t -> !t.isAfter(now));
+    private void analyse(Instant now) {
+        reports.values().removeIf(r -> !r.at().plus(retention).isAfter(now));
+        peerMarks.values().removeIf(t -> !t.isAfter(now));
         Set<String> known = new TreeSet<>();
         List<Set<String>> crashes = new ArrayList<>();
         for (CrashReport r : reports.values()) {
-            Set<String> left = new TreeSet<>(r.suspects());
-            known.addAll(left);
-            left.removeIf(f -> completed.getOrDefault(f, Instant.MIN).isAfter(r.at()));
-            crashes.add(left);
+            Set<String> suspects = new TreeSet<>(r.suspects());
+            known.addAll(suspects);
+            suspects.removeIf(f -> completionTimes.getOrDefault(f, Instant.MIN).isAfter(r.at()));
+            crashes.add(suspects);
         }
-        completed.keySet().retainAll(known);
-        blame = Blame.of(crashes);
+        completionTimes.keySet().retainAll(known);
+        analysis = CrashAnalysis.analyse(crashes);
         nextExpiry = reports.values().stream()
-                .map(r -> r.at().plus(memory))
+                .map(r -> r.at().plus(retention))
                 .min(Comparator.naturalOrder())
                 .orElse(Instant.MAX);
     }
