--- a/core/src/main/java/org/cornelramp/core/model/DataCentre.java
+++ b/core/src/main/java/org/cornelramp/core/model/DataCentre.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names the data centre that a process runs in, as its settings say.
+ * Name of the data centre that a process runs in, from its settings.
  *
  * <p>Invariant: {@link Names#isValid the value is a valid name}. Immutable, safe for use by any thread.
  */
--- a/core/src/main/java/org/cornelramp/core/model/EntryId.java
+++ b/core/src/main/java/org/cornelramp/core/model/EntryId.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names one entry process.
+ * Name of an entry process.
  *
  * <p>Invariant: {@link Names#isValid the value is a valid name}. Immutable, safe for use by any thread.
  */
--- a/core/src/main/java/org/cornelramp/core/model/Names.java
+++ b/core/src/main/java/org/cornelramp/core/model/Names.java
@@ -2,7 +2,7 @@
 
 import java.util.regex.Pattern;
 
-/** Checks the names that operators choose. Stateless, safe for use by any thread. */
+/** Validates names that operators choose. Stateless, safe for use by any thread. */
 public final class Names {
     /** The longest accepted name, in characters. */
     public static final int MAX_LENGTH = 64;
@@ -17,9 +17,9 @@
     }
 
     /**
-     * Refuses a name that is not valid.
+     * Throws an exception if a name is not valid.
      *
-     * @param what the kind of name, for the message
+     * @param what the kind of name, for the error message
      * @throws IllegalArgumentException if {@code value} is not valid
      */
     public static void check(String what, String value) {
--- a/core/src/main/java/org/cornelramp/core/model/OrganisationId.java
+++ b/core/src/main/java/org/cornelramp/core/model/OrganisationId.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names one organisation, the unit that shares, limits and service-level reports are kept for.
+ * Name of an organisation, the unit to which shares, limits and service-level reports apply.
  *
  * <p>Invariant: {@link Names#isValid the value is a valid name}. Immutable, safe for use by any thread.
  */
