--- a/core/src/main/java/org/cornelramp/core/operate/EditResult.java
+++ b/core/src/main/java/org/cornelramp/core/operate/EditResult.java
@@ -6,7 +6,7 @@
 /**
  * Result of one edit. Immutable, safe for use by any thread.
  *
- * @param kind whether the edit is accepted
+ * @param kind what is known about the edit
  * @param id id of the edit on the log
  * @param row the row in force after the decision: the edit's own if accepted, otherwise the row that stayed in force
  * @param offset offset of the edit's record; empty if none was read back
--- a/core/src/main/java/org/cornelramp/core/placement/Planner.java
+++ b/core/src/main/java/org/cornelramp/core/placement/Planner.java
@@ -206,7 +206,7 @@
                     .or(() -> mostLayersAdded(at, engine -> takeoverRange(engine, at, low, high)));
         }
 
-        /** The order that adds most layers. */
+        /** The order that adds most layers; of equal ones the one to the fastest engine, which is sorted first. */
         private Optional<Placement> mostLayersAdded(
                 DataCentre at, Function<BackendServer, Optional<LayerRange>> newRange) {
             return byDataCentre.get(at).stream()
--- a/core/src/test/java/org/cornelramp/core/placement/PlannerTest.java
+++ b/core/src/test/java/org/cornelramp/core/placement/PlannerTest.java
@@ -107,8 +107,9 @@
     }
 
     /**
-     * An engine dies while others in its data centre hold second copies. Guards against plans that move the fast engines
-     * that many paths contain, or more than one engine at a time: the plan moves one redundant engine.
+     * An engine dies while others in its data centre hold second copies, so its streams continue on these at once. Guards
+     * against plans that move the fast engines that all other paths contain, or more than one engine at a time: the plan
+     * moves one redundant engine.
      */
     @Test
     public void fillsAGapWithARedundantEngine() {
