--- a/core/src/main/java/org/cornelramp/core/path/EngineLoads.java
+++ b/core/src/main/java/org/cornelramp/core/path/EngineLoads.java
@@ -56,7 +56,7 @@
 
     private record Slowdown(double factor, long receivedMillis) {}
 
-    /** Records the loads of a peer, which count until its next update or until {@link #forgetSilent} removes the peer. */
+    /** Records the loads of a peer; they count until its next update or until {@link #forgetSilent}. */
     public void peer(String name, Map<BackendServerId, Load> peerLoads, int crossings, long nowMillis) {
         subtractFromTotal(peers.put(name, new PeerLoads(Map.copyOf(peerLoads), crossings, nowMillis)));
         peerLoads.forEach(this::addToTotal);
