--- a/core/src/main/java/org/cornelramp/core/model/BackendServerId.java
+++ b/core/src/main/java/org/cornelramp/core/model/BackendServerId.java
@@ -6,13 +6,13 @@
 /**
  * Name of a backend server VM; its agent has the same name after every restart.
  *
- * <p>Invariant: {@link Names#isValid the value is a valid name}. Immutable, safe for use by any thread.
+ * <p>Invariant: {@link NameValidator#isValid the value is a valid name}. Immutable, safe for use by any thread.
  */
 public record BackendServerId(@JsonValue String value) implements Comparable<BackendServerId> {
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public BackendServerId {
-        Names.check("backend server", value);
+        NameValidator.check("backend server", value);
     }
 
     /**
@@ -21,7 +21,7 @@
      *
      * @param startMillis start time by the server's own clock; it distinguishes incarnations and does not order them
      */
-    public BackendServerId inLife(long startMillis) {
+    public BackendServerId forIncarnation(long startMillis) {
         return new BackendServerId(value + "." + Long.toString(startMillis, Character.MAX_RADIX));
     }
 
--- a/core/src/main/java/org/cornelramp/core/model/Incarnation.java
+++ b/core/src/main/java/org/cornelramp/core/model/Incarnation.java
@@ -11,9 +11,9 @@
  * each draws 64 random bits. Immutable, safe for use by any thread.
  *
  * @param server the backend server of the agent
- * @param life random number of this incarnation
+ * @param number random number of this incarnation
  */
-public record Incarnation(BackendServerId server, long life) {
+public record Incarnation(BackendServerId server, long number) {
     private static final char SEPARATOR = '~';
     private static final int HEX = 16;
 
@@ -37,6 +37,6 @@
     @JsonValue
     @Override
     public String toString() {
-        return server.value() + SEPARATOR + Long.toHexString(life);
+        return server.value() + SEPARATOR + Long.toHexString(number);
     }
 }
--- a/core/src/main/java/org/cornelramp/core/operate/EditSettlement.java
+++ b/core/src/main/java/org/cornelramp/core/operate/EditResultResolver.java
@@ -13,8 +13,8 @@
  *
  * <p>Stateless, safe for use by any thread.
  */
-public final class EditSettlement {
-    private EditSettlement() {}
+public final class EditResultResolver {
+    private EditResultResolver() {}
 
     /**
      * Returns the result of an edit.
@@ -23,7 +23,7 @@
      * @param edit the edit
      * @param since all records that the log held since before the edit was first appended, up to the table's offset
      */
-    public static EditResult settle(FoldedTable table, TableEdit edit, List<LoggedRecord> since) {
+    public static EditResult resolve(FoldedTable table, TableEdit edit, List<LoggedRecord> since) {
         RowHistory history = RowHistory.of(table, edit.key(), since);
         Optional<RowHistory.Entry> found = history.find(edit.id());
         if (found.isEmpty()) {
@@ -36,7 +36,7 @@
     }
 
     /** Returns the result of an edit that was not appended, as it was made against a version no longer in force. */
-    public static EditResult lost(FoldedTable table, TableEdit edit, List<LoggedRecord> since) {
+    public static EditResult staleVersion(FoldedTable table, TableEdit edit, List<LoggedRecord> since) {
         return rejected(
                 table, edit, Optional.empty(), conflictDetail(table, edit, RowHistory.of(table, edit.key(), since)));
     }
--- a/core/src/main/java/org/cornelramp/core/path/EngineLoads.java
+++ b/core/src/main/java/org/cornelramp/core/path/EngineLoads.java
@@ -34,21 +34,21 @@
      * Load of one engine. Immutable, safe for use by any thread.
      *
      * @param requests requests whose path contains the engine
-     * @param asFirst those of them for which it is the first engine
+     * @param asFirstEngine those of them for which it is the first engine
      * @param tokenLayers tokens times layers that the requests occupy in its memory
-     * @param reading prompt tokens of the requests whose first event has not arrived
+     * @param pendingPromptTokens prompt tokens of the requests whose first event has not arrived
      */
-    public record Load(int requests, int asFirst, long tokenLayers, int reading) {
+    public record Load(int requests, int asFirstEngine, long tokenLayers, int pendingPromptTokens) {
         Load plus(Load other) {
             return new Load(
                     requests + other.requests,
-                    asFirst + other.asFirst,
+                    asFirstEngine + other.asFirstEngine,
                     tokenLayers + other.tokenLayers,
-                    reading + other.reading);
+                    pendingPromptTokens + other.pendingPromptTokens);
         }
 
         Load negated() {
-            return new Load(-requests, -asFirst, -tokenLayers, -reading);
+            return new Load(-requests, -asFirstEngine, -tokenLayers, -pendingPromptTokens);
         }
     }
 
@@ -56,14 +56,14 @@
 
     private record Slowdown(double factor, long receivedMillis) {}
 
-    /** Records the loads of a peer; they count until its next update or until {@link #forgetSilent}. */
-    public void peer(String name, Map<BackendServerId, Load> peerLoads, int crossings, long nowMillis) {
+    /** Records the loads of a peer; they count until its next update or until {@link #removeSilentPeers}. */
+    public void updatePeer(String name, Map<BackendServerId, Load> peerLoads, int crossings, long nowMillis) {
         subtractFromTotal(peers.put(name, new PeerLoads(Map.copyOf(peerLoads), crossings, nowMillis)));
         peerLoads.forEach(this::addToTotal);
     }
 
     /** Records an update of a peer that carries no loads: the peer is alive, and its last loads still count. */
-    public void heard(String name, int crossings, long nowMillis) {
+    public void keepPeer(String name, int crossings, long nowMillis) {
         PeerLoads previous = peers.get(name);
         peers.put(name, new PeerLoads(previous == null ? Map.of() : previous.loads(), crossings, nowMillis));
     }
@@ -79,7 +79,7 @@
     }
 
     /** Removes peers without an update for longer than the given time: the requests of a dead process have ended. */
-    public void forgetSilent(long silenceMillis, long nowMillis) {
+    public void removeSilentPeers(long silenceMillis, long nowMillis) {
         peers.values().removeIf(update -> {
             boolean silent = nowMillis - update.receivedMillis() > silenceMillis;
             subtractFromTotal(silent ? update : null);
@@ -104,7 +104,7 @@
     }
 
     /** Returns the loads by this process's own requests. */
-    public Map<BackendServerId, Load> own() {
+    public Map<BackendServerId, Load> ownLoads() {
         return Map.copyOf(ownLoads);
     }
 
@@ -118,7 +118,7 @@
     }
 
     /** Adds prompt tokens that the engines of a path still have to read; a negative number removes them. */
-    public void reading(StagePath path, int tokens) {
+    public void addPendingPromptTokens(StagePath path, int tokens) {
         for (Hop hop : path.hops()) {
             addOwn(hop.server().id(), new Load(0, 0, 0, tokens));
         }
@@ -154,7 +154,7 @@
     }
 
     /** Records whether the first engine of a path broke off the request by itself. */
-    public void ended(BackendServerId first, boolean failed) {
+    public void recordOutcome(BackendServerId first, boolean failed) {
         double before = failureShares.getOrDefault(first, 0.0);
         double after = before + LATEST_REQUEST_WEIGHT * ((failed ? 1 : 0) - before);
         if (failed || after > LATEST_REQUEST_WEIGHT / 2) {
@@ -170,18 +170,18 @@
     }
 
     /** Returns how many times longer than usual the engine takes, as last reported; 1 if there is no recent report. */
-    public double pace(BackendServerId id) {
+    public double slowdown(BackendServerId id) {
         Slowdown last = slowdowns.get(id);
         return last == null ? 1 : last.factor();
     }
 
     /** Records how many times longer than usual an engine takes. */
-    public void setPace(BackendServerId id, double factor, long nowMillis) {
+    public void setSlowdown(BackendServerId id, double factor, long nowMillis) {
         slowdowns.put(id, new Slowdown(factor, nowMillis));
     }
 
     /** Returns the factors of the engines that take longer than usual. */
-    public Map<BackendServerId, Double> unusualPaces() {
+    public Map<BackendServerId, Double> slowdownFactors() {
         Map<BackendServerId, Double> unusual = new HashMap<>();
         slowdowns.forEach((id, slowdown) -> {
             if (slowdown.factor() > 1) {
@@ -192,7 +192,7 @@
     }
 
     /** Removes the slowdowns that have expired. */
-    public void forgetPaces(long nowMillis) {
+    public void removeExpiredSlowdowns(long nowMillis) {
         slowdowns.values().removeIf(slowdown -> nowMillis - slowdown.receivedMillis() > SLOWDOWN_VALID_MILLIS);
     }
 
--- a/core/src/main/java/org/cornelramp/core/path/FirstEvents.java
+++ b/core/src/main/java/org/cornelramp/core/path/LostAnswerDetector.java
@@ -21,7 +21,7 @@
  * <p>Invariant: nothing is stored about streams that were sent more than {@value #RETENTION_MILLIS} ms ago, so the
  * memory is bounded by the streams of that time. Owned by one thread.
  */
-public final class FirstEvents {
+public final class LostAnswerDetector {
     /** Least time without a first event: ten times the usual one and a third of the time that a client waits. */
     static final long MIN_WAIT_MILLIS = 700;
 
@@ -42,7 +42,7 @@
      * @param first the first engine of its path
      * @param sentMillis when the request was sent to it
      */
-    public void begun(BackendServerId first, long sentMillis, long nowMillis) {
+    public void recordBegun(BackendServerId first, long sentMillis, long nowMillis) {
         Deque<Long> sentTimes = sentTimesByEngine.computeIfAbsent(first, any -> new ArrayDeque<>());
         sentTimes.add(sentMillis);
         sentTimesByEngine.values().forEach(times -> times.removeIf(at -> nowMillis - at > RETENTION_MILLIS));
--- a/core/src/main/java/org/cornelramp/core/path/PathFinder.java
+++ b/core/src/main/java/org/cornelramp/core/path/PathFinder.java
@@ -237,9 +237,9 @@
             double freeMb = card.memoryMb() - (layers.to() - layers.from()) * spec.layerMb();
             this.server = server;
             this.endLayer = layers.to();
-            this.hasSlot = load.asFirst() < server.slots();
+            this.hasSlot = load.asFirstEngine() < server.slots();
             this.freeTokenLayers = MAX_MEMORY_SHARE * freeMb / spec.tokenLayerMb() - load.tokenLayers();
-            this.layerMillis = layerMillis(load, card, spec) * loads.pace(server.id());
+            this.layerMillis = layerMillis(load, card, spec) * loads.slowdown(server.id());
             this.failureMillis = CONSTANT_FAILURE_MILLIS * loads.failureShare(server.id());
         }
 
@@ -249,7 +249,7 @@
          */
         private static double layerMillis(EngineLoads.Load load, CardKind card, EngineSpec spec) {
             double step = spec.stepMillis() + (load.requests() + 1) / 2.0 * spec.usualRequestMillis();
-            double reading = load.reading() / spec.readPerMilli() * card.readFactor();
+            double reading = load.pendingPromptTokens() / spec.readPerMilli() * card.readFactor();
             return (QUEUEING_FACTOR * step * card.stepFactor() + PENDING_PROMPT_PART * reading) / spec.layers();
         }
 
--- a/core/src/main/java/org/cornelramp/core/path/SilentEngines.java
+++ b/core/src/main/java/org/cornelramp/core/path/SilentEngineDetector.java
@@ -20,7 +20,7 @@
  * engine, the shorter is the time without an event of any of them. The silences of the streams of an engine are
  * therefore added up, each in multiples of its own usual interval. Stateless, safe for use by any thread.
  */
-public final class SilentEngines {
+public final class SilentEngineDetector {
     /**
      * Least silence of a single stream that counts. A client regards a stream as late after a gap of 200 ms or more.
      * Finding the dead engine may take about half of that, as the prompt has to be read again on other engines.
@@ -58,37 +58,38 @@
     private static final long ARRIVAL_SPREAD_MILLIS = 20;
 
     /** Longest time after the death of an engine in which events that it has passed on still arrive. */
-    public static final long AFTER_DEATH_MILLIS = 20;
+    public static final long MAX_DELAY_AFTER_DEATH_MILLIS = 20;
 
-    private SilentEngines() {}
+    private SilentEngineDetector() {}
 
     /**
      * One stream in progress. Immutable, safe for use by any thread.
      *
      * @param engines the engines of its path
-     * @param lastMillis when its last event arrived, or when it was sent if none has arrived since
+     * @param lastEventMillis when its last event arrived, or when it was sent if none has arrived since
      * @param begun whether an event has arrived since it was sent
      * @param usualIntervalMillis usual time between two of its events; 0 if not known
      */
-    public record Stream(List<BackendServerId> engines, long lastMillis, boolean begun, double usualIntervalMillis) {
-        public Stream {
+    public record StreamActivity(
+            List<BackendServerId> engines, long lastEventMillis, boolean begun, double usualIntervalMillis) {
+        public StreamActivity {
             engines = List.copyOf(engines);
         }
 
         boolean isSilent(long nowMillis) {
             double usual = Math.min(MAX_SILENCE_MILLIS, SILENT_INTERVALS * usualIntervalMillis);
             double limit = begun ? Math.max(MIN_SILENCE_MILLIS, usual) : FIRST_EVENT_SILENCE_MILLIS;
-            return nowMillis - lastMillis > limit;
+            return nowMillis - lastEventMillis > limit;
         }
 
         /**
          * Whether its events still arrive. They pass each engine of the path, so all of these are alive, even if a probe
          * was not answered. Cancelling such a stream would break it off without need.
          */
-        public boolean isFlowing(long nowMillis) {
+        public boolean isActive(long nowMillis) {
             double usual = Math.min(MAX_ACTIVE_MILLIS, ACTIVE_INTERVALS * usualIntervalMillis);
             double limit = usualIntervalMillis == 0 ? FIRST_EVENT_ACTIVE_MILLIS : Math.max(MIN_ACTIVE_MILLIS, usual);
-            return begun && nowMillis - lastMillis <= limit;
+            return begun && nowMillis - lastEventMillis <= limit;
         }
     }
 
@@ -96,12 +97,12 @@
      * Whether recent events have passed an engine, which is then alive even if it has not answered a probe. A gateway
      * that has just started, or whose link loses packets, misses answers to probes, and an engine that is wrongly taken
      * for dead costs a restart of each of its streams. Events of a dead engine arrive within
-     * {@value #AFTER_DEATH_MILLIS} ms of its death, and it is probed only after a longer silence.
+     * {@value #MAX_DELAY_AFTER_DEATH_MILLIS} ms of its death, and it is probed only after a longer silence.
      */
-    public static boolean isPassed(Collection<Stream> streams, BackendServerId engine, long nowMillis) {
+    public static boolean hasRecentEvents(Collection<StreamActivity> streams, BackendServerId engine, long nowMillis) {
         return streams.stream()
-                .filter(stream ->
-                        stream.begun() && nowMillis - stream.lastMillis() <= MIN_SILENCE_MILLIS - AFTER_DEATH_MILLIS)
+                .filter(stream -> stream.begun()
+                        && nowMillis - stream.lastEventMillis() <= MIN_SILENCE_MILLIS - MAX_DELAY_AFTER_DEATH_MILLIS)
                 .anyMatch(stream -> stream.engines().contains(engine));
     }
 
@@ -111,17 +112,17 @@
      * @param late whether this process has just been delayed; all its streams then look silent at once, so only the
      *     silence of single streams counts
      */
-    public static Set<BackendServerId> find(Collection<Stream> streams, boolean late, long nowMillis) {
+    public static Set<BackendServerId> findSuspects(Collection<StreamActivity> streams, boolean late, long nowMillis) {
         Map<BackendServerId, Long> lastPassed = new HashMap<>();
-        for (Stream stream : streams) {
+        for (StreamActivity stream : streams) {
             if (stream.begun()) {
-                stream.engines().forEach(id -> lastPassed.merge(id, stream.lastMillis(), Math::max));
+                stream.engines().forEach(id -> lastPassed.merge(id, stream.lastEventMillis(), Math::max));
             }
         }
         Set<BackendServerId> suspects = new HashSet<>();
-        for (Stream stream : streams) {
+        for (StreamActivity stream : streams) {
             if (stream.isSilent(nowMillis)) {
-                long since = stream.lastMillis() + ARRIVAL_SPREAD_MILLIS;
+                long since = stream.lastEventMillis() + ARRIVAL_SPREAD_MILLIS;
                 stream.engines().stream()
                         .filter(id -> lastPassed.getOrDefault(id, Long.MIN_VALUE) <= since)
                         .forEach(suspects::add);
@@ -138,11 +139,11 @@
     }
 
     /** For each engine, the sum of the silences of its streams, each in multiples of the stream's usual interval. */
-    private static Map<BackendServerId, Double> combinedSilences(Collection<Stream> streams, long nowMillis) {
+    private static Map<BackendServerId, Double> combinedSilences(Collection<StreamActivity> streams, long nowMillis) {
         Map<BackendServerId, Double> intervals = new HashMap<>();
-        for (Stream stream : streams) {
+        for (StreamActivity stream : streams) {
             if (stream.begun() && stream.usualIntervalMillis() > 0) {
-                double silence = (nowMillis - stream.lastMillis()) / stream.usualIntervalMillis();
+                double silence = (nowMillis - stream.lastEventMillis()) / stream.usualIntervalMillis();
                 stream.engines().forEach(id -> intervals.merge(id, silence, Double::sum));
             }
         }
--- a/core/src/main/java/org/cornelramp/core/poison/CrashReport.java
+++ b/core/src/main/java/org/cornelramp/core/poison/CrashReport.java
@@ -12,19 +12,19 @@
  *
  * <p>An agent omits requests of which it has seen another run complete, as these did not cause the crash.
  *
- * @param crash id of the crash, the same in all reports of it: the agent's incarnation and the backend server's
+ * @param crashId id of the crash, the same in all reports of it: the agent's incarnation and the backend server's
  *     incarnation, or the agent's alone if the agent died as well
  * @param at when the crash was detected
  * @param suspects fingerprints of the requests in progress, at most {@value #MAX_SUSPECTS}
  */
-public record CrashReport(String crash, Instant at, Set<String> suspects) {
+public record CrashReport(String crashId, Instant at, Set<String> suspects) {
     /** Most suspects of one crash; those first in sort order are kept, so that the order of reports has no effect. */
     public static final int MAX_SUSPECTS = 512;
 
     private static final String SEPARATOR = "|";
 
     public CrashReport {
-        if (crash.isEmpty() || crash.contains(SEPARATOR)) {
+        if (crashId.isEmpty() || crashId.contains(SEPARATOR)) {
             throw new IllegalArgumentException("A crash id must be non-empty and must not contain " + SEPARATOR);
         }
         suspects = firstSuspects(suspects);
@@ -49,12 +49,12 @@
     public CrashReport with(CrashReport other) {
         TreeSet<String> all = new TreeSet<>(suspects);
         all.addAll(other.suspects);
-        return new CrashReport(crash, at.isBefore(other.at) ? at : other.at, all);
+        return new CrashReport(crashId, at.isBefore(other.at) ? at : other.at, all);
     }
 
     @Override
     public String toString() {
-        return crash + SEPARATOR + at.toEpochMilli() + SEPARATOR + String.join(",", suspects);
+        return crashId + SEPARATOR + at.toEpochMilli() + SEPARATOR + String.join(",", suspects);
     }
 
     private static Set<String> firstSuspects(Collection<String> all) {
--- a/core/src/main/java/org/cornelramp/core/poison/SetAside.java
+++ b/core/src/main/java/org/cornelramp/core/poison/PoisonDetector.java
@@ -19,12 +19,12 @@
  * it caused. A refusal learnt from a peer keeps its expiry time, so that processes do not prolong it by passing it on.
  * Owned by one thread; holds at most the given number of reports and drops the oldest.
  */
-public final class SetAside {
+public final class PoisonDetector {
     /** Most poison requests that one heartbeat carries. */
-    public static final int MAX_TOLD = 48;
+    public static final int MAX_MARKS = 48;
 
     private static final Comparator<CrashReport> BY_TIME =
-            Comparator.comparing(CrashReport::at).thenComparing(CrashReport::crash);
+            Comparator.comparing(CrashReport::at).thenComparing(CrashReport::crashId);
 
     private final Duration retention;
     private final int maxReports;
@@ -38,39 +38,39 @@
      * @param retention retention time of a crash report, from the time of the crash
      * @param maxReports most crash reports held
      */
-    public SetAside(Duration retention, int maxReports) {
+    public PoisonDetector(Duration retention, int maxReports) {
         this.retention = retention;
         this.maxReports = maxReports;
     }
 
     /** Returns an instance with a retention time of ten minutes and at most 256 reports. */
-    public static SetAside standard() {
-        return new SetAside(Duration.ofMinutes(10), 256);
+    public static PoisonDetector standard() {
+        return new PoisonDetector(Duration.ofMinutes(10), 256);
     }
 
     /** Adds a crash report; a repeated one changes nothing. Returns whether the report added any information. */
-    public boolean crashed(CrashReport report, Instant now) {
+    public boolean recordCrash(CrashReport report, Instant now) {
         if (!report.at().plus(retention).isAfter(now)) {
             return false;
         }
-        CrashReport before = reports.get(report.crash());
+        CrashReport before = reports.get(report.crashId());
         CrashReport after = before == null ? report : before.with(report);
         if (after.equals(before)) {
             return false;
         }
-        reports.put(after.crash(), after);
+        reports.put(after.crashId(), after);
         if (reports.size() > maxReports) {
-            reports.remove(reports.values().stream().min(BY_TIME).orElseThrow().crash());
+            reports.remove(reports.values().stream().min(BY_TIME).orElseThrow().crashId());
         }
         analyse(now);
-        return reports.containsKey(after.crash());
+        return reports.containsKey(after.crashId());
     }
 
     /**
      * Records that a request ran to completion, and therefore did not cause the crashes so far. Without this, a request
      * that many callers send identically would be a suspect of most crashes, whatever their cause.
      */
-    public void completed(String fingerprint, Instant now) {
+    public void recordCompletion(String fingerprint, Instant now) {
         boolean known = reports.values().stream().anyMatch(r -> r.suspects().contains(fingerprint));
         if (known) {
             completionTimes.put(fingerprint, now);
@@ -79,14 +79,14 @@
     }
 
     /** Adds the {@link #marks} of a peer; marks that cannot be parsed are ignored. */
-    public void heard(Collection<String> marks, Instant now) {
+    public void addMarks(Collection<String> marks, Instant now) {
         for (String mark : marks) {
             PoisonMark.parse(mark).filter(m -> m.until().isAfter(now)).ifPresent(m -> addMark(m, now));
         }
     }
 
     /** Whether a request is refused as poison; its caller gets the final answer at once. */
-    public boolean isSetAside(String fingerprint, Instant now) {
+    public boolean isPoison(String fingerprint, Instant now) {
         removeExpired(now);
         return analysis.culprits().contains(fingerprint)
                 || peerMarks.getOrDefault(fingerprint, Instant.MIN).isAfter(now);
@@ -115,7 +115,7 @@
                 .filter(e -> e.getValue().isAfter(now))
                 .map(e -> new PoisonMark(e.getKey(), e.getValue()))
                 .sorted(Comparator.comparing(PoisonMark::until).reversed().thenComparing(PoisonMark::fingerprint))
-                .limit(MAX_TOLD)
+                .limit(MAX_MARKS)
                 .map(PoisonMark::toString)
                 .toList();
     }
--- a/core/src/main/java/org/cornelramp/core/retry/Attempt.java
+++ b/core/src/main/java/org/cornelramp/core/retry/FailedAttempt.java
@@ -9,10 +9,10 @@
  *
  * @param problem why it failed
  * @param idempotent whether the request may run more than once
- * @param number attempts made for the request, this one included
+ * @param attempts attempts made for the request, this one included
  * @param crashes attempts that ended in a crash of the backend server, this one included
  * @param deadline time by which the answer must be complete
- * @param expected minimum duration of another attempt
+ * @param minimumDuration minimum duration of another attempt
  */
-public record Attempt(
-        Problem problem, boolean idempotent, int number, int crashes, Instant deadline, Duration expected) {}
+public record FailedAttempt(
+        Problem problem, boolean idempotent, int attempts, int crashes, Instant deadline, Duration minimumDuration) {}
--- a/core/src/main/java/org/cornelramp/core/retry/RetryBudget.java
+++ b/core/src/main/java/org/cornelramp/core/retry/OrganisationRetryBudget.java
@@ -17,7 +17,7 @@
  * {@code maxBalance + share × successes + reservePerSecond × t} retries. Owned by one thread; holds at most
  * {@value #MAX_ORGANISATIONS} organisations and evicts the least recently used one.
  */
-public final class RetryBudget {
+public final class OrganisationRetryBudget {
     /** Largest number of organisations held. */
     public static final int MAX_ORGANISATIONS = 8_192;
 
@@ -38,19 +38,19 @@
      * @param reservePerSecond retries added each second, without any success
      * @param maxBalance largest balance, in retries
      */
-    public RetryBudget(double share, double reservePerSecond, double maxBalance) {
+    public OrganisationRetryBudget(double share, double reservePerSecond, double maxBalance) {
         this.share = share;
         this.reservePerSecond = reservePerSecond;
         this.maxBalance = maxBalance;
     }
 
     /** Returns a budget of 0.1 retries for each success and one retry a second, with a balance of at most ten. */
-    public static RetryBudget standard() {
-        return new RetryBudget(0.1, 1, 10);
+    public static OrganisationRetryBudget standard() {
+        return new OrganisationRetryBudget(0.1, 1, 10);
     }
 
     /** Records that a request of the organisation succeeded. */
-    public void succeeded(OrganisationId organisation, Instant now) {
+    public void recordSuccess(OrganisationId organisation, Instant now) {
         Account a = account(organisation, now);
         a.balance = Math.min(maxBalance, a.balance + share);
     }
--- a/core/src/main/java/org/cornelramp/core/retry/RunLimit.java
+++ b/core/src/main/java/org/cornelramp/core/retry/RequestServerLimit.java
@@ -14,8 +14,8 @@
  * stream. A server that is only suspected to be dead counts: on a link that loses packets live engines look dead, and
  * streams ran on three servers where two were allowed.
  */
-public final class RunLimit {
-    private RunLimit() {}
+public final class RequestServerLimit {
+    private RequestServerLimit() {}
 
     /**
      * Returns the servers that may take the request. The empty set stands for any server and is returned while fewer
@@ -25,7 +25,7 @@
      * @param isRegistered whether a server is still registered
      * @param limit most servers on which the route lets a request run
      */
-    public static Set<BackendServerId> allowed(
+    public static Set<BackendServerId> allowedServers(
             Set<BackendServerId> used, Predicate<BackendServerId> isRegistered, int limit) {
         Set<BackendServerId> registered = new HashSet<>(used);
         registered.removeIf(isRegistered.negate());
--- a/core/src/main/java/org/cornelramp/core/retry/RepeatNews.java
+++ b/core/src/main/java/org/cornelramp/core/retry/RetryLoanUpdate.java
@@ -7,15 +7,15 @@
 /**
  * The part of a peer update that shares retries between processes. Immutable, safe for use by any thread.
  *
- * @param asks the sender's open loan request for each service whose retries run low there
+ * @param loanRequests the sender's open loan request for each service whose retries run low there
  * @param loans the sender's loans to other processes, by service
  */
-public record RepeatNews(Map<ServiceName, Ask> asks, Map<ServiceName, List<Loan>> loans) {
+public record RetryLoanUpdate(Map<ServiceName, LoanRequest> loanRequests, Map<ServiceName, List<Loan>> loans) {
     /** The update of a process that requests no loan and lends nothing. */
-    public static final RepeatNews NONE = new RepeatNews(Map.of(), Map.of());
+    public static final RetryLoanUpdate NONE = new RetryLoanUpdate(Map.of(), Map.of());
 
-    public RepeatNews {
-        asks = Map.copyOf(asks);
+    public RetryLoanUpdate {
+        loanRequests = Map.copyOf(loanRequests);
         loans = Map.copyOf(loans);
     }
 
@@ -25,14 +25,14 @@
      * @param id unique among all requests of the process, those before a restart included
      * @param amount retries requested from each peer
      */
-    public record Ask(long id, int amount) {}
+    public record LoanRequest(long id, int amount) {}
 
     /**
      * Retries lent to one process. Immutable, safe for use by any thread.
      *
-     * @param to name of the process that may use them
-     * @param ask id of the loan request that they answer
+     * @param borrower name of the process that may use them
+     * @param requestId id of the loan request that they answer
      * @param amount number of retries
      */
-    public record Loan(String to, long ask, int amount) {}
+    public record Loan(String borrower, long requestId, int amount) {}
 }
--- a/core/src/main/java/org/cornelramp/core/retry/RetryLoans.java
+++ b/core/src/main/java/org/cornelramp/core/retry/RetryLoans.java
@@ -38,7 +38,7 @@
     private final Map<String, Long> answeredRequests = new HashMap<>();
     private final Deque<TakenLoan> loansTaken = new ArrayDeque<>();
     private final Set<String> lenders = new HashSet<>();
-    private RepeatNews.Ask openRequest;
+    private RetryLoanUpdate.LoanRequest openRequest;
     private long requestedMillis;
 
     /** A loan to another process, as the lender stores it. Immutable. */
@@ -62,14 +62,14 @@
         if (amount <= 0) {
             openRequest = null;
         } else if (!isOpen) {
-            openRequest = new RepeatNews.Ask(ids.nextLong(), amount);
+            openRequest = new RetryLoanUpdate.LoanRequest(ids.nextLong(), amount);
             requestedMillis = nowMillis;
             lenders.clear();
         }
     }
 
     /** Returns the open loan request, if any. */
-    Optional<RepeatNews.Ask> openRequest() {
+    Optional<RetryLoanUpdate.LoanRequest> openRequest() {
         return Optional.ofNullable(openRequest);
     }
 
@@ -78,7 +78,7 @@
      *
      * @param spare retries that this process does not need
      */
-    void lend(String to, RepeatNews.Ask request, int spare, long nowMillis) {
+    void lend(String to, RetryLoanUpdate.LoanRequest request, int spare, long nowMillis) {
         int amount = Math.min(request.amount(), spare);
         if (amount > 0 && !Long.valueOf(request.id()).equals(answeredRequests.get(to))) {
             answeredRequests.put(to, request.id());
@@ -87,11 +87,11 @@
     }
 
     /** Returns the loans that peer updates still have to carry: each for as long as it may be used. */
-    List<RepeatNews.Loan> loansToSend(long nowMillis) {
-        List<RepeatNews.Loan> loans = new ArrayList<>();
+    List<RetryLoanUpdate.Loan> loansToSend(long nowMillis) {
+        List<RetryLoanUpdate.Loan> loans = new ArrayList<>();
         for (GivenLoan loan : loansGiven) {
             if (nowMillis - loan.lentMillis() < LOAN_VALID_MILLIS) {
-                loans.add(new RepeatNews.Loan(loan.borrower(), loan.requestId(), loan.amount()));
+                loans.add(new RetryLoanUpdate.Loan(loan.borrower(), loan.requestId(), loan.amount()));
             }
         }
         return loans;
@@ -109,9 +109,9 @@
     }
 
     /** Accepts a loan from a peer's update if it answers the open request; one loan of each lender. */
-    void acceptLoan(String from, RepeatNews.Loan loan, long nowMillis) {
+    void acceptLoan(String from, RetryLoanUpdate.Loan loan, long nowMillis) {
         long until = requestedMillis + LOAN_VALID_MILLIS;
-        boolean answers = openRequest != null && openRequest.id() == loan.ask() && nowMillis < until;
+        boolean answers = openRequest != null && openRequest.id() == loan.requestId() && nowMillis < until;
         if (answers && loan.amount() > 0 && lenders.add(from)) {
             loansTaken.add(new TakenLoan(loan.amount(), until));
         }
--- a/core/src/main/java/org/cornelramp/core/retry/RepeatQueue.java
+++ b/core/src/main/java/org/cornelramp/core/retry/RetryQueue.java
@@ -15,13 +15,13 @@
  * other processes have retries to lend, which arrive within two rounds of peer updates. Owned by one thread.
  *
  * <p>Invariant: at most {@value #MAX_NOT_BEGUN} requests wait whose answer has not begun, and none of them beyond its
- * {@link Waiting#untilMillis}.
+ * {@link WaitState#waitUntilMillis}.
  */
-public final class RepeatQueue<T> {
+public final class RetryQueue<T> {
     /** Most waiting requests whose answer has not begun: as many as a busy process receives in some seconds. */
     static final int MAX_NOT_BEGUN = 256;
 
-    private final Map<T, Waiting> waiting = new LinkedHashMap<>();
+    private final Map<T, WaitState> waiting = new LinkedHashMap<>();
     private int notBegunCount;
 
     /**
@@ -30,12 +30,12 @@
      * @param begun whether a part of the answer has been sent to the client; the request then waits until the client
      *     disconnects
      * @param deadlineMillis time by which the client must have an answer
-     * @param untilMillis time at which the request is refused if its answer has not begun
+     * @param waitUntilMillis time at which the request is refused if its answer has not begun
      */
-    public record Waiting(boolean begun, long deadlineMillis, long untilMillis) {}
+    public record WaitState(boolean begun, long deadlineMillis, long waitUntilMillis) {}
 
     /** Adds a request; returns false if the queue is full. A request that waits already keeps its state. */
-    public boolean add(T request, Waiting state) {
+    public boolean add(T request, WaitState state) {
         if (waiting.containsKey(request)) {
             return true;
         }
@@ -48,8 +48,8 @@
     }
 
     /** Removes a request; returns the state that it had, empty if it did not wait. */
-    public Optional<Waiting> remove(T request) {
-        Optional<Waiting> state = Optional.ofNullable(waiting.remove(request));
+    public Optional<WaitState> remove(T request) {
+        Optional<WaitState> state = Optional.ofNullable(waiting.remove(request));
         notBegunCount -= state.isPresent() && !state.get().begun() ? 1 : 0;
         return state;
     }
@@ -60,7 +60,7 @@
 
     /** Returns all waiting requests in the order in which they are retried. */
     public List<T> inOrder() {
-        Comparator<Map.Entry<T, Waiting>> begunFirst =
+        Comparator<Map.Entry<T, WaitState>> begunFirst =
                 Comparator.comparing(entry -> !entry.getValue().begun());
         return waiting.entrySet().stream()
                 .sorted(begunFirst.thenComparing(entry -> entry.getValue().deadlineMillis()))
@@ -69,10 +69,10 @@
     }
 
     /** Removes and returns the requests whose answer has not begun and whose waiting time is over. */
-    public List<T> takeOverdue(long nowMillis) {
+    public List<T> removeOverdue(long nowMillis) {
         List<T> overdue = new ArrayList<>();
         waiting.forEach((request, state) -> {
-            if (!state.begun() && nowMillis >= state.untilMillis()) {
+            if (!state.begun() && nowMillis >= state.waitUntilMillis()) {
                 overdue.add(request);
             }
         });
--- a/core/src/main/java/org/cornelramp/core/retry/RepeatAccount.java
+++ b/core/src/main/java/org/cornelramp/core/retry/ServiceRetryBudget.java
@@ -8,7 +8,7 @@
  * Retry budget of this process for one service: a share of its own requests plus its part of the reserve of all
  * processes, minus the retries lent to other processes, plus those borrowed from them. Owned by one thread.
  */
-public final class RepeatAccount {
+public final class ServiceRetryBudget {
     /**
      * Part of the allowed retries that requests may use whose answer has not begun. The rest is kept for answers that
      * have begun, as only this process can continue them; a request without an answer can be refused, and its client
@@ -30,13 +30,13 @@
      * @param windowMillis length of the sliding window
      * @param ids source of the ids of loan requests, which must differ from those before a restart of this process
      */
-    public RepeatAccount(double ratio, long windowMillis, RandomGenerator ids) {
+    public ServiceRetryBudget(double ratio, long windowMillis, RandomGenerator ids) {
         this.window = new RetryWindow(ratio, windowMillis);
         this.retryLoans = new RetryLoans(windowMillis, ids);
     }
 
     /** Records a client's request. */
-    public void request(long nowMillis) {
+    public void recordRequest(long nowMillis) {
         window.recordRequest(nowMillis);
     }
 
@@ -46,13 +46,13 @@
      * @param reserve this process's part of the reserve of all processes
      * @param begun whether a part of the answer has been sent to the client
      */
-    public boolean tryRepeat(double reserve, boolean begun, long nowMillis) {
+    public boolean tryRetry(double reserve, boolean begun, long nowMillis) {
         return window.tryRetry(reserve - retryLoans.lentAmount(nowMillis), usablePart(begun), nowMillis)
                 || retryLoans.tryUse(nowMillis);
     }
 
-    /** Whether {@link #tryRepeat} would succeed now. */
-    public boolean hasRepeat(double reserve, boolean begun, long nowMillis) {
+    /** Whether {@link #tryRetry} would succeed now. */
+    public boolean hasRetry(double reserve, boolean begun, long nowMillis) {
         return window.hasRetry(reserve - retryLoans.lentAmount(nowMillis), usablePart(begun), nowMillis)
                 || retryLoans.remaining(nowMillis) > 0;
     }
@@ -62,7 +62,7 @@
     }
 
     /** Returns the retries left now, for logs; negative if retries that were lent are missing here. */
-    public double left(double reserve, long nowMillis) {
+    public double remaining(double reserve, long nowMillis) {
         return window.remaining(reserve - retryLoans.lentAmount(nowMillis), nowMillis)
                 + retryLoans.remaining(nowMillis);
     }
@@ -70,21 +70,21 @@
     /** Returns the retries missing to the low-water mark, with which the next failures can be retried at once. */
     public int shortage(double reserve, long nowMillis) {
         double low = LOW_WATER_PART * window.allowed(reserve, nowMillis);
-        return (int) Math.max(0, low - left(reserve, nowMillis));
+        return (int) Math.max(0, low - remaining(reserve, nowMillis));
     }
 
     /** Requests a loan of {@code amount} retries from each peer; 0 withdraws the request. */
-    public void ask(int amount, long nowMillis) {
+    public void requestLoan(int amount, long nowMillis) {
         retryLoans.requestLoan(amount, nowMillis);
     }
 
     /** Returns the open loan request, if any. */
-    public Optional<RepeatNews.Ask> asks() {
+    public Optional<RetryLoanUpdate.LoanRequest> loanRequest() {
         return retryLoans.openRequest();
     }
 
     /** Lends spare retries on a peer's request; at most half of them, so that some are left for other peers. */
-    public void lend(String to, RepeatNews.Ask request, double reserve, long nowMillis) {
+    public void lend(String to, RetryLoanUpdate.LoanRequest request, double reserve, long nowMillis) {
         double allowed = window.allowed(reserve, nowMillis);
         double spare =
                 window.remaining(reserve - retryLoans.lentAmount(nowMillis), nowMillis) - NOT_LENT_PART * allowed;
@@ -92,12 +92,12 @@
     }
 
     /** Returns the loans that peer updates still have to carry. */
-    public List<RepeatNews.Loan> loans(long nowMillis) {
+    public List<RetryLoanUpdate.Loan> loansToSend(long nowMillis) {
         return retryLoans.loansToSend(nowMillis);
     }
 
     /** Accepts a loan to this process from a peer's update. */
-    public void borrow(String from, RepeatNews.Loan loan, long nowMillis) {
+    public void acceptLoan(String from, RetryLoanUpdate.Loan loan, long nowMillis) {
         retryLoans.acceptLoan(from, loan, nowMillis);
     }
 }
--- a/core/src/test/java/org/cornelramp/core/path/Engines.java
+++ b/core/src/test/java/org/cornelramp/core/path/EngineFixtures.java
@@ -14,11 +14,11 @@
 import org.cornelramp.core.settings.HostPort;
 
 /** Engines and specifications for tests, with the figures of the two deployments. */
-public final class Engines {
+public final class EngineFixtures {
     /** Layers of the deployed model. */
     public static final int LAYERS = 80;
 
-    private Engines() {}
+    private EngineFixtures() {}
 
     /**
      * The deployed model on the deployed cards.
--- a/core/src/test/java/org/cornelramp/core/path/EngineLoadsProperties.java
+++ b/core/src/test/java/org/cornelramp/core/path/EngineLoadsProperties.java
@@ -21,13 +21,16 @@
     }
 
     private static StagePath path(Random random) {
-        int cut = 1 + random.nextInt(Engines.LAYERS - 1);
+        int cut = 1 + random.nextInt(EngineFixtures.LAYERS - 1);
         int first = random.nextInt(ENGINES);
         int second = (first + 1 + random.nextInt(ENGINES - 1)) % ENGINES;
         return new StagePath(
                 List.of(
-                        new Hop(Engines.engine("e" + first, "dc1", "l4", 0, cut), 0, cut),
-                        new Hop(Engines.engine("e" + second, "dc1", "l4", cut, Engines.LAYERS), cut, Engines.LAYERS)),
+                        new Hop(EngineFixtures.engine("e" + first, "dc1", "l4", 0, cut), 0, cut),
+                        new Hop(
+                                EngineFixtures.engine("e" + second, "dc1", "l4", cut, EngineFixtures.LAYERS),
+                                cut,
+                                EngineFixtures.LAYERS)),
                 1,
                 1);
     }
@@ -53,10 +56,10 @@
             String peer = "p" + random.nextInt(5);
             Map<BackendServerId, EngineLoads.Load> newLoads = randomLoads(random);
             if (random.nextInt(3) > 0) {
-                loads.peer(peer, newLoads, 0, now);
+                loads.updatePeer(peer, newLoads, 0, now);
                 peerStates.put(peer, new PeerState(newLoads, now));
             } else {
-                loads.heard(peer, 0, now);
+                loads.keepPeer(peer, 0, now);
                 peerStates.put(
                         peer,
                         new PeerState(
@@ -73,7 +76,7 @@
             }
             if (random.nextInt(4) == 0) {
                 long at = now;
-                loads.forgetSilent(MAX_SILENCE_MILLIS, now);
+                loads.removeSilentPeers(MAX_SILENCE_MILLIS, now);
                 peerStates.values().removeIf(one -> at - one.atMillis() > MAX_SILENCE_MILLIS);
             }
             check(loads, peerStates, own);
--- a/core/src/test/java/org/cornelramp/core/path/LostAnswerDetectorTest.java
+++ b/core/src/test/java/org/cornelramp/core/path/LostAnswerDetectorTest.java
@@ -16,9 +16,9 @@
      */
     @Test
     public void anAnswerIsLostIfLaterStreamsHaveBegun() {
-        FirstEvents detector = new FirstEvents();
+        LostAnswerDetector detector = new LostAnswerDetector();
         for (long sent = 1_100; sent <= 1_600; sent += 100) {
-            detector.begun(ENGINE, sent, sent + 50);
+            detector.recordBegun(ENGINE, sent, sent + 50);
         }
         assertFalse(detector.isAnswerLost(ENGINE, 1_000, 1_699), "too early");
         assertTrue(detector.isAnswerLost(ENGINE, 1_000, 1_700));
@@ -31,11 +31,11 @@
      */
     @Test
     public void aSlowEngineLosesNoAnswer() {
-        FirstEvents detector = new FirstEvents();
+        LostAnswerDetector detector = new LostAnswerDetector();
         for (long now = 0; now < 3_000; now++) {
             for (long sent = 0; sent < 1_000; sent += 14) {
                 if (now == sent + 1_300) {
-                    detector.begun(ENGINE, sent, now);
+                    detector.recordBegun(ENGINE, sent, now);
                 }
                 boolean waits = now >= sent && now < sent + 1_300;
                 assertFalse(waits && detector.isAnswerLost(ENGINE, sent, now), "sent at " + sent + " now " + now);
@@ -46,12 +46,12 @@
     /** A single stream that begins earlier may have a higher priority; neither it nor streams sent long ago show a loss. */
     @Test
     public void oneLaterStreamIsNotEnough() {
-        FirstEvents detector = new FirstEvents();
-        detector.begun(ENGINE, 1_300, 1_350);
+        LostAnswerDetector detector = new LostAnswerDetector();
+        detector.recordBegun(ENGINE, 1_300, 1_350);
         assertFalse(detector.isAnswerLost(ENGINE, 1_000, 2_000));
-        detector.begun(ENGINE, 1_150, 1_400);
+        detector.recordBegun(ENGINE, 1_150, 1_400);
         assertFalse(detector.isAnswerLost(ENGINE, 1_000, 2_000), "sent at nearly the same time");
-        detector.begun(ENGINE, 4_000, 4_050);
+        detector.recordBegun(ENGINE, 4_000, 4_050);
         assertFalse(detector.isAnswerLost(ENGINE, 1_000, 4_050), "the first one is forgotten");
     }
 }
--- a/core/src/test/java/org/cornelramp/core/path/SilentEngineDetectorTest.java
+++ b/core/src/test/java/org/cornelramp/core/path/SilentEngineDetectorTest.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import org.cornelramp.core.model.BackendServerId;
-import org.cornelramp.core.path.SilentEngines.Stream;
+import org.cornelramp.core.path.SilentEngineDetector.StreamActivity;
 import org.testng.annotations.Test;
 
 /** Engines that are probed when the events of streams stop; usually an event arrives every 27 ms. */
@@ -25,12 +25,12 @@
                 .toList();
     }
 
-    private static Stream stream(List<BackendServerId> path, long silentMillis) {
-        return new Stream(path, NOW - silentMillis, true, USUAL_INTERVAL_MILLIS);
+    private static StreamActivity stream(List<BackendServerId> path, long silentMillis) {
+        return new StreamActivity(path, NOW - silentMillis, true, USUAL_INTERVAL_MILLIS);
     }
 
-    private static Set<String> suspects(List<Stream> streams) {
-        return SilentEngines.find(streams, false, NOW).stream()
+    private static Set<String> suspects(List<StreamActivity> streams) {
+        return SilentEngineDetector.findSuspects(streams, false, NOW).stream()
                 .map(BackendServerId::value)
                 .collect(Collectors.toSet());
     }
@@ -44,7 +44,7 @@
         List<BackendServerId> one = path("dc1", 8);
         List<BackendServerId> other = new ArrayList<>(one);
         other.set(5, new BackendServerId("dc1-spare"));
-        List<Stream> streams = new ArrayList<>();
+        List<StreamActivity> streams = new ArrayList<>();
         for (int i = 0; i < 15; i++) {
             streams.add(stream(one, 115 + i));
             streams.add(stream(other, i));
@@ -59,9 +59,9 @@
      */
     @Test
     public void anEngineThatEventsPassIsAlive() {
-        List<Stream> streams = List.of(stream(path("dc1", 8), 30), stream(path("dc2", 8), 130));
-        assertTrue(SilentEngines.isPassed(streams, new BackendServerId("dc1-3"), NOW));
-        assertFalse(SilentEngines.isPassed(streams, new BackendServerId("dc2-3"), NOW));
+        List<StreamActivity> streams = List.of(stream(path("dc1", 8), 30), stream(path("dc2", 8), 130));
+        assertTrue(SilentEngineDetector.hasRecentEvents(streams, new BackendServerId("dc1-3"), NOW));
+        assertFalse(SilentEngineDetector.hasRecentEvents(streams, new BackendServerId("dc2-3"), NOW));
     }
 
     /** No other stream passes the path, so any of its engines may be the dead one. */
@@ -73,7 +73,7 @@
     /** Under load an event arrives every 60 ms in each stream; a gap of 200 ms is usual then and causes no probe. */
     @Test
     public void aGapThatIsUsualForTheStreamSuspectsNoEngine() {
-        Stream slow = new Stream(path("dc1", 8), NOW - 200, true, 60);
+        StreamActivity slow = new StreamActivity(path("dc1", 8), NOW - 200, true, 60);
         assertEquals(suspects(List.of(slow)), Set.of());
         assertEquals(suspects(List.of(stream(path("dc1", 8), 100))), Set.of());
     }
@@ -81,9 +81,9 @@
     /** Reading a prompt takes longer than an event, so the limit before the first event is higher. */
     @Test
     public void waitsLongerForTheFirstEvent() {
-        Stream reading = new Stream(path("dc1", 2), NOW - 400, false, 0);
+        StreamActivity reading = new StreamActivity(path("dc1", 2), NOW - 400, false, 0);
         assertEquals(suspects(List.of(reading)), Set.of());
-        Stream due = new Stream(path("dc1", 2), NOW - 401, false, 0);
+        StreamActivity due = new StreamActivity(path("dc1", 2), NOW - 401, false, 0);
         assertEquals(suspects(List.of(due)).size(), 2);
     }
 
@@ -96,17 +96,17 @@
     @Test
     public void aStreamIsActiveWhileEventsArriveAtTheUsualInterval() {
         List<BackendServerId> path = path("dc1", 8);
-        assertTrue(stream(path, 50).isFlowing(NOW));
-        assertFalse(stream(path, 100).isFlowing(NOW));
-        assertTrue(new Stream(path, NOW - 250, true, 150).isFlowing(NOW), "a slow stream");
-        assertFalse(new Stream(path, NOW - 310, true, 150).isFlowing(NOW), "a slow stream that has stopped");
-        assertFalse(new Stream(path, NOW - 1_100, true, 900).isFlowing(NOW), "however slow it is");
-        assertTrue(new Stream(path, NOW - 200, true, 0).isFlowing(NOW), "after its first event");
-        assertFalse(new Stream(path, NOW - 10, false, 0).isFlowing(NOW), "before its first event");
+        assertTrue(stream(path, 50).isActive(NOW));
+        assertFalse(stream(path, 100).isActive(NOW));
+        assertTrue(new StreamActivity(path, NOW - 250, true, 150).isActive(NOW), "a slow stream");
+        assertFalse(new StreamActivity(path, NOW - 310, true, 150).isActive(NOW), "a slow stream that has stopped");
+        assertFalse(new StreamActivity(path, NOW - 1_100, true, 900).isActive(NOW), "however slow it is");
+        assertTrue(new StreamActivity(path, NOW - 200, true, 0).isActive(NOW), "after its first event");
+        assertFalse(new StreamActivity(path, NOW - 10, false, 0).isActive(NOW), "before its first event");
     }
 
-    private static Stream slow(List<BackendServerId> path, long silentMillis) {
-        return new Stream(path, NOW - silentMillis, true, 90);
+    private static StreamActivity slow(List<BackendServerId> path, long silentMillis) {
+        return new StreamActivity(path, NOW - silentMillis, true, 90);
     }
 
     /**
@@ -121,7 +121,7 @@
         List<BackendServerId> one = path("dc1", 8);
         List<BackendServerId> other = new ArrayList<>(one);
         other.set(5, new BackendServerId("dc1-spare"));
-        List<Stream> streams =
+        List<StreamActivity> streams =
                 List.of(slow(one, 130), slow(one, 140), slow(one, 150), slow(other, 20), slow(other, 40));
         assertEquals(suspects(streams), Set.of("dc1-5"));
         assertEquals(suspects(streams.subList(1, 5)), Set.of(), "two of them are not enough yet");
@@ -135,12 +135,12 @@
      */
     @Test
     public void aDelayedProcessIgnoresCombinedSilence() {
-        List<Stream> streams = new ArrayList<>();
+        List<StreamActivity> streams = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             streams.add(slow(path("dc1", 8), 130));
         }
-        assertEquals(SilentEngines.find(streams, true, NOW), Set.of());
+        assertEquals(SilentEngineDetector.findSuspects(streams, true, NOW), Set.of());
         streams.add(slow(path("dc2", 2), 320));
-        assertEquals(SilentEngines.find(streams, true, NOW).size(), 2);
+        assertEquals(SilentEngineDetector.findSuspects(streams, true, NOW).size(), 2);
     }
 }
--- a/core/src/test/java/org/cornelramp/core/poison/CrashingFleet.java
+++ b/core/src/test/java/org/cornelramp/core/poison/CrashingFleet.java
@@ -25,7 +25,7 @@
     private final int maxReportDelayTicks;
     private final List<List<Run>> servers = new ArrayList<>();
     private final List<Delayed> delayed = new ArrayList<>();
-    private final SetAside detector = new SetAside(Duration.ofMinutes(10), 256);
+    private final PoisonDetector detector = new PoisonDetector(Duration.ofMinutes(10), 256);
     private final Map<String, Integer> crashes = new HashMap<>();
     private Instant now = Instant.ofEpochSecond(1_000);
     private int tick;
@@ -72,7 +72,7 @@
     }
 
     boolean isSetAside(String fingerprint) {
-        return detector.isSetAside(fingerprint, now);
+        return detector.isPoison(fingerprint, now);
     }
 
     int crashesOf(String fingerprint) {
@@ -80,7 +80,7 @@
     }
 
     private void start(Run run) {
-        if (detector.isSetAside(run.fingerprint, now)) {
+        if (detector.isPoison(run.fingerprint, now)) {
             if (!run.fingerprint.startsWith("poison")) {
                 wronglyRefused.add(run.fingerprint);
             }
@@ -110,7 +110,7 @@
                 crash(s);
                 continue;
             }
-            server.stream().filter(r -> r.ticks <= 0).forEach(r -> detector.completed(r.fingerprint, now));
+            server.stream().filter(r -> r.ticks <= 0).forEach(r -> detector.recordCompletion(r.fingerprint, now));
             server.removeIf(r -> r.ticks <= 0);
         }
     }
@@ -141,7 +141,7 @@
         delayed.removeAll(ready);
         for (Delayed l : ready) {
             if (l.what instanceof CrashReport report) {
-                detector.crashed(report, now);
+                detector.recordCrash(report, now);
             } else {
                 start((Run) l.what);
             }
--- a/core/src/test/java/org/cornelramp/core/poison/PoisonDetectorProperties.java
+++ b/core/src/test/java/org/cornelramp/core/poison/PoisonDetectorProperties.java
@@ -30,7 +30,7 @@
             }
             reports.add(new CrashReport("c" + i % 20, NOW.minusMillis(random.nextInt(5_000)), suspects));
         }
-        SetAside one = detectorWith(reports);
+        PoisonDetector one = detectorWith(reports);
         List<CrashReport> again = new ArrayList<>(reports);
         again.addAll(reports.subList(0, random.nextInt(count)));
         Collections.shuffle(again, random);
@@ -62,21 +62,21 @@
     @Property(seed = "4104", tries = 100)
     void boundsHoldAndEverythingExpires(@ForAll long seed) {
         Random random = new Random(seed);
-        SetAside detector = new SetAside(Duration.ofSeconds(60), 16);
+        PoisonDetector detector = new PoisonDetector(Duration.ofSeconds(60), 16);
         Instant now = NOW;
         for (int i = 0; i < 100; i++) {
             now = now.plusMillis(random.nextInt(500));
-            detector.crashed(new CrashReport("c" + i, now, Set.of("f" + random.nextInt(5))), now);
-            detector.heard(List.of("x" + i + "@" + now.plusSeconds(999).toEpochMilli(), "junk", "@", "a@b"), now);
+            detector.recordCrash(new CrashReport("c" + i, now, Set.of("f" + random.nextInt(5))), now);
+            detector.addMarks(List.of("x" + i + "@" + now.plusSeconds(999).toEpochMilli(), "junk", "@", "a@b"), now);
             assertTrue(detector.reportsSince(Instant.EPOCH).size() <= 16);
-            assertTrue(detector.marks(now).size() <= SetAside.MAX_TOLD);
+            assertTrue(detector.marks(now).size() <= PoisonDetector.MAX_MARKS);
         }
         assertEquals(detector.marks(now.plusSeconds(61)), List.of());
     }
 
-    private static SetAside detectorWith(List<CrashReport> reports) {
-        SetAside detector = SetAside.standard();
-        reports.forEach(r -> detector.crashed(CrashReport.parse(r.toString()), NOW));
+    private static PoisonDetector detectorWith(List<CrashReport> reports) {
+        PoisonDetector detector = PoisonDetector.standard();
+        reports.forEach(r -> detector.recordCrash(CrashReport.parse(r.toString()), NOW));
         return detector;
     }
 }
--- a/core/src/test/java/org/cornelramp/core/poison/PoisonDetectorTest.java
+++ b/core/src/test/java/org/cornelramp/core/poison/PoisonDetectorTest.java
@@ -18,61 +18,61 @@
 
     @Test
     public void aRequestAtTwoCrashesIsPoison() {
-        SetAside detector = detectorAfter(Set.of("p", "a", "b"));
-        assertFalse(detector.isSetAside("p", NOW));
+        PoisonDetector detector = detectorAfter(Set.of("p", "a", "b"));
+        assertFalse(detector.isPoison("p", NOW));
         assertTrue(detector.isSuspect("a", NOW));
-        detector.crashed(new CrashReport("second", NOW, Set.of("p", "c")), NOW);
-        assertTrue(detector.isSetAside("p", NOW));
-        assertFalse(detector.isSetAside("a", NOW));
+        detector.recordCrash(new CrashReport("second", NOW, Set.of("p", "c")), NOW);
+        assertTrue(detector.isPoison("p", NOW));
+        assertFalse(detector.isPoison("a", NOW));
         assertFalse(detector.isSuspect("a", NOW), "the first crash is explained");
     }
 
     @Test
     public void anInnocentRequestIsReleasedOnceBothCausesAreKnown() {
-        SetAside detector = detectorAfter(Set.of("p", "i"), Set.of("q", "i"));
-        assertTrue(detector.isSetAside("i", NOW), "it explains both crashes so far");
-        detector.crashed(new CrashReport("p again", NOW, Set.of("p", "x")), NOW);
-        detector.crashed(new CrashReport("q again", NOW, Set.of("q", "y")), NOW);
-        assertTrue(detector.isSetAside("p", NOW) && detector.isSetAside("q", NOW));
-        assertFalse(detector.isSetAside("i", NOW));
+        PoisonDetector detector = detectorAfter(Set.of("p", "i"), Set.of("q", "i"));
+        assertTrue(detector.isPoison("i", NOW), "it explains both crashes so far");
+        detector.recordCrash(new CrashReport("p again", NOW, Set.of("p", "x")), NOW);
+        detector.recordCrash(new CrashReport("q again", NOW, Set.of("q", "y")), NOW);
+        assertTrue(detector.isPoison("p", NOW) && detector.isPoison("q", NOW));
+        assertFalse(detector.isPoison("i", NOW));
     }
 
     @Test
     public void indistinguishableSuspectsRunApart() {
-        SetAside detector = detectorAfter(Set.of("p", "i"), Set.of("p", "i"));
-        assertFalse(detector.isSetAside("p", NOW) || detector.isSetAside("i", NOW));
+        PoisonDetector detector = detectorAfter(Set.of("p", "i"), Set.of("p", "i"));
+        assertFalse(detector.isPoison("p", NOW) || detector.isPoison("i", NOW));
         assertFalse(detector.mayRunBeside("p", List.of("i"), NOW));
         assertTrue(detector.mayRunBeside("p", List.of("other"), NOW));
-        detector.crashed(new CrashReport("alone", NOW, Set.of("p")), NOW);
-        assertTrue(detector.isSetAside("p", NOW));
-        assertFalse(detector.isSetAside("i", NOW));
+        detector.recordCrash(new CrashReport("alone", NOW, Set.of("p")), NOW);
+        assertTrue(detector.isPoison("p", NOW));
+        assertFalse(detector.isPoison("i", NOW));
     }
 
     @Test
     public void fourSharedCrashesMakeBothPoison() {
         Set<String> both = Set.of("p", "i");
-        SetAside detector = detectorAfter(both, both, both, both);
-        assertTrue(detector.isSetAside("p", NOW) && detector.isSetAside("i", NOW));
+        PoisonDetector detector = detectorAfter(both, both, both, both);
+        assertTrue(detector.isPoison("p", NOW) && detector.isPoison("i", NOW));
     }
 
     @Test
     public void aCompletedRequestIsClearedOfEarlierCrashes() {
-        SetAside detector = detectorAfter(Set.of("popular", "a"));
-        detector.completed("popular", NOW.plusMillis(1));
-        detector.crashed(new CrashReport("later", NOW.plusMillis(2), Set.of("popular", "b")), NOW.plusMillis(2));
-        assertFalse(detector.isSetAside("popular", NOW.plusMillis(3)));
+        PoisonDetector detector = detectorAfter(Set.of("popular", "a"));
+        detector.recordCompletion("popular", NOW.plusMillis(1));
+        detector.recordCrash(new CrashReport("later", NOW.plusMillis(2), Set.of("popular", "b")), NOW.plusMillis(2));
+        assertFalse(detector.isPoison("popular", NOW.plusMillis(3)));
     }
 
     @Test
     public void aMarkOfAPeerKeepsItsExpiry() {
-        SetAside one = detectorAfter(Set.of("p"), Set.of("p"));
-        SetAside other = SetAside.standard();
+        PoisonDetector one = detectorAfter(Set.of("p"), Set.of("p"));
+        PoisonDetector other = PoisonDetector.standard();
         Instant later = NOW.plusSeconds(300);
-        other.heard(one.marks(NOW), later);
-        one.heard(other.marks(later), later);
-        assertTrue(other.isSetAside("p", later));
-        assertFalse(other.isSetAside("p", NOW.plusSeconds(601)));
-        assertFalse(one.isSetAside("p", NOW.plusSeconds(601)));
+        other.addMarks(one.marks(NOW), later);
+        one.addMarks(other.marks(later), later);
+        assertTrue(other.isPoison("p", later));
+        assertFalse(other.isPoison("p", NOW.plusSeconds(601)));
+        assertFalse(one.isPoison("p", NOW.plusSeconds(601)));
     }
 
     @Test
@@ -85,10 +85,10 @@
     }
 
     @SafeVarargs
-    private static SetAside detectorAfter(Set<String>... crashes) {
-        SetAside detector = SetAside.standard();
+    private static PoisonDetector detectorAfter(Set<String>... crashes) {
+        PoisonDetector detector = PoisonDetector.standard();
         for (int i = 0; i < crashes.length; i++) {
-            detector.crashed(new CrashReport("c" + i, NOW, crashes[i]), NOW);
+            detector.recordCrash(new CrashReport("c" + i, NOW, crashes[i]), NOW);
         }
         return detector;
     }
--- a/core/src/test/java/org/cornelramp/core/retry/RetryQueueTest.java
+++ b/core/src/test/java/org/cornelramp/core/retry/RetryQueueTest.java
@@ -9,12 +9,12 @@
 
 /** Order, time limit and size limit of the queue of requests that wait for a retry. */
 public class RetryQueueTest {
-    private static RepeatQueue.Waiting begun(long deadline) {
-        return new RepeatQueue.Waiting(true, deadline, 0);
+    private static RetryQueue.WaitState begun(long deadline) {
+        return new RetryQueue.WaitState(true, deadline, 0);
     }
 
-    private static RepeatQueue.Waiting notBegun(long deadline, long waitUntil) {
-        return new RepeatQueue.Waiting(false, deadline, waitUntil);
+    private static RetryQueue.WaitState notBegun(long deadline, long waitUntil) {
+        return new RetryQueue.WaitState(false, deadline, waitUntil);
     }
 
     /**
@@ -24,7 +24,7 @@
      */
     @Test
     public void begunStreamsComeFirstThenTheEarliestDeadline() {
-        RepeatQueue<String> queue = new RepeatQueue<>();
+        RetryQueue<String> queue = new RetryQueue<>();
         queue.add("fresh late", notBegun(9_000, 400));
         queue.add("begun late", begun(8_000));
         queue.add("fresh soon", notBegun(700, 400));
@@ -35,21 +35,21 @@
     /** A request whose answer has not begun is refused when its waiting time is over; its client can send it again. */
     @Test
     public void aRequestThatHasNotBegunWaitsForALimitedTime() {
-        RepeatQueue<String> queue = new RepeatQueue<>();
+        RetryQueue<String> queue = new RetryQueue<>();
         queue.add("fresh", notBegun(9_000, 400));
         queue.add("begun", begun(9_000));
-        assertEquals(queue.takeOverdue(399), List.of());
+        assertEquals(queue.removeOverdue(399), List.of());
         queue.add("fresh", notBegun(9_000, 800)); // another failure does not extend the waiting time
-        assertEquals(queue.takeOverdue(400), List.of("fresh"));
-        assertEquals(queue.takeOverdue(60_000), List.of());
+        assertEquals(queue.removeOverdue(400), List.of("fresh"));
+        assertEquals(queue.removeOverdue(60_000), List.of());
         assertTrue(queue.contains("begun"));
     }
 
     /** The queue is bounded: a full queue refuses requests at once, but always accepts begun streams. */
     @Test
     public void aFullQueueAcceptsOnlyBegunStreams() {
-        RepeatQueue<Integer> queue = new RepeatQueue<>();
-        for (int i = 0; i < RepeatQueue.MAX_NOT_BEGUN; i++) {
+        RetryQueue<Integer> queue = new RetryQueue<>();
+        for (int i = 0; i < RetryQueue.MAX_NOT_BEGUN; i++) {
             assertTrue(queue.add(i, notBegun(9_000, 400)));
         }
         assertFalse(queue.add(-1, notBegun(9_000, 400)));
--- a/core/src/test/java/org/cornelramp/core/retry/ServiceRetryBudgetProperties.java
+++ b/core/src/test/java/org/cornelramp/core/retry/ServiceRetryBudgetProperties.java
@@ -19,7 +19,7 @@
     /** One process; a restart loses its state and keeps its name. */
     private static final class Peer {
         private final String name;
-        private RepeatAccount budget;
+        private ServiceRetryBudget budget;
 
         Peer(String name, Random random) {
             this.name = name;
@@ -27,12 +27,13 @@
         }
 
         void resetState(Random random) {
-            budget = new RepeatAccount(RATIO, WINDOW_MILLIS, random);
+            budget = new ServiceRetryBudget(RATIO, WINDOW_MILLIS, random);
         }
     }
 
     /** A peer update in transit from one process to another. */
-    private record PeerUpdate(String from, Optional<RepeatNews.Ask> ask, List<RepeatNews.Loan> loans, int to) {}
+    private record PeerUpdate(
+            String from, Optional<RetryLoanUpdate.LoanRequest> ask, List<RetryLoanUpdate.Loan> loans, int to) {}
 
     private final List<Peer> peers = new ArrayList<>();
     private final List<PeerUpdate> inTransit = new ArrayList<>();
@@ -75,13 +76,13 @@
     private void step(Random random, long now, int mostRequests) {
         int needy = (int) (now / 9_000) % peers.size();
         for (int i = random.nextInt(mostRequests + 1); i > 0; i--) {
-            peers.get(random.nextInt(peers.size())).budget.request(now);
+            peers.get(random.nextInt(peers.size())).budget.recordRequest(now);
             requests.add(now);
         }
         for (int i = 0; i < 8; i++) {
             Peer sender = peers.get(random.nextInt(3) > 0 ? needy : random.nextInt(peers.size()));
-            boolean sent = sender.budget.tryRepeat(RESERVE_PER_PEER, random.nextBoolean(), now);
-            sender.budget.ask(sent ? 0 : 1 + random.nextInt(8), now);
+            boolean sent = sender.budget.tryRetry(RESERVE_PER_PEER, random.nextBoolean(), now);
+            sender.budget.requestLoan(sent ? 0 : 1 + random.nextInt(8), now);
             if (sent) {
                 retries.add(now);
             }
@@ -94,8 +95,8 @@
     private void sendUpdates(Random random, long now) {
         for (int i = 0; i < 12; i++) {
             Peer from = peers.get(random.nextInt(peers.size()));
-            PeerUpdate update =
-                    new PeerUpdate(from.name, from.budget.asks(), from.budget.loans(now), random.nextInt(peers.size()));
+            PeerUpdate update = new PeerUpdate(
+                    from.name, from.budget.loanRequest(), from.budget.loansToSend(now), random.nextInt(peers.size()));
             inTransit.add(update);
             if (random.nextInt(5) == 0) {
                 inTransit.add(update);
@@ -111,8 +112,8 @@
             if (random.nextInt(4) > 0 && !to.name.equals(update.from())) {
                 update.ask().ifPresent(ask -> to.budget.lend(update.from(), ask, RESERVE_PER_PEER, now));
                 update.loans().stream()
-                        .filter(loan -> loan.to().equals(to.name))
-                        .forEach(loan -> to.budget.borrow(update.from(), loan, now));
+                        .filter(loan -> loan.borrower().equals(to.name))
+                        .forEach(loan -> to.budget.acceptLoan(update.from(), loan, now));
             }
         }
     }
@@ -142,15 +143,15 @@
         Random random = new Random(3);
         createPeers(6, random);
         int sent = 0;
-        RepeatAccount borrower = peers.get(0).budget;
+        ServiceRetryBudget borrower = peers.get(0).budget;
         for (long now = 0; now < 2_000; now += TICK_MILLIS) {
-            boolean allowed = borrower.tryRepeat(RESERVE_PER_PEER, true, now);
+            boolean allowed = borrower.tryRetry(RESERVE_PER_PEER, true, now);
             sent += allowed ? 1 : 0;
-            borrower.ask(allowed ? 0 : 8, now);
+            borrower.requestLoan(allowed ? 0 : 8, now);
             for (Peer lender : peers.subList(1, peers.size())) {
                 long at = now;
-                borrower.asks().ifPresent(ask -> lender.budget.lend("p0", ask, RESERVE_PER_PEER, at));
-                lender.budget.loans(now).forEach(loan -> borrower.borrow(lender.name, loan, at));
+                borrower.loanRequest().ifPresent(ask -> lender.budget.lend("p0", ask, RESERVE_PER_PEER, at));
+                lender.budget.loansToSend(now).forEach(loan -> borrower.acceptLoan(lender.name, loan, at));
             }
         }
         if (sent <= 3 * RESERVE_PER_PEER) {
@@ -163,15 +164,15 @@
     void aLoanRequestedBeforeARestartIsNotUsed(@ForAll long seed) {
         Random random = new Random(seed);
         createPeers(2, random);
-        peers.get(0).budget.ask(4, 0);
-        RepeatNews.Ask ask = peers.get(0).budget.asks().orElseThrow();
+        peers.get(0).budget.requestLoan(4, 0);
+        RetryLoanUpdate.LoanRequest ask = peers.get(0).budget.loanRequest().orElseThrow();
         peers.get(1).budget.lend("p0", ask, RESERVE_PER_PEER, 10);
         peers.get(0).resetState(random);
-        peers.get(0).budget.ask(4, 20);
-        RepeatAccount restarted = peers.get(0).budget;
-        double before = restarted.left(RESERVE_PER_PEER, 30);
-        peers.get(1).budget.loans(30).forEach(loan -> restarted.borrow("p1", loan, 30));
-        if (restarted.left(RESERVE_PER_PEER, 30) != before) {
+        peers.get(0).budget.requestLoan(4, 20);
+        ServiceRetryBudget restarted = peers.get(0).budget;
+        double before = restarted.remaining(RESERVE_PER_PEER, 30);
+        peers.get(1).budget.loansToSend(30).forEach(loan -> restarted.acceptLoan("p1", loan, 30));
+        if (restarted.remaining(RESERVE_PER_PEER, 30) != before) {
             throw new AssertionError("a loan requested before the restart is counted");
         }
     }
@@ -179,28 +180,28 @@
     /** A process requests a loan before it has used its last retry, and not while a quarter or more is left. */
     @Property(tries = 1)
     void aProcessRequestsLoansBeforeItHasNoRetryLeft() {
-        RepeatAccount budget = new RepeatAccount(RATIO, WINDOW_MILLIS, new Random(1));
+        ServiceRetryBudget budget = new ServiceRetryBudget(RATIO, WINDOW_MILLIS, new Random(1));
         for (int used = 0; used < 8; used++) {
             if (budget.shortage(RESERVE_PER_PEER, 0) != 0) {
-                throw new AssertionError("requests a loan with " + budget.left(RESERVE_PER_PEER, 0) + " left");
+                throw new AssertionError("requests a loan with " + budget.remaining(RESERVE_PER_PEER, 0) + " left");
             }
-            budget.tryRepeat(RESERVE_PER_PEER, true, 0);
+            budget.tryRetry(RESERVE_PER_PEER, true, 0);
         }
-        budget.tryRepeat(RESERVE_PER_PEER, true, 0);
-        if (budget.shortage(RESERVE_PER_PEER, 0) == 0 || !budget.hasRepeat(RESERVE_PER_PEER, true, 0)) {
-            throw new AssertionError("requests no loan with " + budget.left(RESERVE_PER_PEER, 0) + " left");
+        budget.tryRetry(RESERVE_PER_PEER, true, 0);
+        if (budget.shortage(RESERVE_PER_PEER, 0) == 0 || !budget.hasRetry(RESERVE_PER_PEER, true, 0)) {
+            throw new AssertionError("requests no loan with " + budget.remaining(RESERVE_PER_PEER, 0) + " left");
         }
     }
 
     /** After requests without an answer have used up their part, a begun answer still gets a retry. */
     @Property(tries = 1)
     void begunAnswersKeepAPartOfTheRetries() {
-        RepeatAccount budget = new RepeatAccount(RATIO, WINDOW_MILLIS, new Random(1));
+        ServiceRetryBudget budget = new ServiceRetryBudget(RATIO, WINDOW_MILLIS, new Random(1));
         boolean sent = true;
         while (sent) {
-            sent = budget.tryRepeat(RESERVE_PER_PEER, false, 0);
+            sent = budget.tryRetry(RESERVE_PER_PEER, false, 0);
         }
-        if (!budget.tryRepeat(RESERVE_PER_PEER, true, 0)) {
+        if (!budget.tryRetry(RESERVE_PER_PEER, true, 0)) {
             throw new AssertionError("requests without an answer used all retries");
         }
     }
