--- a/core/src/main/java/org/cornelramp/core/route/Work.java
+++ b/core/src/main/java/org/cornelramp/core/route/Work.java
@@ -6,14 +6,14 @@
 import org.cornelramp.core.model.ServiceName;
 
 /**
- * One request as the choice sees it. Immutable, safe for use by any thread.
+ * The properties of one request that matter to the choice of backend servers. Immutable, safe for use by any thread.
  *
  * @param service the model or plain service
  * @param promptTokens tokens of the prompt; 0 for a plain service
- * @param maxTokens most tokens to generate; 0 for a plain service
- * @param deadline when the whole answer must be there
- * @param prefix hash of the prompt's prefix, to find a warm cache; empty if there is none
- * @param avoid agents that have failed this request or are known to be unfit for it
+ * @param maxTokens maximum number of tokens to generate; 0 for a plain service
+ * @param deadline time by which the answer must be complete
+ * @param prefix hash of the prompt's prefix, to find an engine that has it cached; empty if there is none
+ * @param avoid agents that have failed this request or are known to be unable to serve it
  */
 public record Work(
         ServiceName service,
