--- a/core/src/main/java/org/cornelramp/core/table/TableReading.java
+++ b/core/src/main/java/org/cornelramp/core/table/TableReading.java
@@ -5,34 +5,34 @@
 import java.util.Optional;
 
 /**
- * How far one process has read the log's table stream: what to read next, and the table folded so far.
+ * Progress of one process in reading the log's table stream: the next offset to read, and the table folded so far.
  *
- * <p>Reading follows the tail of the stream. When retention has taken records that were not read yet, it scans all
- * that is kept for the snapshot that covers most, starts from that and follows the tail again. Every snapshot is
- * the result of the same fold, so it does not matter who wrote it or how late: one that covers less than what is
- * already folded is passed over, and records behind the one chosen are folded on top of it.
+ * <p>Reading follows the tail of the stream. When retention has removed records that were not read yet, it scans all
+ * retained records for the snapshot that covers most, starts from that one and follows the tail again. Every snapshot
+ * is the result of the same fold, so its writer and its age do not matter: one that covers less than what is already
+ * folded is skipped, and the records after the chosen one are folded on top of it.
  *
- * <p>Pure: each event gives a new state. Immutable, safe for use by any thread. Invariants: the table's offset never
- * falls; every record from the table's offset on is still to be folded.
+ * <p>Has no side effects: each event returns a new state. Immutable, safe for use by any thread. Invariants: the
+ * table's offset never decreases; no record at or above the table's offset has been folded.
  */
 public final class TableReading {
     private final Phase phase;
     private final FoldedTable table;
     private final LogBounds bounds;
-    private final long scanAt;
+    private final long scanOffset;
     private final long scanEnd;
-    private final FoldedTable best;
-    private final Optional<SnapshotMark> newest;
+    private final FoldedTable bestSnapshot;
+    private final Optional<SnapshotPosition> newestSnapshot;
     private final Optional<Long> firstAt;
     private final int divergences;
 
-    /** What the reading is doing. */
+    /** Phases of reading. */
     public enum Phase {
-        /** Folds the records from the table's offset on. */
+        /** Folds the records from the table's offset onwards. */
         TAIL,
-        /** Looks through all records that are kept for the snapshot that covers most. */
+        /** Scans all retained records for the snapshot that covers most. */
         SCAN,
-        /** The log lacks records that were not read and holds no snapshot in their place. */
+        /** The log no longer has records that were not read, and has no snapshot that covers them. */
         STUCK
     }
 
@@ -40,24 +40,24 @@
             Phase phase,
             FoldedTable table,
             LogBounds bounds,
-            long scanAt,
+            long scanOffset,
             long scanEnd,
-            FoldedTable best,
-            Optional<SnapshotMark> newest,
+            FoldedTable bestSnapshot,
+            Optional<SnapshotPosition> newestSnapshot,
             Optional<Long> firstAt,
             int divergences) {
         this.phase = phase;
         this.table = table;
         this.bounds = bounds;
-        this.scanAt = scanAt;
+        this.scanOffset = scanOffset;
         this.scanEnd = scanEnd;
-        this.best = best;
-        this.newest = newest;
+        this.bestSnapshot = bestSnapshot;
+        this.newestSnapshot = newestSnapshot;
         this.firstAt = firstAt;
         this.divergences = divergences;
     }
 
-    /** The reading of a process that has just started. */
+    /** The state of a process that has just started. */
     public static TableReading start() {
         FoldedTable empty = FoldedTable.empty();
         return new TableReading(
@@ -72,7 +72,7 @@
                 0);
     }
 
-    /** What the reading is doing. */
+    /** The current phase. */
     public Phase phase() {
         return phase;
     }
@@ -82,151 +82,180 @@
         return table;
     }
 
-    /** What the log was last seen to keep. */
+    /** The range of records that the log last reported. */
     public LogBounds bounds() {
         return bounds;
     }
 
-    /** The snapshot seen that covers most. */
-    public Optional<SnapshotMark> newestSnapshot() {
-        return newest;
+    /** The snapshot that covers most, among those read. */
+    public Optional<SnapshotPosition> newestSnapshot() {
+        return newestSnapshot;
     }
 
-    /** When the log took the first record that was read, in milliseconds since 1970. */
+    /** Time at which the log appended the first record that was read, in milliseconds since 1970. */
     public Optional<Long> firstAt() {
         return firstAt;
     }
 
-    /** Snapshots seen that differ from the own fold of the same records; any is a fault of the program. */
+    /** Number of snapshots read that differ from the local fold of the same records; any above 0 indicates a bug. */
     public int divergences() {
         return divergences;
     }
 
-    /** Offset to read from next. */
+    /** Offset of the next record to read. */
     public long readFrom() {
-        return phase == Phase.SCAN ? scanAt : table.offset();
+        return phase == Phase.SCAN ? scanOffset : table.offset();
     }
 
-    /** Whether every record that the log was seen to hold is folded. */
+    /** Whether every record that the log reported is folded. */
     public boolean isAtEnd() {
         return phase == Phase.TAIL && table.offset() >= bounds.next();
     }
 
-    /** Whether the log ends below what is folded already, as after the platform has restored an old state of it. */
+    /** Whether the log ends before the table's offset, as after the platform has restored an older state of the log. */
     public boolean isLogBehind() {
         return table.offset() > bounds.next();
     }
 
-    /** The state after records were read from {@link #readFrom}. */
-    public TableReading onPage(LogBounds now, List<LoggedRecord> records) {
-        return phase == Phase.SCAN ? scan(now, records) : fold(now, records);
+    /** Returns the state after records were read from {@link #readFrom}. */
+    public TableReading onPage(LogBounds newBounds, List<LoggedRecord> records) {
+        return phase == Phase.SCAN ? scan(newBounds, records) : fold(newBounds, records);
     }
 
-    /** The state after the log has said that it no longer keeps the records from {@link #readFrom} on. */
-    public TableReading onGone(LogBounds now) {
-        if (phase != Phase.SCAN && table.offset() >= now.oldest()) {
+    /** Returns the state after the log has reported that it no longer retains the record at {@link #readFrom}. */
+    public TableReading onGone(LogBounds newBounds) {
+        if (phase != Phase.SCAN && table.offset() >= newBounds.oldest()) {
             return this;
         }
-        return new TableReading(Phase.SCAN, table, now, now.oldest(), now.next(), table, newest, firstAt, divergences);
+        return new TableReading(
+                Phase.SCAN,
+                table,
+                newBounds,
+                newBounds.oldest(),
+                newBounds.next(),
+                table,
+                newestSnapshot,
+                firstAt,
+                divergences);
     }
 
-    /** The state after a peer's table is known; it is taken only where the log cannot help. */
+    /** Returns the state after a peer's table was received; it is used only while the reading is stuck. */
     public TableReading onPeerTable(FoldedTable peer) {
         if (phase != Phase.STUCK || peer.offset() <= table.offset()) {
             return this;
         }
-        return new TableReading(Phase.TAIL, peer, bounds, 0, 0, peer, newest, firstAt, divergences);
+        return new TableReading(Phase.TAIL, peer, bounds, 0, 0, peer, newestSnapshot, firstAt, divergences);
     }
 
-    private TableReading fold(LogBounds now, List<LoggedRecord> records) {
+    private TableReading fold(LogBounds newBounds, List<LoggedRecord> records) {
         FoldedTable folded = table;
-        Optional<SnapshotMark> mark = newest;
-        int faults = divergences;
+        Optional<SnapshotPosition> position = newestSnapshot;
+        int divergent = divergences;
         for (LoggedRecord record : records) {
             if (record.offset() > folded.offset()) {
-                return with(Phase.TAIL, folded, now, mark, records, faults).onGone(now);
+                return nextState(Phase.TAIL, folded, newBounds, position, records, divergent)
+                        .onGone(newBounds);
             }
             if (record.offset() == folded.offset()) {
-                faults += differs(record, folded) ? 1 : 0;
-                mark = better(mark, markOf(record));
+                divergent += isDivergent(record, folded) ? 1 : 0;
+                position = newerPosition(position, positionOf(record));
                 folded =
                         TableFold.apply(folded, record.offset(), record.value()).table();
             }
         }
-        return with(Phase.TAIL, folded, now, mark, records, faults);
+        return nextState(Phase.TAIL, folded, newBounds, position, records, divergent);
     }
 
-    private TableReading scan(LogBounds now, List<LoggedRecord> records) {
-        FoldedTable found = best;
-        Optional<SnapshotMark> mark = newest;
-        long at = scanAt;
+    private TableReading scan(LogBounds newBounds, List<LoggedRecord> records) {
+        FoldedTable bestFound = bestSnapshot;
+        Optional<SnapshotPosition> position = newestSnapshot;
+        long at = scanOffset;
         for (LoggedRecord record : records) {
-            mark = better(mark, markOf(record));
-            found = betterTable(found, record, now);
+            position = newerPosition(position, positionOf(record));
+            bestFound = newerSnapshot(bestFound, record, newBounds);
             at = record.offset() + 1;
         }
-        boolean done = at >= scanEnd || records.isEmpty();
-        if (!done) {
-            return new TableReading(Phase.SCAN, table, now, at, scanEnd, found, mark, firstOf(records), divergences);
+        boolean scanComplete = at >= scanEnd || records.isEmpty();
+        if (!scanComplete) {
+            return new TableReading(
+                    Phase.SCAN,
+                    table,
+                    newBounds,
+                    at,
+                    scanEnd,
+                    bestFound,
+                    position,
+                    firstRecordMillisAfter(records),
+                    divergences);
         }
-        boolean usable = found.offset() >= now.oldest();
+        boolean usable = bestFound.offset() >= newBounds.oldest();
         return new TableReading(
                 usable ? Phase.TAIL : Phase.STUCK,
-                usable ? found : table,
-                now,
+                usable ? bestFound : table,
+                newBounds,
                 0,
                 0,
                 FoldedTable.empty(),
-                mark,
-                firstOf(records),
+                position,
+                firstRecordMillisAfter(records),
                 divergences);
     }
 
-    private TableReading with(
+    private TableReading nextState(
             Phase next,
             FoldedTable folded,
-            LogBounds now,
-            Optional<SnapshotMark> mark,
+            LogBounds newBounds,
+            Optional<SnapshotPosition> position,
             List<LoggedRecord> records,
-            int faults) {
-        return new TableReading(next, folded, now, 0, 0, FoldedTable.empty(), mark, firstOf(records), faults);
+            int divergent) {
+        return new TableReading(
+                next,
+                folded,
+                newBounds,
+                0,
+                0,
+                FoldedTable.empty(),
+                position,
+                firstRecordMillisAfter(records),
+                divergent);
     }
 
-    private Optional<Long> firstOf(List<LoggedRecord> records) {
+    private Optional<Long> firstRecordMillisAfter(List<LoggedRecord> records) {
         return firstAt.or(() -> records.stream().findFirst().map(LoggedRecord::at));
     }
 
-    private static FoldedTable betterTable(FoldedTable found, LoggedRecord record, LogBounds now) {
+    private static FoldedTable newerSnapshot(FoldedTable bestFound, LoggedRecord record, LogBounds newBounds) {
         return snapshotOf(record)
-                .filter(snapshot -> snapshot.covers() > found.offset() && snapshot.covers() >= now.oldest())
-                .flatMap(TableReading::decode)
-                .orElse(found);
+                .filter(snapshot -> snapshot.covers() > bestFound.offset() && snapshot.covers() >= newBounds.oldest())
+                .flatMap(TableReading::decodeSnapshot)
+                .orElse(bestFound);
     }
 
-    /** A snapshot that claims to cover its own record or later ones cannot be the fold of what came before it. */
+    /** Drops a snapshot that claims to cover its own record or later ones: it cannot be a fold of earlier records. */
     private static Optional<TableRecords.SnapshotRecord> snapshotOf(LoggedRecord record) {
         return TableRecords.readSnapshot(record.value()).filter(snapshot -> snapshot.covers() <= record.offset());
     }
 
-    private static Optional<FoldedTable> decode(TableRecords.SnapshotRecord snapshot) {
+    private static Optional<FoldedTable> decodeSnapshot(TableRecords.SnapshotRecord snapshot) {
         Either<String, FoldedTable> read = TableSnapshotCodec.read(FoldedTable.empty(), snapshot.snapshot());
         return read.toJavaOptional().filter(table -> table.offset() == snapshot.covers());
     }
 
-    /** Whether a snapshot of exactly what is folded here is another table. */
-    private static boolean differs(LoggedRecord record, FoldedTable folded) {
+    /** Whether the record is a snapshot at the same offset as the folded table but with other contents. */
+    private static boolean isDivergent(LoggedRecord record, FoldedTable folded) {
         return snapshotOf(record)
                 .filter(snapshot -> snapshot.covers() == folded.offset())
-                .flatMap(TableReading::decode)
+                .flatMap(TableReading::decodeSnapshot)
                 .filter(table -> !table.equals(folded))
                 .isPresent();
     }
 
-    private static Optional<SnapshotMark> markOf(LoggedRecord record) {
-        return snapshotOf(record).map(snapshot -> new SnapshotMark(snapshot.covers(), record.at()));
+    private static Optional<SnapshotPosition> positionOf(LoggedRecord record) {
+        return snapshotOf(record).map(snapshot -> new SnapshotPosition(snapshot.covers(), record.at()));
     }
 
-    private static Optional<SnapshotMark> better(Optional<SnapshotMark> old, Optional<SnapshotMark> seen) {
+    private static Optional<SnapshotPosition> newerPosition(
+            Optional<SnapshotPosition> old, Optional<SnapshotPosition> seen) {
         if (old.isEmpty() || seen.isEmpty()) {
             return old.or(() -> seen);
         }
--- a/core/src/main/java/org/cornelramp/core/table/Verdict.java
+++ b/core/src/main/java/org/cornelramp/core/table/Verdict.java
@@ -1,37 +1,37 @@
 package org.cornelramp.core.table;
 
 /**
- * What the fold decided on one record. Immutable, safe for use by any thread.
+ * Result of folding one record: accepted, rejected or ignored. Immutable, safe for use by any thread.
  *
- * <p>It follows from the records before it alone, so every reader of the log reaches the same verdict.
+ * <p>It depends only on the log up to the record, so every reader of the log gets the same result.
  *
- * @param kind the decision
- * @param version version of the row after the record; {@link FoldedTable#NO_VERSION} if it never was, or if the
+ * @param kind the result
+ * @param version version of the row after the record; {@link FoldedTable#NO_VERSION} if it never existed, or if the
  *     record names no row
- * @param detail why, and what to do, as one sentence; empty if accepted
+ * @param detail reason and remedy, as one sentence; empty if accepted
  */
 public record Verdict(Kind kind, long version, String detail) {
 
-    /** The decisions that the fold can take. */
+    /** The possible results. */
     public enum Kind {
-        /** The edit is in force. */
+        /** The edit is applied. */
         ACCEPTED,
-        /** Another edit against the same version came first. */
+        /** The base version of the edit is not the current version, since another edit came first. */
         LOST_RACE,
         /** A value is out of its range. */
         OUT_OF_RANGE,
         /** The edit lists a caller key that another organisation already has. */
         KEY_TAKEN,
-        /** The record is no edit, or has no form that this reader knows: it changes nothing. */
+        /** The record is not an edit, is malformed, or deletes a row that does not exist: it changes nothing. */
         IGNORED;
 
-        /** The form that answers and logs carry. */
+        /** The name in answers and log lines. */
         public String text() {
             return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
         }
     }
 
-    /** Whether the edit is in force. */
+    /** Whether the edit was accepted. */
     public boolean isAccepted() {
         return kind == Kind.ACCEPTED;
     }
--- a/core/src/test/java/org/cornelramp/core/table/ForgedSnapshotTest.java
+++ b/core/src/test/java/org/cornelramp/core/table/InvalidSnapshotTest.java
@@ -6,13 +6,13 @@
 import org.testng.annotations.Test;
 
 /**
- * A writer with a fault appends a snapshot of records that are not there yet, or one that differs from the fold of
- * the records before it. A process that starts afterwards must not take the first, and one that follows the log
- * must notice the second; both go on with the fold.
+ * Guards against invalid snapshots of a faulty writer: one that claims to cover records that do not exist yet, which a
+ * new process must not load, and one that differs from the fold of the records before it, which readers must count. In
+ * both cases reading continues with the fold.
  */
-public class ForgedSnapshotTest {
+public class InvalidSnapshotTest {
 
-    private static void append(LogModel log, long covers, FoldedTable table) {
+    private static void append(InMemoryLog log, long covers, FoldedTable table) {
         log.append(
                 TableRecords.writeSnapshot(
                         new TableRecords.SnapshotRecord(covers, TableSnapshotCodec.write(table)), "e1"),
@@ -20,8 +20,8 @@
     }
 
     @Test
-    public void oneThatCoversTheFutureIsNotTaken() {
-        LogModel log = new LogModel();
+    public void snapshotOfLaterRecordsIsRejected() {
+        InMemoryLog log = new InMemoryLog();
         log.edit(0, 1);
         append(log, 50, FoldedTable.empty().at(50));
         log.oldest = 1;
@@ -31,8 +31,8 @@
     }
 
     @Test
-    public void oneThatDiffersFromTheFoldIsCounted() {
-        LogModel log = new LogModel();
+    public void snapshotThatDiffersFromTheFoldIsCounted() {
+        InMemoryLog log = new InMemoryLog();
         log.edit(0, 1);
         append(log, 1, FoldedTable.empty().at(1));
         TableReading reading = TableReading.start().onPage(log.bounds(), log.records);
@@ -41,8 +41,8 @@
     }
 
     @Test
-    public void bytesThatAreNoSnapshotChangeNothing() {
-        LogModel log = new LogModel();
+    public void malformedSnapshotIsIgnored() {
+        InMemoryLog log = new InMemoryLog();
         log.append(TableRecords.writeSnapshot(new TableRecords.SnapshotRecord(0, new byte[] {1, 2}), "e1"), log.next());
         log.oldest = 1;
         log.edit(0, 1);
--- a/core/src/test/java/org/cornelramp/core/table/SnapshotPlanTest.java
+++ b/core/src/test/java/org/cornelramp/core/table/SnapshotScheduleTest.java
@@ -11,30 +11,30 @@
 import org.testng.annotations.Test;
 
 /**
- * Every entry sees at the same moment that the newest snapshot is too old, as after a log outage. Without a wait of
- * its own for each, a thousand of them would append a snapshot each at once, above what the log accepts.
+ * Guards against a burst of snapshots: after a log outage all entries see at the same time that the newest snapshot is
+ * too old. Without different delays, a thousand entries would append one at once, more than the log accepts.
  */
-public class SnapshotPlanTest {
+public class SnapshotScheduleTest {
     private static final Duration MAX_AGE = Duration.ofMinutes(10);
     private static final Instant START = Instant.ofEpochSecond(1_000_000);
     private static final int ENTRIES = 1_500;
     private static final int STEP_MILLIS = 50;
-    /** Time from an append until the others have read it, several times what a long poll takes. */
-    private static final int SEEN_MILLIS = 300;
+    /** Time from an append until the other entries have read it, several times the duration of a long poll. */
+    private static final int READ_DELAY_MILLIS = 300;
 
-    private static LogModel oldLog() {
-        LogModel log = new LogModel();
+    private static InMemoryLog logWithOldEdit() {
+        InMemoryLog log = new InMemoryLog();
         log.edit(0, 1);
         return log;
     }
 
-    private static TableReading readAll(LogModel log) {
+    private static TableReading readAll(InMemoryLog log) {
         return log.read(TableReading.start(), Integer.MAX_VALUE / 2);
     }
 
     @Test
-    public void fewOfManyEntriesWrite() {
-        LogModel log = oldLog();
+    public void onlyFewOfManyEntriesWrite() {
+        InMemoryLog log = logWithOldEdit();
         TableReading old = readAll(log);
         List<SnapshotPlan> plans = new ArrayList<>();
         for (int i = 0; i < ENTRIES; i++) {
@@ -42,10 +42,10 @@
         }
         int writers = 0;
         Instant firstWrite = Instant.MAX;
-        for (int ms = 0; ms <= SnapshotPlan.SPREAD.toMillis() + STEP_MILLIS; ms += STEP_MILLIS) {
+        for (int ms = 0; ms <= SnapshotPlan.MAX_DELAY.toMillis() + STEP_MILLIS; ms += STEP_MILLIS) {
             Instant now = START.plusMillis(ms);
-            if (firstWrite.isBefore(now.minusMillis(SEEN_MILLIS))) {
-                break; // everyone has read the first snapshot
+            if (firstWrite.isBefore(now.minusMillis(READ_DELAY_MILLIS))) {
+                break; // every entry has read the first snapshot
             }
             for (int i = 0; i < ENTRIES; i++) {
                 SnapshotPlan.Step step = plans.get(i).look(old, MAX_AGE, "entry-" + i, now);
@@ -58,8 +58,8 @@
     }
 
     @Test
-    public void aFreshSnapshotEndsTheNeed() {
-        LogModel log = oldLog();
+    public void recentSnapshotMakesNoneDue() {
+        InMemoryLog log = logWithOldEdit();
         log.append(
                 TableRecords.writeSnapshot(
                         new TableRecords.SnapshotRecord(1, TableSnapshotCodec.write(log.table())), "e1"),
@@ -70,8 +70,8 @@
     }
 
     @Test
-    public void anIdleTableIsRenewedBeforeRetentionTakesItsSnapshot() {
-        LogModel log = oldLog();
+    public void snapshotOfAnIdleTableIsRenewedAtMaxAge() {
+        InMemoryLog log = logWithOldEdit();
         log.append(
                 TableRecords.writeSnapshot(
                         new TableRecords.SnapshotRecord(1, TableSnapshotCodec.write(log.table())), "e1"),
@@ -79,13 +79,13 @@
         Instant late = START.plus(MAX_AGE).plusMillis(1);
         SnapshotPlan plan =
                 SnapshotPlan.start().look(readAll(log), MAX_AGE, "e2", late).plan();
-        assertTrue(plan.look(readAll(log), MAX_AGE, "e2", late.plus(SnapshotPlan.SPREAD))
+        assertTrue(plan.look(readAll(log), MAX_AGE, "e2", late.plus(SnapshotPlan.MAX_DELAY))
                 .write());
     }
 
     @Test
-    public void oneWhoHasNotReadToTheEndWritesNothing() {
-        LogModel log = oldLog();
+    public void processThatHasNotReadToTheEndWritesNothing() {
+        InMemoryLog log = logWithOldEdit();
         TableReading part = TableReading.start().onPage(new LogBounds(0, 5), log.records);
         assertEquals(
                 SnapshotPlan.start()
--- a/core/src/test/java/org/cornelramp/core/table/TableReadingProperties.java
+++ b/core/src/test/java/org/cornelramp/core/table/TableReadStateProperties.java
@@ -12,26 +12,26 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Whatever the log forgets, and whoever writes snapshots late, every reader holds the fold of all records. */
-public class TableReadingProperties {
-    private static final int LOOKS = 200;
+/** With any retention and with late snapshots, every reader computes the fold of all records. */
+public class TableReadStateProperties {
+    private static final int MAX_READS = 200;
 
     enum Kind {
         EDIT,
         SNAPSHOT,
-        FORGET,
+        TRUNCATE,
         GARBAGE,
         READ
     }
 
-    /** One thing that happens to the log or to the reader. */
+    /** One change of the log, or one read. */
     record Event(Kind kind, int row, int number) {}
 
     @Provide
     Arbitrary<List<Event>> events() {
         return Combinators.combine(
                         Arbitraries.of(
-                                Kind.EDIT, Kind.EDIT, Kind.EDIT, Kind.SNAPSHOT, Kind.FORGET, Kind.GARBAGE, Kind.READ),
+                                Kind.EDIT, Kind.EDIT, Kind.EDIT, Kind.SNAPSHOT, Kind.TRUNCATE, Kind.GARBAGE, Kind.READ),
                         Arbitraries.integers().between(0, 3),
                         Arbitraries.integers().between(0, 6))
                 .as(Event::new)
@@ -39,24 +39,24 @@
                 .ofMaxSize(60);
     }
 
-    private static void happen(LogModel log, Event event) {
+    private static void applyToLog(InMemoryLog log, Event event) {
         switch (event.kind()) {
             case EDIT -> log.edit(event.row(), event.number() + 1);
             case SNAPSHOT -> log.snapshot(event.number());
-            case FORGET -> log.forget(event.number());
+            case TRUNCATE -> log.truncate(event.number());
             case GARBAGE -> log.append(TextNode.valueOf("garbage"), log.next());
             case READ -> {
-                // only the reader acts
+                // no change of the log
             }
         }
     }
 
     @Property(seed = "21", tries = 500)
-    void aReaderNeverFallsAndNeverHoldsAnythingButTheFold(@ForAll("events") List<Event> events) {
-        LogModel log = new LogModel();
+    void offsetNeverDecreasesAndTableIsTheFold(@ForAll("events") List<Event> events) {
+        InMemoryLog log = new InMemoryLog();
         TableReading reading = TableReading.start();
         for (Event event : events) {
-            happen(log, event);
+            applyToLog(log, event);
             if (event.kind() == Kind.READ) {
                 TableReading after = log.read(reading, event.number() + 1);
                 assertTrue(after.table().offset() >= reading.table().offset());
@@ -68,11 +68,11 @@
     }
 
     @Property(seed = "22", tries = 500)
-    void aFreshReaderReachesTheEndOrSaysThatItIsStuck(@ForAll("events") List<Event> events) {
-        LogModel log = new LogModel();
-        events.forEach(event -> happen(log, event));
+    void newReaderReachesTheEndOrIsStuck(@ForAll("events") List<Event> events) {
+        InMemoryLog log = new InMemoryLog();
+        events.forEach(event -> applyToLog(log, event));
         TableReading reading = TableReading.start();
-        for (int i = 0; i < LOOKS && !reading.isAtEnd() && reading.phase() != TableReading.Phase.STUCK; i++) {
+        for (int i = 0; i < MAX_READS && !reading.isAtEnd() && reading.phase() != TableReading.Phase.STUCK; i++) {
             reading = log.read(reading, 3);
         }
         assertEquals(reading.isAtEnd(), log.isReadable());
@@ -83,13 +83,13 @@
     }
 
     @Property(seed = "23", tries = 300)
-    void aStuckReaderGoesOnFromAPeersTable(@ForAll("events") List<Event> events) {
-        LogModel log = new LogModel();
-        events.forEach(event -> happen(log, event));
+    void stuckReaderContinuesFromPeerTable(@ForAll("events") List<Event> events) {
+        InMemoryLog log = new InMemoryLog();
+        events.forEach(event -> applyToLog(log, event));
         log.edit(0, 1);
         log.oldest = log.next();
         TableReading reading = TableReading.start();
-        for (int i = 0; i < LOOKS && reading.phase() != TableReading.Phase.STUCK; i++) {
+        for (int i = 0; i < MAX_READS && reading.phase() != TableReading.Phase.STUCK; i++) {
             reading = log.read(reading, 3);
         }
         reading = log.read(reading.onPeerTable(log.table()), 3);
