--- a/core/src/main/java/org/cornelramp/core/step/StepRun.java
+++ b/core/src/main/java/org/cornelramp/core/step/StepRun.java
@@ -1,7 +1,7 @@
 package org.cornelramp.core.step;
 
 /**
- * Inputs to run at the engine now. Immutable if the array is not changed.
+ * Inputs that the engine runs in one step. Immutable as long as the array is not modified.
  *
  * @param position position of the first input
  * @param inputs the inputs of consecutive positions
--- a/core/src/main/java/org/cornelramp/core/step/StepVerdict.java
+++ b/core/src/main/java/org/cornelramp/core/step/StepVerdict.java
@@ -1,17 +1,17 @@
 package org.cornelramp.core.step;
 
-/** What a stage does with inputs that came. */
+/** How a stage handles inputs that it receives. */
 public enum StepVerdict {
-    /** All or some are new and will run, each once. */
+    /** Some or all inputs are new and will run, each once. */
     TAKEN,
-    /** Each has been run or waits already; nothing changes. */
+    /** All inputs were received before; the state is unchanged. */
     DUPLICATE,
-    /** They belong to another epoch; nothing changes. */
+    /** The inputs belong to another epoch; the state is unchanged. */
     STALE,
-    /** They wait for those before them, which are on their way. */
+    /** The inputs are buffered until the preceding ones, which are in transit, arrive. */
     EARLY,
-    /** They are beyond any position that the session can reach; something is wrong with their sender. */
+    /** The inputs are at positions that the session cannot reach or cannot buffer, which indicates a faulty sender. */
     GAP,
-    /** The answer has ended, so they need not run. */
+    /** The answer has ended, so the inputs are not run. */
     ENDED
 }
--- a/core/src/test/java/org/cornelramp/core/step/PipelineModel.java
+++ b/core/src/test/java/org/cornelramp/core/step/PipelineSimulation.java
@@ -7,10 +7,11 @@
 import java.util.TreeMap;
 
 /**
- * A pure model of a session over some stages: the stages' real guards, in-memory engines, links that keep order and
- * can break, and an entry. A choice picks which of the things that could happen next does. Confined to one thread.
+ * Simulates a session over several stages: the real {@link StageSession} of each stage, in-memory engines, ordered
+ * links that can break, and an entry. A number selects which of the possible events happens next. Confined to one
+ * thread.
  */
-final class PipelineModel {
+final class PipelineSimulation {
     private static final long VOCABULARY = 50;
     private static final int MAX_RUN = 3;
     private static final int MAX_SEND = 2;
@@ -19,105 +20,105 @@
     private final int stages;
     private final long[] prompt;
     private final int maxTokens;
-    private final Node[] nodes;
-    /** Messages on their way to each stage, by sender: stage s - 1 (for 0: the last), and the entry. */
+    private final StageNode[] nodes;
+    /** Messages in transit to each stage from its predecessor: stage s - 1, or the last stage for stage 0. */
     private final List<List<Frame>> fromNeighbour = new ArrayList<>();
 
     private final List<List<Frame>> fromEntry = new ArrayList<>();
     private final List<Frame> toEntry = new ArrayList<>();
-    private final List<Frame> late = new ArrayList<>();
+    private final List<Frame> delayed = new ArrayList<>();
     private final TreeMap<Integer, Long> tokens = new TreeMap<>();
-    private final int[] opened;
+    private final int[] openedPositions;
     private int epoch;
 
-    PipelineModel(int stages, long[] prompt, int maxTokens) {
+    PipelineSimulation(int stages, long[] prompt, int maxTokens) {
         this.stages = stages;
         this.prompt = prompt;
         this.maxTokens = maxTokens;
-        this.nodes = new Node[stages];
-        this.opened = new int[stages];
+        this.nodes = new StageNode[stages];
+        this.openedPositions = new int[stages];
         for (int i = 0; i < stages; i++) {
             fromNeighbour.add(new ArrayList<>());
             fromEntry.add(new ArrayList<>());
         }
-        openAll();
+        openNewEpoch();
     }
 
-    /** One step of the world. */
-    void act(int choice) {
-        int more = choice / ACTIONS;
-        int stage = more % stages;
+    /** Performs the event that {@code choice} selects. */
+    void step(int choice) {
+        int argument = choice / ACTIONS;
+        int stage = argument % stages;
         switch (choice % ACTIONS) {
-            case 0, 1, 2, 3 -> work(stage);
+            case 0, 1, 2, 3 -> runStage(stage);
             case 4 -> deliver(fromEntry.get(stage), stage);
             case 5 -> deliver(fromNeighbour.get(stage), stage);
-            case 6 -> begin(stage);
-            case 7 -> finish(stage);
+            case 6 -> beginRun(stage);
+            case 7 -> finishRun(stage);
             case 8 -> send(stage);
-            case 9 -> hear();
-            case 10 -> disturb(more / stages % 9, stage);
-            default -> repeat(more / stages, stage);
+            case 9 -> deliverToEntry();
+            case 10 -> injectFault(argument / stages % 9, stage);
+            default -> redeliver(argument / stages, stage);
         }
     }
 
-    private void work(int stage) {
+    private void runStage(int stage) {
         deliver(fromNeighbour.get(stage), stage);
-        begin(stage);
-        finish(stage);
+        beginRun(stage);
+        finishRun(stage);
         send(stage);
     }
 
-    private void disturb(int kind, int stage) {
+    private void injectFault(int kind, int stage) {
         switch (kind) {
-            case 0 -> lose(stage, false);
-            case 1 -> lose(stage, true);
+            case 0 -> replaceStage(stage, false);
+            case 1 -> replaceStage(stage, true);
             case 2 -> cutLink(stage);
             case 3 -> {
-                lose(stage, false);
-                lose((stage + 1) % stages, false);
+                replaceStage(stage, false);
+                replaceStage((stage + 1) % stages, false);
             }
             default -> {}
         }
     }
 
-    /** A stage dies, or leaves and hands over its cache; a replacement takes its place under a new epoch. */
-    private void lose(int stage, boolean exports) {
-        Node old = nodes[stage];
+    /** Replaces a stage in a new epoch after it died, or after it left and exported its cache. */
+    private void replaceStage(int stage, boolean exportsCache) {
+        StageNode old = nodes[stage];
         nodes[stage] = null;
-        if (exports && old != null && old.guard.running() == 0) {
-            old.guard.freeze();
-            nodes[stage] =
-                    new Node(new StageSession(shape(stage), epoch + 1, old.guard.snapshot()), old.engine.copy(), stage);
+        if (exportsCache && old != null && old.session.running() == 0) {
+            old.session.freeze();
+            nodes[stage] = new StageNode(
+                    new StageSession(shape(stage), epoch + 1, old.session.snapshot()), old.engine.copy(), stage);
         }
-        openAll();
+        openNewEpoch();
     }
 
-    private void openAll() {
+    private void openNewEpoch() {
         epoch++;
         for (int i = 0; i < stages; i++) {
-            // What was on the way may arrive at any later time.
-            late.addAll(fromNeighbour.get(i));
-            late.addAll(fromEntry.get(i));
+            // Messages in transit may arrive at any later time.
+            delayed.addAll(fromNeighbour.get(i));
+            delayed.addAll(fromEntry.get(i));
             fromNeighbour.get(i).clear();
             fromEntry.get(i).clear();
             if (nodes[i] == null) {
-                nodes[i] = new Node(new StageSession(shape(i), epoch), new Engine(i), i);
+                nodes[i] = new StageNode(new StageSession(shape(i), epoch), new Engine(i), i);
             }
-            nodes[i].guard.open(epoch);
-            opened[i] = nodes[i].guard.position();
+            nodes[i].session.open(epoch);
+            openedPositions[i] = nodes[i].session.position();
         }
         for (int i = 0; i < stages; i++) {
-            int from = i + 1 < stages ? opened[i + 1] : prompt.length - 1 + tokens.size();
+            int from = i + 1 < stages ? openedPositions[i + 1] : prompt.length - 1 + tokens.size();
             fromEntry.get(i).add(new Frame(i, epoch, from, null));
         }
-        fromEntry.get(0).add(new Frame(0, epoch, opened[0], known(opened[0])));
+        fromEntry.get(0).add(new Frame(0, epoch, openedPositions[0], knownInputs(openedPositions[0])));
     }
 
     private StageShape shape(int stage) {
         return new StageShape(stage, stages, prompt.length, maxTokens);
     }
 
-    private long[] known(int from) {
+    private long[] knownInputs(int from) {
         int end = prompt.length + tokens.size();
         long[] inputs = new long[Math.max(0, end - from)];
         for (int i = 0; i < inputs.length; i++) {
@@ -128,78 +129,79 @@
     }
 
     private void cutLink(int stage) {
-        late.addAll(fromNeighbour.get(stage));
+        delayed.addAll(fromNeighbour.get(stage));
         fromNeighbour.get(stage).clear();
-        nodes[(stage + stages - 1) % stages].guard.sendAgain();
+        nodes[(stage + stages - 1) % stages].session.sendAgain();
     }
 
     private void deliver(List<Frame> queue, int stage) {
         if (!queue.isEmpty()) {
             Frame frame = queue.remove(0);
             if (frame.values == null) {
-                nodes[stage].guard.sendFrom(frame.epoch, frame.position);
+                nodes[stage].session.sendFrom(frame.epoch, frame.position);
             } else {
-                StepVerdict verdict = nodes[stage].guard.accept(frame.epoch, frame.position, frame.values);
+                StepVerdict verdict = nodes[stage].session.accept(frame.epoch, frame.position, frame.values);
                 if (verdict == StepVerdict.GAP) {
-                    throw new AssertionError("A gap on an ordered link at stage " + stage);
+                    throw new AssertionError("Inputs out of range on an ordered link at stage " + stage);
                 }
             }
         }
     }
 
-    /** A frame comes again: one of an older epoch or of a link that broke, or a copy of one on its way. */
-    private void repeat(int pick, int stage) {
+    /** Delivers a frame again: one of an older epoch or of a broken link, or a copy of one in transit. */
+    private void redeliver(int selector, int stage) {
         List<Frame> queue = fromNeighbour.get(stage);
-        Frame frame =
-                !late.isEmpty() && pick % 2 == 0 ? late.get(pick % late.size()) : queue.isEmpty() ? null : queue.get(0);
+        Frame frame = !delayed.isEmpty() && selector % 2 == 0
+                ? delayed.get(selector % delayed.size())
+                : queue.isEmpty() ? null : queue.get(0);
         if (frame != null && frame.values != null) {
-            StepVerdict verdict = nodes[frame.stage].guard.accept(frame.epoch, frame.position, frame.values);
+            StepVerdict verdict = nodes[frame.stage].session.accept(frame.epoch, frame.position, frame.values);
             if (verdict == StepVerdict.GAP) {
-                throw new AssertionError("A late step reads as a gap, and the stage would be given up");
+                throw new AssertionError("A late step counts as out of range, so the stage would be given up");
             }
         }
     }
 
-    private void begin(int stage) {
-        Node node = nodes[stage];
-        node.guard.nextRun(MAX_RUN).ifPresent(run -> {
-            if (node.run != null) {
-                throw new AssertionError("Two runs of one session are at the engine");
+    private void beginRun(int stage) {
+        StageNode node = nodes[stage];
+        node.session.nextRun(MAX_RUN).ifPresent(run -> {
+            if (node.currentRun != null) {
+                throw new AssertionError("The engine is given a second run of the same session");
             }
-            node.run = run;
+            node.currentRun = run;
         });
     }
 
-    private void finish(int stage) {
-        Node node = nodes[stage];
-        if (node.run != null) {
-            node.guard.ran(node.engine.run(node.run));
-            node.run = null;
+    private void finishRun(int stage) {
+        StageNode node = nodes[stage];
+        if (node.currentRun != null) {
+            node.session.ran(node.engine.run(node.currentRun));
+            node.currentRun = null;
         }
     }
 
     private void send(int stage) {
-        StageSession guard = nodes[stage].guard;
-        Optional<StepSend> next = guard.nextSend(MAX_SEND);
+        StageSession session = nodes[stage].session;
+        Optional<StepSend> next = session.nextSend(MAX_SEND);
         if (next.isEmpty()) {
             return;
         }
         StepSend send = next.get();
-        guard.sent(send);
+        session.sent(send);
         if (stage + 1 < stages) {
-            fromNeighbour.get(stage + 1).add(new Frame(stage + 1, guard.epoch(), send.position(), send.outputs()));
+            fromNeighbour.get(stage + 1).add(new Frame(stage + 1, session.epoch(), send.position(), send.outputs()));
             return;
         }
         int skip = Math.max(0, prompt.length - 1 - send.position());
         if (skip < send.outputs().length) {
             int first = send.position() + skip;
             long[] values = Arrays.copyOfRange(send.outputs(), skip, send.outputs().length);
-            toEntry.add(new Frame(0, guard.epoch(), first, values));
-            fromNeighbour.get(0).add(new Frame(0, guard.epoch(), first + 1, values));
+            toEntry.add(new Frame(0, session.epoch(), first, values));
+            fromNeighbour.get(0).add(new Frame(0, session.epoch(), first + 1, values));
         }
     }
 
-    private void hear() {
+    private void deliverToEntry() {
         if (toEntry.isEmpty()) {
             return;
         }
@@ -211,25 +213,25 @@
         }
     }
 
-    /** Lets everything that can happen happen, without further faults. */
-    void settle() {
-        for (int round = 0; round < 4_000 && !isWhole(); round++) {
+    /** Processes all pending events without further faults until the answer is complete. */
+    void runToEnd() {
+        for (int round = 0; round < 4_000 && !isComplete(); round++) {
             for (int stage = 0; stage < stages; stage++) {
                 deliver(fromEntry.get(stage), stage);
                 deliver(fromNeighbour.get(stage), stage);
-                begin(stage);
-                finish(stage);
+                beginRun(stage);
+                finishRun(stage);
                 send(stage);
             }
-            hear();
+            deliverToEntry();
         }
     }
 
-    private boolean isWhole() {
+    private boolean isComplete() {
         return tokens.size() == maxTokens || tokens.containsValue(StageShape.END_TOKEN);
     }
 
-    /** The tokens up to the end, as the caller gets them. */
+    /** The tokens up to the end of the answer, as the caller receives them. */
     List<Long> answer() {
         List<Long> answer = new ArrayList<>();
         for (int i = 0; i < maxTokens && tokens.containsKey(i); i++) {
@@ -241,8 +243,8 @@
         return answer;
     }
 
-    /** The answer of engines that nothing disturbs. */
-    static List<Long> undisturbed(int stages, long[] prompt, int maxTokens) {
+    /** The answer of a run without faults. */
+    static List<Long> faultFreeAnswer(int stages, long[] prompt, int maxTokens) {
         List<Engine> engines = new ArrayList<>();
         for (int i = 0; i < stages; i++) {
             engines.add(new Engine(i));
@@ -265,24 +267,24 @@
         return answer;
     }
 
-    /** A frame; without values it is a SendFrom. */
+    /** A frame on a link; one without values stands for a SendFrom message. */
     private record Frame(int stage, int epoch, int position, long[] values) {}
 
-    private static final class Node {
-        final StageSession guard;
+    private static final class StageNode {
+        final StageSession session;
         final Engine engine;
-        StepRun run;
+        StepRun currentRun;
 
-        Node(StageSession guard, Engine engine, int stage) {
-            this.guard = guard;
+        StageNode(StageSession session, Engine engine, int stage) {
+            this.session = session;
             this.engine = engine;
             if (engine.stage != stage) {
-                throw new IllegalArgumentException("An engine holds its own layers");
+                throw new IllegalArgumentException("An engine must be of the stage of its node");
             }
         }
     }
 
-    /** Runs each position once and in order, or fails; its outputs depend on all earlier inputs. */
+    /** Fails unless each position is run once and in order; its outputs depend on all earlier inputs. */
     private static final class Engine {
         final int stage;
         private long state;
@@ -301,7 +303,8 @@
 
         long[] run(StepRun run) {
             if (run.position() != position) {
-                throw new AssertionError("Stage " + stage + " ran " + run.position() + " at " + position);
+                throw new AssertionError(
+                        "Stage " + stage + " was given position " + run.position() + " instead of " + position);
             }
             long[] outputs = new long[run.inputs().length];
             for (int i = 0; i < outputs.length; i++) {
--- a/core/src/test/java/org/cornelramp/core/step/LateStepTest.java
+++ b/core/src/test/java/org/cornelramp/core/step/StaleStepTest.java
@@ -6,15 +6,15 @@
 import org.testng.annotations.Test;
 
 /**
- * The stage before was paused, given up and replaced; then it wakes and sends on what it had. Its steps carry the old
- * epoch. They must change nothing, though one of them is at the very position that the stage waits for: the
- * replacement's own outputs for it may differ in the last bits, and the KV cache would mix the two.
+ * Guards against steps of a replaced stage: the preceding stage is paused, replaced, and then resumes and sends its
+ * remaining outputs with the old epoch. They must be rejected even at the position that this stage expects, since the
+ * outputs of the replacement may differ in the last bits and the KV cache would mix both.
  */
-public class LateStepTest {
+public class StaleStepTest {
     private static final StageShape MIDDLE = new StageShape(1, 3, 4, 8);
 
     @Test
-    public void aStepOfAnOldEpochChangesNothing() {
+    public void stepOfAnOldEpochChangesNothing() {
         StageSession stage = new StageSession(MIDDLE, 1);
         stage.accept(1, 0, new long[] {10, 11});
         stage.nextRun(9);
@@ -28,7 +28,7 @@
     }
 
     @Test
-    public void aPausedStageThatWakesSendsNothingUnderTheNewEpoch() {
+    public void resumedStageSendsNothingBeforeTheNewEpochStartsSending() {
         StageSession stage = new StageSession(MIDDLE, 1);
         stage.sendFrom(1, 0);
         stage.accept(1, 0, new long[] {10});
@@ -36,14 +36,14 @@
         stage.open(2);
         stage.ran(new long[] {20});
 
-        assertFalse(stage.nextSend(9).isPresent(), "nothing goes out before the new epoch says from where");
+        assertFalse(stage.nextSend(9).isPresent(), "nothing may be sent before the new epoch sets the first position");
         assertFalse(stage.sendFrom(1, 0));
         stage.sendFrom(2, 0);
         assertEquals(stage.nextSend(9).orElseThrow().outputs(), new long[] {20});
     }
 
     @Test
-    public void aRepeatedStepIsDroppedAndAnOverlapRunsOnlyItsNewPart() {
+    public void repeatedStepIsDroppedAndOverlapRunsOnlyItsNewPart() {
         StageSession stage = new StageSession(MIDDLE, 1);
         assertEquals(stage.accept(1, 0, new long[] {10, 11}), StepVerdict.TAKEN);
         assertEquals(stage.accept(1, 0, new long[] {10, 11}), StepVerdict.DUPLICATE);
