--- a/core/src/main/java/org/cornelramp/core/table/SnapshotPlan.java
+++ b/core/src/main/java/org/cornelramp/core/table/SnapshotPlan.java
@@ -49,17 +49,17 @@
     /**
      * Decides whether to write a snapshot now.
      *
-     * @param reading what this process has read of the log
+     * @param state what this process has read of the log
      * @param maxAge age at which the newest snapshot is renewed
      * @param name name of this process
      * @param now the current time
      */
-    public Step look(TableReading reading, Duration maxAge, String name, Instant now) {
-        if (!isDue(reading, maxAge, now)) {
+    public Step look(TableReading state, Duration maxAge, String name, Instant now) {
+        if (!isDue(state, maxAge, now)) {
             return new Step(new SnapshotPlan(Optional.empty(), lastAttempt), false);
         }
         Instant newDueSince = dueSince.orElse(now);
-        boolean delayPassed = !now.isBefore(newDueSince.plus(delayOf(name, reading)));
+        boolean delayPassed = !now.isBefore(newDueSince.plus(delayOf(name, state)));
         boolean mayRetry =
                 lastAttempt.isEmpty() || !now.isBefore(lastAttempt.get().plus(RETRY_DELAY));
         boolean write = delayPassed && mayRetry;
@@ -67,24 +67,25 @@
     }
 
     /** Only a process that has read to the end of the log knows the newest snapshot. */
-    private static boolean isDue(TableReading reading, Duration maxAge, Instant now) {
-        if (!reading.isAtEnd() || reading.isLogBehind() || reading.table().offset() == 0) {
+    private static boolean isDue(TableReading state, Duration maxAge, Instant now) {
+        if (!state.isAtEnd() || state.isLogBehind() || state.table().offset() == 0) {
             return false;
         }
-        Optional<SnapshotPosition> newest = reading.newestSnapshot();
-        long covers = newest.map(SnapshotPosition::covers).orElse(0L);
-        boolean isUnusable = covers < reading.bounds().oldest();
-        boolean isFarBehind = reading.table().offset() - covers > MAX_RECORDS_BEHIND;
-        long at = newest.map(SnapshotPosition::at).or(reading::firstAt).orElse(now.toEpochMilli());
-        boolean isOld = now.toEpochMilli() - at > maxAge.toMillis();
+        Optional<SnapshotPosition> newest = state.newestSnapshot();
+        long coveredOffset = newest.map(SnapshotPosition::covers).orElse(0L);
+        boolean isUnusable = coveredOffset < state.bounds().oldest();
+        boolean isFarBehind = state.table().offset() - coveredOffset > MAX_RECORDS_BEHIND;
+        long newestMillis = newest.map(SnapshotPosition::at).or(state::firstAt).orElse(now.toEpochMilli());
+        boolean isOld = now.toEpochMilli() - newestMillis > maxAge.toMillis();
         return isUnusable || isFarBehind || isOld;
     }
 
     /** Short delays are exponentially rare: most processes have read the first snapshot before they would write. */
-    private static Duration delayOf(String name, TableReading reading) {
+    private static Duration delayOf(String name, TableReading state) {
         CRC32 crc = new CRC32();
-        long covers = reading.newestSnapshot().map(SnapshotPosition::covers).orElse(0L);
-        crc.update((name + '@' + covers).getBytes(StandardCharsets.UTF_8));
+        long coveredOffset =
+                state.newestSnapshot().map(SnapshotPosition::covers).orElse(0L);
+        crc.update((name + '@' + coveredOffset).getBytes(StandardCharsets.UTF_8));
         double uniform = (crc.getValue() + 1) / (CRC_VALUES + 1);
         double fraction = Math.max(0, 1 + Math.log(uniform) / Math.log(SPREAD_PROCESSES));
         return Duration.ofMillis((long) (MAX_DELAY.toMillis() * fraction));
--- a/core/src/main/java/org/cornelramp/core/table/TableFold.java
+++ b/core/src/main/java/org/cornelramp/core/table/TableFold.java
@@ -77,14 +77,14 @@
     }
 
     private static FoldResult accept(FoldedTable table, FoldedTable next, long offset, TableEdit edit) {
-        Verdict verdict = new Verdict(Verdict.Kind.ACCEPTED, offset, "");
+        Verdict outcome = new Verdict(Verdict.Kind.ACCEPTED, offset, "");
         if (edit.values().isPresent()) {
             return new FoldResult(
-                    next.with(new Row(edit.key(), offset, edit.values().get())), verdict);
+                    next.with(new Row(edit.key(), offset, edit.values().get())), outcome);
         }
         boolean exists = table.row(edit.key()).isPresent();
         return exists
-                ? new FoldResult(next.withDeletion(edit.key(), offset), verdict)
+                ? new FoldResult(next.withDeletion(edit.key(), offset), outcome)
                 : new FoldResult(
                         next,
                         new Verdict(
--- a/core/src/test/java/org/cornelramp/core/table/InMemoryLog.java
+++ b/core/src/test/java/org/cornelramp/core/table/InMemoryLog.java
@@ -58,13 +58,13 @@
     }
 
     /** Reads one page, as a process does. */
-    TableReading read(TableReading reading, int maxRecords) {
-        long from = reading.readFrom();
+    TableReading read(TableReading state, int maxRecords) {
+        long from = state.readFrom();
         if (from < oldest) {
-            return reading.onGone(bounds());
+            return state.onGone(bounds());
         }
         int end = (int) Math.min(next(), from + maxRecords);
-        return reading.onPage(bounds(), from >= end ? List.of() : records.subList((int) from, end));
+        return state.onPage(bounds(), from >= end ? List.of() : records.subList((int) from, end));
     }
 
     /** Whether a process that starts now finds a usable snapshot or needs none. */
--- a/core/src/test/java/org/cornelramp/core/table/InvalidSnapshotTest.java
+++ b/core/src/test/java/org/cornelramp/core/table/InvalidSnapshotTest.java
@@ -12,10 +12,10 @@
  */
 public class InvalidSnapshotTest {
 
-    private static void append(InMemoryLog log, long covers, FoldedTable table) {
+    private static void append(InMemoryLog log, long coveredOffset, FoldedTable table) {
         log.append(
                 TableRecords.writeSnapshot(
-                        new TableRecords.SnapshotRecord(covers, TableSnapshotCodec.write(table)), "e1"),
+                        new TableRecords.SnapshotRecord(coveredOffset, TableSnapshotCodec.write(table)), "e1"),
                 log.next());
     }
 
@@ -25,9 +25,9 @@
         log.edit(0, 1);
         append(log, 50, FoldedTable.empty().at(50));
         log.oldest = 1;
-        TableReading reading = log.read(log.read(TableReading.start(), 9), 9);
-        assertEquals(reading.phase(), TableReading.Phase.STUCK);
-        assertEquals(reading.table(), FoldedTable.empty());
+        TableReading state = log.read(log.read(TableReading.start(), 9), 9);
+        assertEquals(state.phase(), TableReading.Phase.STUCK);
+        assertEquals(state.table(), FoldedTable.empty());
     }
 
     @Test
@@ -35,9 +35,9 @@
         InMemoryLog log = new InMemoryLog();
         log.edit(0, 1);
         append(log, 1, FoldedTable.empty().at(1));
-        TableReading reading = TableReading.start().onPage(log.bounds(), log.records);
-        assertEquals(reading.divergences(), 1);
-        assertEquals(reading.table(), log.table());
+        TableReading state = TableReading.start().onPage(log.bounds(), log.records);
+        assertEquals(state.divergences(), 1);
+        assertEquals(state.table(), log.table());
     }
 
     @Test
@@ -46,9 +46,9 @@
         log.append(TableRecords.writeSnapshot(new TableRecords.SnapshotRecord(0, new byte[] {1, 2}), "e1"), log.next());
         log.oldest = 1;
         log.edit(0, 1);
-        TableReading reading = TableReading.start().onGone(log.bounds());
+        TableReading state = TableReading.start().onGone(log.bounds());
         assertEquals(
-                reading.onPage(log.bounds(), List.copyOf(log.records.subList(1, 2)))
+                state.onPage(log.bounds(), List.copyOf(log.records.subList(1, 2)))
                         .phase(),
                 TableReading.Phase.STUCK);
     }
--- a/core/src/test/java/org/cornelramp/core/table/RowHistoryProperties.java
+++ b/core/src/test/java/org/cornelramp/core/table/RowHistoryProperties.java
@@ -47,9 +47,9 @@
         for (LoggedRecord record : retained) {
             RowKey key = TableRecords.readEdit(record.value()).orElseThrow().key();
             RowHistory history = RowHistory.of(log.table(), key, retained);
-            Verdict verdict = TableFold.apply(log.tables.get((int) record.offset()), record.offset(), record.value())
+            Verdict outcome = TableFold.apply(log.tables.get((int) record.offset()), record.offset(), record.value())
                     .verdict();
-            assertEquals(history.isAccepted(record.offset()), verdict.isAccepted());
+            assertEquals(history.isAccepted(record.offset()), outcome.isAccepted());
         }
     }
 
--- a/core/src/test/java/org/cornelramp/core/table/SnapshotScheduleTest.java
+++ b/core/src/test/java/org/cornelramp/core/table/SnapshotScheduleTest.java
@@ -35,10 +35,10 @@
     @Test
     public void onlyFewOfManyEntriesWrite() {
         InMemoryLog log = logWithOldEdit();
-        TableReading old = readAll(log);
-        List<SnapshotPlan> plans = new ArrayList<>();
+        TableReading oldState = readAll(log);
+        List<SnapshotPlan> schedules = new ArrayList<>();
         for (int i = 0; i < ENTRIES; i++) {
-            plans.add(SnapshotPlan.start());
+            schedules.add(SnapshotPlan.start());
         }
         int writers = 0;
         Instant firstWrite = Instant.MAX;
@@ -48,10 +48,10 @@
                 break; // every entry has read the first snapshot
             }
             for (int i = 0; i < ENTRIES; i++) {
-                SnapshotPlan.Step step = plans.get(i).look(old, MAX_AGE, "entry-" + i, now);
-                plans.set(i, step.plan());
-                writers += step.write() ? 1 : 0;
-                firstWrite = step.write() && firstWrite.isAfter(now) ? now : firstWrite;
+                SnapshotPlan.Step decision = schedules.get(i).look(oldState, MAX_AGE, "entry-" + i, now);
+                schedules.set(i, decision.plan());
+                writers += decision.write() ? 1 : 0;
+                firstWrite = decision.write() && firstWrite.isAfter(now) ? now : firstWrite;
             }
         }
         assertTrue(writers >= 1 && writers <= 10, "writers=" + writers);
@@ -64,9 +64,9 @@
                 TableRecords.writeSnapshot(
                         new TableRecords.SnapshotRecord(1, TableSnapshotCodec.write(log.table())), "e1"),
                 START.toEpochMilli());
-        SnapshotPlan.Step step = SnapshotPlan.start().look(readAll(log), MAX_AGE, "e2", START.plusSeconds(60));
-        assertFalse(step.write());
-        assertTrue(step.plan().dueSince().isEmpty());
+        SnapshotPlan.Step decision = SnapshotPlan.start().look(readAll(log), MAX_AGE, "e2", START.plusSeconds(60));
+        assertFalse(decision.write());
+        assertTrue(decision.plan().dueSince().isEmpty());
     }
 
     @Test
@@ -77,19 +77,19 @@
                         new TableRecords.SnapshotRecord(1, TableSnapshotCodec.write(log.table())), "e1"),
                 START.toEpochMilli());
         Instant late = START.plus(MAX_AGE).plusMillis(1);
-        SnapshotPlan plan =
+        SnapshotPlan schedule =
                 SnapshotPlan.start().look(readAll(log), MAX_AGE, "e2", late).plan();
-        assertTrue(plan.look(readAll(log), MAX_AGE, "e2", late.plus(SnapshotPlan.MAX_DELAY))
+        assertTrue(schedule.look(readAll(log), MAX_AGE, "e2", late.plus(SnapshotPlan.MAX_DELAY))
                 .write());
     }
 
     @Test
     public void processThatHasNotReadToTheEndWritesNothing() {
         InMemoryLog log = logWithOldEdit();
-        TableReading part = TableReading.start().onPage(new LogBounds(0, 5), log.records);
+        TableReading partialState = TableReading.start().onPage(new LogBounds(0, 5), log.records);
         assertEquals(
                 SnapshotPlan.start()
-                        .look(part, MAX_AGE, "e2", START.plusSeconds(1))
+                        .look(partialState, MAX_AGE, "e2", START.plusSeconds(1))
                         .plan()
                         .dueSince()
                         .isEmpty(),
--- a/core/src/test/java/org/cornelramp/core/table/TableFoldProperties.java
+++ b/core/src/test/java/org/cornelramp/core/table/TableFoldProperties.java
@@ -120,10 +120,10 @@
     }
 
     @Property(seed = "20", tries = 300)
-    void editOfStaleBaseVersionChangesNoRow(@ForAll("drafts") List<EditDraft> drafts, @ForAll long against) {
+    void editOfStaleBaseVersionChangesNoRow(@ForAll("drafts") List<EditDraft> drafts, @ForAll long baseVersion) {
         FoldedTable table = fold(FoldedTable.empty(), records(drafts));
         RowKey key = key(0);
-        long stale = against == table.version(key) ? against + 1 : against;
+        long stale = baseVersion == table.version(key) ? baseVersion + 1 : baseVersion;
         JsonNode record = TableRecords.writeEdit(new TableEdit("late", key, stale, Optional.of(values(9)), "operator"));
         FoldResult folded = TableFold.apply(table, table.offset(), record);
         assertEquals(folded.verdict().kind(), Verdict.Kind.LOST_RACE);
--- a/core/src/test/java/org/cornelramp/core/table/TableReadStateProperties.java
+++ b/core/src/test/java/org/cornelramp/core/table/TableReadStateProperties.java
@@ -54,15 +54,15 @@
     @Property(seed = "21", tries = 500)
     void offsetNeverDecreasesAndTableIsTheFold(@ForAll("events") List<Event> events) {
         InMemoryLog log = new InMemoryLog();
-        TableReading reading = TableReading.start();
+        TableReading state = TableReading.start();
         for (Event event : events) {
             applyToLog(log, event);
             if (event.kind() == Kind.READ) {
-                TableReading after = log.read(reading, event.number() + 1);
-                assertTrue(after.table().offset() >= reading.table().offset());
+                TableReading after = log.read(state, event.number() + 1);
+                assertTrue(after.table().offset() >= state.table().offset());
                 assertEquals(after.table(), log.tables.get((int) after.table().offset()));
                 assertEquals(after.divergences(), 0);
-                reading = after;
+                state = after;
             }
         }
     }
@@ -71,14 +71,14 @@
     void newReaderReachesTheEndOrIsStuck(@ForAll("events") List<Event> events) {
         InMemoryLog log = new InMemoryLog();
         events.forEach(event -> applyToLog(log, event));
-        TableReading reading = TableReading.start();
-        for (int i = 0; i < MAX_READS && !reading.isAtEnd() && reading.phase() != TableReading.Phase.STUCK; i++) {
-            reading = log.read(reading, 3);
+        TableReading state = TableReading.start();
+        for (int i = 0; i < MAX_READS && !state.isAtEnd() && state.phase() != TableReading.Phase.STUCK; i++) {
+            state = log.read(state, 3);
         }
-        assertEquals(reading.isAtEnd(), log.isReadable());
-        assertEquals(reading.phase() == TableReading.Phase.STUCK, !log.isReadable());
-        if (reading.isAtEnd()) {
-            assertEquals(reading.table(), log.table());
+        assertEquals(state.isAtEnd(), log.isReadable());
+        assertEquals(state.phase() == TableReading.Phase.STUCK, !log.isReadable());
+        if (state.isAtEnd()) {
+            assertEquals(state.table(), log.table());
         }
     }
 
@@ -88,12 +88,12 @@
         events.forEach(event -> applyToLog(log, event));
         log.edit(0, 1);
         log.oldest = log.next();
-        TableReading reading = TableReading.start();
-        for (int i = 0; i < MAX_READS && reading.phase() != TableReading.Phase.STUCK; i++) {
-            reading = log.read(reading, 3);
+        TableReading state = TableReading.start();
+        for (int i = 0; i < MAX_READS && state.phase() != TableReading.Phase.STUCK; i++) {
+            state = log.read(state, 3);
         }
-        reading = log.read(reading.onPeerTable(log.table()), 3);
-        assertTrue(reading.isAtEnd());
-        assertEquals(reading.table(), log.table());
+        state = log.read(state.onPeerTable(log.table()), 3);
+        assertTrue(state.isAtEnd());
+        assertEquals(state.table(), log.table());
     }
 }
