--- a/core/src/main/java/org/cornelramp/core/step/StageSession.java
+++ b/core/src/main/java/org/cornelramp/core/step/StageSession.java
@@ -40,15 +40,15 @@
     private int earlyCount;
 
     /** Creates a session that has run nothing. */
-    public StageSession(StageShape shape, int epoch) {
-        this.shape = shape;
+    public StageSession(StageShape spec, int epoch) {
+        this.shape = spec;
         this.epoch = epoch;
     }
 
     /** Creates a session that continues from the snapshot that another agent exported. */
-    public StageSession(StageShape shape, int epoch, StageSnapshot from) {
-        this(shape, epoch);
-        if (from.position() != from.outputs().length || from.position() > shape.limit()) {
+    public StageSession(StageShape spec, int epoch, StageSnapshot from) {
+        this(spec, epoch);
+        if (from.position() != from.outputs().length || from.position() > spec.limit()) {
             throw new IllegalArgumentException("A snapshot must have one output for each position before its own");
         }
         this.position = from.position();
@@ -83,7 +83,7 @@
     /**
      * Switches to a higher epoch: steps of older ones are rejected from then on, and nothing is sent until
      * {@link #sendFrom(int, int)}. Waiting inputs are dropped, since the predecessor sends again from this position;
-     * those that the engine is running are kept, since they are already part of its KV cache.
+     * those that the engine is running are kept, since its KV cache will include them.
      *
      * @return whether the epoch is now that of the session; false if the session has a higher one
      */
@@ -119,9 +119,9 @@
         if (from + inputs.length <= expected) {
             return StepVerdict.DUPLICATE;
         }
-        StepVerdict verdict = append(inputs, expected - from);
+        StepVerdict acceptance = append(inputs, expected - from);
         appendBuffered();
-        return verdict;
+        return acceptance;
     }
 
     private int nextExpected() {
--- a/core/src/test/java/org/cornelramp/core/step/PipelineSimulation.java
+++ b/core/src/test/java/org/cornelramp/core/step/PipelineSimulation.java
@@ -88,7 +88,7 @@
         if (exportsCache && old != null && old.session.running() == 0) {
             old.session.freeze();
             nodes[stage] = new StageNode(
-                    new StageSession(shape(stage), epoch + 1, old.session.snapshot()), old.engine.copy(), stage);
+                    new StageSession(spec(stage), epoch + 1, old.session.snapshot()), old.engine.copy(), stage);
         }
         openNewEpoch();
     }
@@ -102,7 +102,7 @@
             fromNeighbour.get(i).clear();
             fromEntry.get(i).clear();
             if (nodes[i] == null) {
-                nodes[i] = new StageNode(new StageSession(shape(i), epoch), new Engine(i), i);
+                nodes[i] = new StageNode(new StageSession(spec(i), epoch), new Engine(i), i);
             }
             nodes[i].session.open(epoch);
             openedPositions[i] = nodes[i].session.position();
@@ -114,7 +114,7 @@
         fromEntry.get(0).add(new Frame(0, epoch, openedPositions[0], knownInputs(openedPositions[0])));
     }
 
-    private StageShape shape(int stage) {
+    private StageShape spec(int stage) {
         return new StageShape(stage, stages, prompt.length, maxTokens);
     }
 
@@ -140,8 +140,8 @@
             if (frame.values == null) {
                 nodes[stage].session.sendFrom(frame.epoch, frame.position);
             } else {
-                StepVerdict verdict = nodes[stage].session.accept(frame.epoch, frame.position, frame.values);
-                if (verdict == StepVerdict.GAP) {
+                StepVerdict acceptance = nodes[stage].session.accept(frame.epoch, frame.position, frame.values);
+                if (acceptance == StepVerdict.GAP) {
                     throw new AssertionError("Inputs out of range on an ordered link at stage " + stage);
                 }
             }
@@ -155,8 +155,8 @@
                 ? delayed.get(selector % delayed.size())
                 : queue.isEmpty() ? null : queue.get(0);
         if (frame != null && frame.values != null) {
-            StepVerdict verdict = nodes[frame.stage].session.accept(frame.epoch, frame.position, frame.values);
-            if (verdict == StepVerdict.GAP) {
+            StepVerdict acceptance = nodes[frame.stage].session.accept(frame.epoch, frame.position, frame.values);
+            if (acceptance == StepVerdict.GAP) {
                 throw new AssertionError("A late step counts as out of range, so the stage would be given up");
             }
         }
