--- a/core/src/main/java/org/cornelramp/core/settings/GatewaySettingsReader.java
+++ b/core/src/main/java/org/cornelramp/core/settings/GatewaySettingsReader.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.cornelramp.core.model.DataCentre;
-import org.cornelramp.core.model.Names;
+import org.cornelramp.core.model.NameValidator;
 
 /**
  * Reads a gateway's settings from JSON: returns the settings, or every fault at once. Stateless, safe for use by any
@@ -23,7 +23,8 @@
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .build();
     private static final String ADDRESS_REMEDY = "Give host:port, the port from 0 to 65535.";
-    private static final String NAME_REMEDY = "Give 1 to " + Names.MAX_LENGTH + " letters, digits, dots or dashes.";
+    private static final String NAME_REMEDY =
+            "Give 1 to " + NameValidator.MAX_LENGTH + " letters, digits, dots or dashes.";
     private static final long HOUR_MILLIS = 3_600_000L;
 
     /** Reads settings from the text of a file. */
@@ -103,7 +104,7 @@
     }
 
     private static String parseName(JsonNode value) {
-        Names.check("settings", parseText(value));
+        NameValidator.check("settings", parseText(value));
         return value.textValue();
     }
 
