--- a/core/src/main/java/org/cornelramp/core/route/BaselineChoice.java
+++ b/core/src/main/java/org/cornelramp/core/route/BaselineChoice.java
@@ -15,7 +15,7 @@
     static Either<Problem, Choice> choose(
             ChainIndex.StageSelector selector,
             List<Candidate> candidates,
-            Work request,
+            RoutingRequest request,
             DataCentre here,
             LinkCosts links,
             Instant now,
--- a/core/src/main/java/org/cornelramp/core/route/Candidate.java
+++ b/core/src/main/java/org/cornelramp/core/route/Candidate.java
@@ -13,7 +13,7 @@
  * @param offer what the backend server runs
  * @param load load that the agent last reported
  * @param unreportedTokens tokens of work that this entry sent and that the reported load does not include yet
- * @param sentCalls calls and sessions of this entry in progress there
+ * @param outstandingCalls calls and sessions of this entry in progress there
  * @param share fraction of its full share of work that it receives now, above 0 and up to 1: lower while it ramps up
  *     or after it has been failing
  */
@@ -23,5 +23,5 @@
         Offer offer,
         AgentLoad load,
         long unreportedTokens,
-        int sentCalls,
+        int outstandingCalls,
         double share) {}
--- a/core/src/main/java/org/cornelramp/core/route/ChainIndex.java
+++ b/core/src/main/java/org/cornelramp/core/route/ChainIndex.java
@@ -33,7 +33,7 @@
 
     /** Finds the chains for a request, or a problem if there is none or if its deadline has passed. */
     static Either<Problem, ChainIndex> of(
-            List<Candidate> candidates, Work request, Instant now, RandomGenerator random) {
+            List<Candidate> candidates, RoutingRequest request, Instant now, RandomGenerator random) {
         if (!request.deadline().isAfter(now)) {
             return Either.left(Problem.notRun(
                     ProblemKind.DEADLINE_PASSED, "The deadline had passed before a backend server was chosen"));
@@ -42,7 +42,7 @@
         List<Candidate> firstStages = new ArrayList<>();
         for (Candidate c : candidates) {
             if (!c.offer().service().equals(request.service())
-                    || request.avoid().contains(c.incarnation())) {
+                    || request.excludedAgents().contains(c.incarnation())) {
                 continue;
             }
             if (c.offer().layers().isEmpty()) {
@@ -102,8 +102,8 @@
         return firstStages;
     }
 
-    private static Problem noChainProblem(Work request, RandomGenerator random) {
-        String detail = request.avoid().isEmpty()
+    private static Problem noChainProblem(RoutingRequest request, RandomGenerator random) {
+        String detail = request.excludedAgents().isEmpty()
                 ? "No live backend servers hold all parts of " + request.service() + " now"
                 : "No live backend servers are left for " + request.service() + " after those that failed this request";
         long millis = MIN_RETRY_MILLIS + random.nextLong(MIN_RETRY_MILLIS);
--- a/core/src/main/java/org/cornelramp/core/route/ChoicePolicy.java
+++ b/core/src/main/java/org/cornelramp/core/route/ChoicePolicy.java
@@ -9,28 +9,28 @@
     /** The chain with the shortest expected time to the complete answer among a few that are sampled. */
     EXPECTED_COMPLETION {
         @Override
-        public Chooser chooser(PrefixHints hints) {
+        public Chooser newChooser(PrefixHints hints) {
             return new ExpectedCompletionChooser(hints);
         }
     },
     /** A uniformly random choice; a baseline. */
     RANDOM {
         @Override
-        public Chooser chooser(PrefixHints hints) {
+        public Chooser newChooser(PrefixHints hints) {
             return new RandomChooser();
         }
     },
     /** Round robin; a baseline. */
     ROUND_ROBIN {
         @Override
-        public Chooser chooser(PrefixHints hints) {
+        public Chooser newChooser(PrefixHints hints) {
             return new RoundRobinChooser();
         }
     },
     /** The one with the fewest requests of this entry in progress; a baseline. */
     LEAST_OUTSTANDING {
         @Override
-        public Chooser chooser(PrefixHints hints) {
+        public Chooser newChooser(PrefixHints hints) {
             return new LeastOutstandingChooser();
         }
     };
@@ -40,7 +40,7 @@
      *
      * @param hints where prompt prefixes are likely cached; the baselines ignore them
      */
-    public abstract Chooser chooser(PrefixHints hints);
+    public abstract Chooser newChooser(PrefixHints hints);
 
     /** The name in settings, such as {@code expected-completion}. */
     @JsonValue
--- a/core/src/main/java/org/cornelramp/core/route/Chooser.java
+++ b/core/src/main/java/org/cornelramp/core/route/Chooser.java
@@ -22,7 +22,7 @@
      */
     Either<Problem, Choice> choose(
             List<Candidate> candidates,
-            Work request,
+            RoutingRequest request,
             DataCentre here,
             LinkCosts links,
             Instant now,
--- a/core/src/main/java/org/cornelramp/core/route/CompletionTimeEstimator.java
+++ b/core/src/main/java/org/cornelramp/core/route/CompletionTimeEstimator.java
@@ -24,7 +24,7 @@
      */
     private static final double WAIT_WEIGHT = 4;
 
-    private final Work request;
+    private final RoutingRequest request;
     private final DataCentre entryDataCentre;
     private final LinkCosts links;
     private final PrefixHints hints;
@@ -34,7 +34,7 @@
 
     CompletionTimeEstimator(
             List<Candidate> candidates,
-            Work request,
+            RoutingRequest request,
             DataCentre entryDataCentre,
             LinkCosts links,
             PrefixHints hints,
@@ -136,19 +136,20 @@
      */
     private static double requestCount(Candidate c) {
         double reported = c.load().running() + c.load().waiting();
-        return Math.max(reported, c.sentCalls() * (double) Math.max(1, c.load().linkedEntries()));
+        return Math.max(
+                reported, c.outstandingCalls() * (double) Math.max(1, c.load().linkedEntries()));
     }
 
     private double callSeconds(Candidate c, boolean includeWaiting) {
         double mean = c.load().meanServiceMicros() > 0 ? stepSeconds(c) : fastestCallSeconds;
         int slots = Math.max(1, c.offer().slots());
         double reported = c.load().running() + c.load().waiting() + (double) c.unreportedTokens();
-        double ahead = includeWaiting ? Math.max(reported, c.sentCalls()) : 0;
+        double ahead = includeWaiting ? Math.max(reported, c.outstandingCalls()) : 0;
         return mean / c.share() * (1 + Math.max(0, ahead + 1 - slots) / slots);
     }
 
     private double uncachedPromptTokens(Candidate c) {
-        return request.promptTokens() * (1 - hints.expectedCachedShare(request.prefix(), c.incarnation(), now));
+        return request.promptTokens() * (1 - hints.expectedCachedShare(request.prefixHash(), c.incarnation(), now));
     }
 
     private double linkSeconds(DataCentre from, DataCentre to) {
--- a/core/src/main/java/org/cornelramp/core/route/ExpectedCompletionChooser.java
+++ b/core/src/main/java/org/cornelramp/core/route/ExpectedCompletionChooser.java
@@ -36,7 +36,7 @@
     @Override
     public Either<Problem, Choice> choose(
             List<Candidate> candidates,
-            Work request,
+            RoutingRequest request,
             DataCentre here,
             LinkCosts links,
             Instant now,
--- a/core/src/main/java/org/cornelramp/core/route/LeastOutstandingChooser.java
+++ b/core/src/main/java/org/cornelramp/core/route/LeastOutstandingChooser.java
@@ -16,7 +16,7 @@
     @Override
     public Either<Problem, Choice> choose(
             List<Candidate> candidates,
-            Work request,
+            RoutingRequest request,
             DataCentre here,
             LinkCosts links,
             Instant now,
@@ -31,7 +31,7 @@
         Candidate least = next.get(start);
         for (int i = 1; i < next.size(); i++) {
             Candidate c = next.get((start + i) % next.size());
-            least = c.sentCalls() < least.sentCalls() ? c : least;
+            least = c.outstandingCalls() < least.outstandingCalls() ? c : least;
         }
         return least;
     }
--- a/core/src/main/java/org/cornelramp/core/route/RandomChooser.java
+++ b/core/src/main/java/org/cornelramp/core/route/RandomChooser.java
@@ -13,7 +13,7 @@
     @Override
     public Either<Problem, Choice> choose(
             List<Candidate> candidates,
-            Work request,
+            RoutingRequest request,
             DataCentre here,
             LinkCosts links,
             Instant now,
--- a/core/src/main/java/org/cornelramp/core/route/RoundRobinChooser.java
+++ b/core/src/main/java/org/cornelramp/core/route/RoundRobinChooser.java
@@ -23,7 +23,7 @@
     @Override
     public Either<Problem, Choice> choose(
             List<Candidate> candidates,
-            Work request,
+            RoutingRequest request,
             DataCentre here,
             LinkCosts links,
             Instant now,
--- a/core/src/main/java/org/cornelramp/core/route/Work.java
+++ b/core/src/main/java/org/cornelramp/core/route/RoutingRequest.java
@@ -12,13 +12,13 @@
  * @param promptTokens tokens of the prompt; 0 for a plain service
  * @param maxTokens maximum number of tokens to generate; 0 for a plain service
  * @param deadline time by which the answer must be complete
- * @param prefix hash of the prompt's prefix, to find an engine that has it cached; empty if there is none
- * @param avoid agents that have failed this request or are known to be unable to serve it
+ * @param prefixHash hash of the prompt's prefix, to find an engine that has it cached; empty if there is none
+ * @param excludedAgents agents that have failed this request or are known to be unable to serve it
  */
-public record Work(
+public record RoutingRequest(
         ServiceName service,
         int promptTokens,
         int maxTokens,
         Instant deadline,
-        String prefix,
-        Set<Incarnation> avoid) {}
+        String prefixHash,
+        Set<Incarnation> excludedAgents) {}
--- a/core/src/main/java/org/cornelramp/core/routing/CardKind.java
+++ b/core/src/main/java/org/cornelramp/core/routing/CardKind.java
@@ -6,6 +6,6 @@
  * @param name name under which backend servers report the kind
  * @param memoryMb memory for weights and for running requests, in megabytes
  * @param stepFactor duration of a token step relative to the base card
- * @param readFactor duration of the prefill of a prompt relative to the base card
+ * @param prefillFactor duration of the prefill of a prompt relative to the base card
  */
-public record CardKind(String name, double memoryMb, double stepFactor, double readFactor) {}
+public record CardKind(String name, double memoryMb, double stepFactor, double prefillFactor) {}
--- a/core/src/main/java/org/cornelramp/core/routing/EngineSpec.java
+++ b/core/src/main/java/org/cornelramp/core/routing/EngineSpec.java
@@ -14,11 +14,11 @@
  * @param stepMillis base duration of a token step, without requests, in milliseconds
  * @param perRequestMillis time that each request adds to a step, in milliseconds
  * @param perThousandTokensMillis time that each thousand tokens of context add to a step, in milliseconds
- * @param readPerMilli prompt tokens processed per millisecond of prefill
+ * @param prefillTokensPerMilli prompt tokens processed per millisecond of prefill
  * @param loadSeconds time to load the whole model, in seconds
  * @param meanPromptTokens mean number of tokens of a prompt
  * @param meanAnswerTokens mean number of tokens of an answer
- * @param crossMbps bandwidth between data centres, in megabits per second; 0 if unknown
+ * @param interDataCentreMbps bandwidth between data centres, in megabits per second; 0 if unknown
  * @param activationBytes bytes that each token takes on a hop between two engines
  * @param cards the kinds of cards
  */
@@ -30,11 +30,11 @@
         double stepMillis,
         double perRequestMillis,
         double perThousandTokensMillis,
-        double readPerMilli,
+        double prefillTokensPerMilli,
         double loadSeconds,
         int meanPromptTokens,
         int meanAnswerTokens,
-        double crossMbps,
+        double interDataCentreMbps,
         double activationBytes,
         List<CardKind> cards) {
     private static final double BYTES_PER_MB = 1e6;
@@ -54,17 +54,17 @@
     }
 
     /** Memory that one token of one request takes in one layer, in megabytes. */
-    public double tokenLayerMb() {
+    public double tokenMbPerLayer() {
         return tokenBytes / layers / BYTES_PER_MB;
     }
 
     /** Mean number of tokens of a request, prompt and answer together. */
-    public int usualTokens() {
+    public int meanRequestTokens() {
         return meanPromptTokens + meanAnswerTokens;
     }
 
     /** Time that a request of mean length adds to each token step, in milliseconds. */
-    public double usualRequestMillis() {
-        return perRequestMillis + perThousandTokensMillis * usualTokens() / 1_000.0;
+    public double meanRequestStepMillis() {
+        return perRequestMillis + perThousandTokensMillis * meanRequestTokens() / 1_000.0;
     }
 }
--- a/core/src/main/java/org/cornelramp/core/routing/RoutingConfig.java
+++ b/core/src/main/java/org/cornelramp/core/routing/RoutingConfig.java
@@ -89,7 +89,7 @@
     }
 
     /** Whether a request on the route must carry the key of an organisation. */
-    public boolean needsKey(Route route) {
+    public boolean requiresKey(Route route) {
         return keysRequired && !route.anonymous();
     }
 
--- a/core/src/main/java/org/cornelramp/core/session/PipelineSession.java
+++ b/core/src/main/java/org/cornelramp/core/session/PipelineSession.java
@@ -15,9 +15,9 @@
 import org.cornelramp.core.session.SessionAction.Feed;
 import org.cornelramp.core.session.SessionAction.Finish;
 import org.cornelramp.core.session.SessionAction.Open;
-import org.cornelramp.core.session.SessionAction.Rechoose;
+import org.cornelramp.core.session.SessionAction.SelectStages;
 import org.cornelramp.core.session.SessionAction.SendFrom;
-import org.cornelramp.core.text.Vocabulary;
+import org.cornelramp.core.text.Tokenizer;
 
 /**
  * State of one pipeline session at its entry: opening, generating, rebuilding after the loss of a stage, ended.
@@ -32,7 +32,7 @@
     private final int promptTokens;
     private final int maxTokens;
     private final int maxRebuilds;
-    private final Set<Incarnation> failed = new HashSet<>();
+    private final Set<Incarnation> failedAgents = new HashSet<>();
     private long[] tokens;
     private int tokenCount;
     private int epoch;
@@ -59,8 +59,8 @@
         this.maxRebuilds = maxRebuilds;
     }
 
-    /** Assigns the agents of the stages in a new epoch, initially or after {@link Rechoose}. */
-    public List<SessionAction> use(List<Incarnation> chosen) {
+    /** Assigns the agents of the stages in a new epoch, initially or after {@link SelectStages}. */
+    public List<SessionAction> assignStages(List<Incarnation> chosen) {
         if (ended) {
             return List.of();
         }
@@ -77,7 +77,7 @@
     }
 
     /** Handles that a stage has opened the session and has run all positions before {@code position}. */
-    public List<SessionAction> opened(int ofEpoch, int stage, int position) {
+    public List<SessionAction> onOpened(int ofEpoch, int stage, int position) {
         if (isStale(ofEpoch, stage) || openedPositions[stage] != NOT_OPENED) {
             return List.of();
         }
@@ -91,17 +91,17 @@
     }
 
     /** Handles that a stage cannot continue: it refused, lost the session, or its agent is gone. */
-    public List<SessionAction> lost(int ofEpoch, int stage, Problem why) {
+    public List<SessionAction> onLost(int ofEpoch, int stage, Problem why) {
         return isStale(ofEpoch, stage) ? List.of() : replaceAgent(stages.get(stage), why);
     }
 
     /** Handles that an agent has ended, with all sessions that it held. */
-    public List<SessionAction> lost(Incarnation agent, Problem why) {
+    public List<SessionAction> onLost(Incarnation agent, Problem why) {
         if (ended || !stages.contains(agent)) {
             return List.of();
         }
         if (awaitingStages) {
-            failed.add(agent);
+            failedAgents.add(agent);
             return List.of();
         }
         return replaceAgent(agent, why);
@@ -111,14 +111,14 @@
      * Handles the loss of the link to an agent. The agent may be alive and still hold its stage, so it is not excluded:
      * it may be chosen again once a new link to it is up.
      */
-    public List<SessionAction> unlinked(Incarnation agent, Problem why) {
+    public List<SessionAction> onLinkLost(Incarnation agent, Problem why) {
         if (ended || awaitingStages || !stages.contains(agent)) {
             return List.of();
         }
         // When all links fail at once, the losses are detected one by one, and each requires new stages. Counted as
         // rebuilds of dead stages, they would exhaust the limit and fail the session although no agent has died.
         awaitingStages = true;
-        return List.of(new Rechoose(why.kind().text()));
+        return List.of(new SelectStages(why.kind().text()));
     }
 
     /**
@@ -127,7 +127,7 @@
      * <p>Late tokens of an older epoch, whose stage may have been replaced, are dropped: the current epoch delivers the
      * same positions again, and accepting both would repeat text.
      */
-    public List<SessionAction> generated(int ofEpoch, int position, int[] received) {
+    public List<SessionAction> onGenerated(int ofEpoch, int position, int[] received) {
         if (ended || awaitingStages || ofEpoch != epoch) {
             return List.of();
         }
@@ -145,7 +145,7 @@
      * <p>The outcome of the problem is set here: a session whose tokens were sent to a stage may have run in part, and
      * only one whose tokens were never sent is reported as not run.
      */
-    public List<SessionAction> giveUp(Problem problem) {
+    public List<SessionAction> fail(Problem problem) {
         if (ended) {
             return List.of();
         }
@@ -156,8 +156,8 @@
     }
 
     /** Agents at which this session failed and which must not be chosen for it again. */
-    public Set<Incarnation> failed() {
-        return Set.copyOf(failed);
+    public Set<Incarnation> failedAgents() {
+        return Set.copyOf(failedAgents);
     }
 
     /** The agents of the stages of the current epoch, in order. */
@@ -179,8 +179,8 @@
         return ended;
     }
 
-    /** Whether the session waits for {@link #use}. */
-    public boolean isChoosing() {
+    /** Whether the session waits for {@link #assignStages}. */
+    public boolean isAwaitingStages() {
         return awaitingStages;
     }
 
@@ -213,17 +213,17 @@
     }
 
     private List<SessionAction> replaceAgent(Incarnation agent, Problem why) {
-        failed.add(agent);
+        failedAgents.add(agent);
         return requestStages(why);
     }
 
     private List<SessionAction> requestStages(Problem why) {
         if (rebuilds >= maxRebuilds) {
-            return giveUp(why);
+            return fail(why);
         }
         rebuilds++;
         awaitingStages = true;
-        return List.of(new Rechoose(why.kind().text()));
+        return List.of(new SelectStages(why.kind().text()));
     }
 
     private List<SessionAction> acceptTokens(int[] received, int skip) {
@@ -232,8 +232,8 @@
         int count = 0;
         boolean complete = false;
         for (int i = skip; i < received.length && !complete; i++) {
-            complete = received[i] == Vocabulary.END || generatedTokens() + 1 == maxTokens;
-            if (received[i] != Vocabulary.END) {
+            complete = received[i] == Tokenizer.END_TOKEN || generatedTokens() + 1 == maxTokens;
+            if (received[i] != Tokenizer.END_TOKEN) {
                 newTokens[count++] = received[i];
             }
             appendToken(received[i]);
--- a/core/src/main/java/org/cornelramp/core/session/SessionAction.java
+++ b/core/src/main/java/org/cornelramp/core/session/SessionAction.java
@@ -19,8 +19,8 @@
     /** Pass generated tokens to the caller; each is passed exactly once, in order. */
     record Emit(int[] tokens) implements SessionAction {}
 
-    /** Choose new stages; live ones may be chosen again, those of {@link PipelineSession#failed()} may not. */
-    record Rechoose(String why) implements SessionAction {}
+    /** Choose new stages; live ones may be chosen again, those of {@link PipelineSession#failedAgents()} may not. */
+    record SelectStages(String reason) implements SessionAction {}
 
     /** Release the session at an agent. */
     record Close(Incarnation agent, int epoch) implements SessionAction {}
--- a/core/src/main/java/org/cornelramp/core/step/StepRun.java
+++ b/core/src/main/java/org/cornelramp/core/step/InputBatch.java
@@ -6,4 +6,4 @@
  * @param position position of the first input
  * @param inputs the inputs of consecutive positions
  */
-public record StepRun(int position, long[] inputs) {}
+public record InputBatch(int position, long[] inputs) {}
--- a/core/src/main/java/org/cornelramp/core/step/StepSend.java
+++ b/core/src/main/java/org/cornelramp/core/step/OutputBatch.java
@@ -6,4 +6,4 @@
  * @param position position of the first output
  * @param outputs the outputs of consecutive positions
  */
-public record StepSend(int position, long[] outputs) {}
+public record OutputBatch(int position, long[] outputs) {}
--- a/core/src/main/java/org/cornelramp/core/step/StageSession.java
+++ b/core/src/main/java/org/cornelramp/core/step/StageSession.java
@@ -24,7 +24,7 @@
 public final class StageSession {
     private static final int NOT_STARTED = -1;
 
-    private final StageShape shape;
+    private final StageSpec spec;
     private int epoch;
     private int position;
     private int running;
@@ -40,15 +40,15 @@
     private int earlyCount;
 
     /** Creates a session that has run nothing. */
-    public StageSession(StageShape spec, int epoch) {
-        this.shape = spec;
+    public StageSession(StageSpec spec, int epoch) {
+        this.spec = spec;
         this.epoch = epoch;
     }
 
     /** Creates a session that continues from the snapshot that another agent exported. */
-    public StageSession(StageShape spec, int epoch, StageSnapshot from) {
+    public StageSession(StageSpec spec, int epoch, StageSnapshot from) {
         this(spec, epoch);
-        if (from.position() != from.outputs().length || from.position() > spec.limit()) {
+        if (from.position() != from.outputs().length || from.position() > spec.positionLimit()) {
             throw new IllegalArgumentException("A snapshot must have one output for each position before its own");
         }
         this.position = from.position();
@@ -56,8 +56,8 @@
     }
 
     /** Index of the stage in its pipeline, and the limits of the session. */
-    public StageShape shape() {
-        return shape;
+    public StageSpec spec() {
+        return spec;
     }
 
     /** The epoch whose steps are accepted. */
@@ -82,12 +82,12 @@
 
     /**
      * Switches to a higher epoch: steps of older ones are rejected from then on, and nothing is sent until
-     * {@link #sendFrom(int, int)}. Waiting inputs are dropped, since the predecessor sends again from this position;
+     * {@link #startSending(int, int)}. Waiting inputs are dropped, since the predecessor sends again from this position;
      * those that the engine is running are kept, since its KV cache will include them.
      *
      * @return whether the epoch is now that of the session; false if the session has a higher one
      */
-    public boolean open(int newEpoch) {
+    public boolean openEpoch(int newEpoch) {
         if (newEpoch < epoch) {
             return false;
         }
@@ -105,21 +105,21 @@
     }
 
     /** Accepts inputs of consecutive positions. */
-    public StepVerdict accept(int stepEpoch, int from, long[] inputs) {
+    public StepAcceptance accept(int stepEpoch, int from, long[] inputs) {
         if (stepEpoch != epoch) {
-            return StepVerdict.STALE;
+            return StepAcceptance.STALE;
         }
         if (from < 0) {
-            return StepVerdict.GAP;
+            return StepAcceptance.OUT_OF_RANGE;
         }
         int expected = nextExpected();
         if (from > expected) {
             return bufferEarly(from, inputs);
         }
         if (from + inputs.length <= expected) {
-            return StepVerdict.DUPLICATE;
+            return StepAcceptance.DUPLICATE;
         }
-        StepVerdict acceptance = append(inputs, expected - from);
+        StepAcceptance acceptance = append(inputs, expected - from);
         appendBuffered();
         return acceptance;
     }
@@ -128,11 +128,11 @@
         return position + waiting.size();
     }
 
-    private StepVerdict append(long[] inputs, int skip) {
+    private StepAcceptance append(long[] inputs, int skip) {
         int next = nextExpected();
         int end = skip;
         while (end < inputs.length && !ended) {
-            if (next >= shape.limit() || shape.isEnd(next, inputs[end])) {
+            if (next >= spec.positionLimit() || spec.isEnd(next, inputs[end])) {
                 ended = true;
             } else {
                 next++;
@@ -140,10 +140,10 @@
             }
         }
         if (end == skip) {
-            return StepVerdict.ENDED;
+            return StepAcceptance.ENDED;
         }
         waiting.add(inputs, skip, end);
-        return StepVerdict.TAKEN;
+        return StepAcceptance.ACCEPTED;
     }
 
     /**
@@ -153,9 +153,9 @@
      * link. In both cases the missing inputs are in transit: a link loses frames only when it breaks, and then its
      * sender sends them again.
      */
-    private StepVerdict bufferEarly(int from, long[] inputs) {
-        if (from + inputs.length > shape.limit() + 1 || earlyCount > shape.limit()) {
-            return StepVerdict.GAP;
+    private StepAcceptance bufferEarly(int from, long[] inputs) {
+        if (from + inputs.length > spec.positionLimit() + 1 || earlyCount > spec.positionLimit()) {
+            return StepAcceptance.OUT_OF_RANGE;
         }
         long[] buffered = earlyInputs.get(from);
         int bufferedCount = buffered == null ? 0 : buffered.length;
@@ -163,7 +163,7 @@
             earlyInputs.put(from, inputs);
             earlyCount += inputs.length - bufferedCount;
         }
-        return StepVerdict.EARLY;
+        return StepAcceptance.EARLY;
     }
 
     private void appendBuffered() {
@@ -182,22 +182,22 @@
         return !frozen && running == 0 && waiting() > 0;
     }
 
-    /** Returns the next inputs to run, at most {@code max}; none while a batch runs, see {@link #ran}. */
-    public Optional<StepRun> nextRun(int max) {
+    /** Returns the next inputs to run, at most {@code max}; none while a batch runs, see {@link #completeRun}. */
+    public Optional<InputBatch> nextRun(int max) {
         if (!isReady()) {
             return Optional.empty();
         }
         running = Math.min(max, waiting.size());
-        return Optional.of(new StepRun(position, waiting.copy(0, running)));
+        return Optional.of(new InputBatch(position, waiting.copy(0, running)));
     }
 
     /** Returns the batch of {@link #nextRun} to the waiting inputs, after the engine reported that it did not run. */
-    public void putBack() {
+    public void cancelRun() {
         running = 0;
     }
 
     /** Adds the outputs of the batch of {@link #nextRun}. */
-    public void ran(long[] results) {
+    public void completeRun(long[] results) {
         if (results.length != running || running == 0) {
             throw new IllegalStateException("An engine must return one output for each input");
         }
@@ -208,7 +208,7 @@
     }
 
     /** Starts sending at a position, including outputs sent before; false if the epoch is not the current one. */
-    public boolean sendFrom(int sendEpoch, int from) {
+    public boolean startSending(int sendEpoch, int from) {
         if (sendEpoch != epoch || from < 0) {
             return false;
         }
@@ -218,25 +218,25 @@
     }
 
     /** Sends everything of this epoch again, since frames in transit may be lost when a link breaks. */
-    public void sendAgain() {
+    public void resendAll() {
         sendNext = sendStart;
     }
 
-    /** Returns the next outputs to send, at most {@code max}; call {@link #sent} once they are written to the link. */
-    public Optional<StepSend> nextSend(int max) {
+    /** Returns the next outputs to send, at most {@code max}; call {@link #markSent} once they are written to the link. */
+    public Optional<OutputBatch> nextSend(int max) {
         if (sendNext == NOT_STARTED || sendNext >= position) {
             return Optional.empty();
         }
         int end = Math.min(position, sendNext + max);
-        return Optional.of(new StepSend(sendNext, outputs.copy(sendNext, end)));
+        return Optional.of(new OutputBatch(sendNext, outputs.copy(sendNext, end)));
     }
 
     /** Records that outputs were written to the link. */
-    public void sent(StepSend send) {
+    public void markSent(OutputBatch send) {
         sendNext = send.position() + send.outputs().length;
     }
 
-    /** Whether {@link #sendFrom(int, int)} was called in this epoch. */
+    /** Whether {@link #startSending(int, int)} was called in this epoch. */
     public boolean isSending() {
         return sendNext != NOT_STARTED;
     }
@@ -261,6 +261,6 @@
 
     /** Whether the end token has reached the first stage, or the stage has run its last position. */
     public boolean isEnded() {
-        return ended || position >= shape.limit();
+        return ended || position >= spec.positionLimit();
     }
 }
--- a/core/src/main/java/org/cornelramp/core/step/StageShape.java
+++ b/core/src/main/java/org/cornelramp/core/step/StageSpec.java
@@ -11,11 +11,11 @@
  * @param promptTokens number of tokens of the prompt
  * @param maxTokens maximum number of tokens to generate
  */
-public record StageShape(int stage, int stages, int promptTokens, int maxTokens) {
+public record StageSpec(int stage, int stages, int promptTokens, int maxTokens) {
     /** The generated token that ends an answer. */
     public static final long END_TOKEN = 0;
 
-    public StageShape {
+    public StageSpec {
         if (stage < 0 || stage >= stages || promptTokens < 1 || maxTokens < 1) {
             throw new IllegalArgumentException(
                     "A stage needs 0 <= stage < stages, a prompt token and a token to generate");
@@ -33,7 +33,7 @@
     }
 
     /** The position after the last one that is run: the last generated token is not fed back as an input. */
-    public int limit() {
+    public int positionLimit() {
         return promptTokens + maxTokens - 1;
     }
 
--- a/core/src/main/java/org/cornelramp/core/table/FoldedTable.java
+++ b/core/src/main/java/org/cornelramp/core/table/FoldedTable.java
@@ -95,7 +95,7 @@
     }
 
     /** Returns this table at another offset that is not lower, with the same rows. */
-    public FoldedTable at(long newOffset) {
+    public FoldedTable atOffset(long newOffset) {
         if (newOffset < offset) {
             throw new IllegalArgumentException("The offset of a table must not decrease");
         }
--- a/core/src/main/java/org/cornelramp/core/table/Verdict.java
+++ b/core/src/main/java/org/cornelramp/core/table/RecordOutcome.java
@@ -10,7 +10,7 @@
  *     record names no row
  * @param detail reason and remedy, as one sentence; empty if accepted
  */
-public record Verdict(Kind kind, long version, String detail) {
+public record RecordOutcome(Kind kind, long version, String detail) {
 
     /** The possible results. */
     public enum Kind {
--- a/core/src/main/java/org/cornelramp/core/table/RowChecks.java
+++ b/core/src/main/java/org/cornelramp/core/table/RowChecks.java
@@ -30,7 +30,7 @@
     private RowChecks() {}
 
     /** Returns every fault in a row's values; empty if they are valid. */
-    public static List<ColumnFault> check(RowValues values) {
+    public static List<ColumnFault> validate(RowValues values) {
         List<ColumnFault> faults = new ArrayList<>();
         checkRange(faults, "weight", values.weight(), 1, MAX_WEIGHT);
         checkRange(faults, "priority", values.priority(), 0, MAX_PRIORITY);
--- a/core/src/main/java/org/cornelramp/core/table/RowHistory.java
+++ b/core/src/main/java/org/cornelramp/core/table/RowHistory.java
@@ -18,19 +18,19 @@
  * <p>Immutable, safe for use by any thread.
  */
 public final class RowHistory {
-    private final List<Entry> edits;
+    private final List<LoggedEdit> edits;
     private final Set<Long> acceptedOffsets;
 
     /**
      * One edit of the row.
      *
      * @param offset offset of its record
-     * @param at time at which the log appended it, in milliseconds since 1970
+     * @param appendedAtMillis time at which the log appended it, in milliseconds since 1970
      * @param edit the edit
      */
-    public record Entry(long offset, long at, TableEdit edit) {}
+    public record LoggedEdit(long offset, long appendedAtMillis, TableEdit edit) {}
 
-    private RowHistory(List<Entry> edits, Set<Long> acceptedOffsets) {
+    private RowHistory(List<LoggedEdit> edits, Set<Long> acceptedOffsets) {
         this.edits = edits;
         this.acceptedOffsets = acceptedOffsets;
     }
@@ -43,14 +43,14 @@
      * @param records consecutive records of the log, for all rows
      */
     public static RowHistory of(FoldedTable table, RowKey key, List<LoggedRecord> records) {
-        List<Entry> edits = records.stream()
+        List<LoggedEdit> edits = records.stream()
                 .filter(record -> record.offset() < table.offset())
                 .flatMap(record -> TableRecords.readEdit(record.value()).stream()
                         .filter(edit -> edit.key().equals(key))
-                        .map(edit -> new Entry(record.offset(), record.at(), edit)))
+                        .map(edit -> new LoggedEdit(record.offset(), record.appendedAtMillis(), edit)))
                 .toList();
         Map<Long, Long> baseVersions = new HashMap<>();
-        edits.forEach(entry -> baseVersions.put(entry.offset(), entry.edit().against()));
+        edits.forEach(entry -> baseVersions.put(entry.offset(), entry.edit().baseVersion()));
         Set<Long> acceptedOffsets = new HashSet<>();
         long version = table.version(key);
         // Versions decrease along the list; the check of add() prevents an endless loop on a faulty record that names a
@@ -62,7 +62,7 @@
     }
 
     /** The edits of the row, oldest first. */
-    public List<Entry> edits() {
+    public List<LoggedEdit> edits() {
         return edits;
     }
 
@@ -75,8 +75,8 @@
      * The edit with an id. The log may hold an edit more than once, since an append is repeated after its answer was
      * lost; then the accepted one is returned.
      */
-    public Optional<Entry> find(String id) {
-        List<Entry> found =
+    public Optional<LoggedEdit> find(String id) {
+        List<LoggedEdit> found =
                 edits.stream().filter(entry -> entry.edit().id().equals(id)).toList();
         return found.stream()
                 .filter(entry -> isAccepted(entry.offset()))
@@ -85,9 +85,9 @@
     }
 
     /** The accepted edit with a base version, if it is among the records. */
-    public Optional<Entry> winnerAgainst(long version) {
+    public Optional<LoggedEdit> acceptedEditWithBase(long version) {
         return edits.stream()
-                .filter(entry -> isAccepted(entry.offset()) && entry.edit().against() == version)
+                .filter(entry -> isAccepted(entry.offset()) && entry.edit().baseVersion() == version)
                 .findFirst();
     }
 }
--- a/core/src/main/java/org/cornelramp/core/table/TableCsv.java
+++ b/core/src/main/java/org/cornelramp/core/table/TableCsv.java
@@ -155,7 +155,7 @@
                 line.readWholeNumber("deadlineMillis", 1),
                 line.readDouble("objectivePercent", 1),
                 parseKeys(line.fields().get("callerKeyHashes")));
-        RowChecks.check(values).forEach(fault -> line.addFault(fault.column(), fault.remedy()));
+        RowChecks.validate(values).forEach(fault -> line.addFault(fault.column(), fault.remedy()));
         return new Row(new RowKey(organisation, service), version, values);
     }
 
--- a/core/src/main/java/org/cornelramp/core/table/TableEdit.java
+++ b/core/src/main/java/org/cornelramp/core/table/TableEdit.java
@@ -7,8 +7,8 @@
  *
  * @param id identifies this edit, so that its author finds it on the log after a lost answer
  * @param key the row
- * @param against version of the row that the edit is based on; {@link FoldedTable#NO_VERSION} if it never existed
+ * @param baseVersion version of the row that the edit is based on; {@link FoldedTable#NO_VERSION} if it never existed
  * @param values the new columns; empty to delete the row
- * @param by author of the edit
+ * @param author author of the edit
  */
-public record TableEdit(String id, RowKey key, long against, Optional<RowValues> values, String by) {}
+public record TableEdit(String id, RowKey key, long baseVersion, Optional<RowValues> values, String author) {}
--- a/core/src/main/java/org/cornelramp/core/table/TableFold.java
+++ b/core/src/main/java/org/cornelramp/core/table/TableFold.java
@@ -26,13 +26,15 @@
         if (offset != table.offset()) {
             throw new IllegalArgumentException("Records must be folded in log order without gaps");
         }
-        FoldedTable next = table.at(offset + 1);
+        FoldedTable next = table.atOffset(offset + 1);
         Optional<TableEdit> edit = TableRecords.readEdit(record);
         if (edit.isEmpty()) {
             return new FoldResult(
-                    next, new Verdict(Verdict.Kind.IGNORED, FoldedTable.NO_VERSION, "The record is not an edit."));
+                    next,
+                    new RecordOutcome(
+                            RecordOutcome.Kind.IGNORED, FoldedTable.NO_VERSION, "The record is not an edit."));
         }
-        return judge(table, edit.get())
+        return findRejection(table, edit.get())
                 .map(rejection -> new FoldResult(next, rejection))
                 .orElseGet(() -> accept(table, next, offset, edit.get()));
     }
@@ -41,20 +43,21 @@
      * Why an edit would be rejected as the next record; empty if it would be accepted. The result may differ from that
      * of the fold if the table is behind the log.
      */
-    public static Optional<Verdict> judge(FoldedTable table, TableEdit edit) {
+    public static Optional<RecordOutcome> findRejection(FoldedTable table, TableEdit edit) {
         long version = table.version(edit.key());
-        if (edit.against() != version) {
-            return Optional.of(new Verdict(Verdict.Kind.LOST_RACE, version, lostRaceDetail(table, edit, version)));
+        if (edit.baseVersion() != version) {
+            return Optional.of(
+                    new RecordOutcome(RecordOutcome.Kind.LOST_RACE, version, lostRaceDetail(table, edit, version)));
         }
-        List<ColumnFault> faults = edit.values().map(RowChecks::check).orElse(List.of());
+        List<ColumnFault> faults = edit.values().map(RowChecks::validate).orElse(List.of());
         if (!faults.isEmpty()) {
-            return Optional.of(new Verdict(
-                    Verdict.Kind.OUT_OF_RANGE, version, faults.get(0).toString()));
+            return Optional.of(new RecordOutcome(
+                    RecordOutcome.Kind.OUT_OF_RANGE, version, faults.get(0).toString()));
         }
         return edit.values()
                 .flatMap(values -> ownerOfTakenKey(table, edit.key().organisation(), values))
-                .map(owner -> new Verdict(
-                        Verdict.Kind.KEY_TAKEN,
+                .map(owner -> new RecordOutcome(
+                        RecordOutcome.Kind.KEY_TAKEN,
                         version,
                         "A caller key of this row already belongs to organisation " + owner
                                 + "; give each organisation its own keys."));
@@ -72,12 +75,12 @@
     private static String lostRaceDetail(FoldedTable table, TableEdit edit, long version) {
         String state = table.row(edit.key()).isPresent() ? "is at version " : "was deleted at version ";
         String description = version == FoldedTable.NO_VERSION ? "does not exist" : state + version;
-        return "The edit was made against version " + edit.against() + " and the row " + description
+        return "The edit was made against version " + edit.baseVersion() + " and the row " + description
                 + "; read the row again and edit that.";
     }
 
     private static FoldResult accept(FoldedTable table, FoldedTable next, long offset, TableEdit edit) {
-        Verdict outcome = new Verdict(Verdict.Kind.ACCEPTED, offset, "");
+        RecordOutcome outcome = new RecordOutcome(RecordOutcome.Kind.ACCEPTED, offset, "");
         if (edit.values().isPresent()) {
             return new FoldResult(
                     next.with(new Row(edit.key(), offset, edit.values().get())), outcome);
@@ -87,7 +90,9 @@
                 ? new FoldResult(next.withDeletion(edit.key(), offset), outcome)
                 : new FoldResult(
                         next,
-                        new Verdict(
-                                Verdict.Kind.IGNORED, table.version(edit.key()), "The row to delete does not exist."));
+                        new RecordOutcome(
+                                RecordOutcome.Kind.IGNORED,
+                                table.version(edit.key()),
+                                "The row to delete does not exist."));
     }
 }
--- a/core/src/main/java/org/cornelramp/core/table/TableReading.java
+++ b/core/src/main/java/org/cornelramp/core/table/TableReadState.java
@@ -15,7 +15,7 @@
  * <p>Has no side effects: each event returns a new state. Immutable, safe for use by any thread. Invariants: the
  * table's offset never decreases; no record at or above the table's offset has been folded.
  */
-public final class TableReading {
+public final class TableReadState {
     private final Phase phase;
     private final FoldedTable table;
     private final LogBounds bounds;
@@ -23,8 +23,8 @@
     private final long scanEnd;
     private final FoldedTable bestSnapshot;
     private final Optional<SnapshotPosition> newestSnapshot;
-    private final Optional<Long> firstAt;
-    private final int divergences;
+    private final Optional<Long> firstRecordMillis;
+    private final int divergentSnapshots;
 
     /** Phases of reading. */
     public enum Phase {
@@ -36,7 +36,7 @@
         STUCK
     }
 
-    private TableReading(
+    private TableReadState(
             Phase phase,
             FoldedTable table,
             LogBounds bounds,
@@ -53,14 +53,14 @@
         this.scanEnd = scanEnd;
         this.bestSnapshot = bestSnapshot;
         this.newestSnapshot = newestSnapshot;
-        this.firstAt = firstAt;
-        this.divergences = divergences;
+        this.firstRecordMillis = firstAt;
+        this.divergentSnapshots = divergences;
     }
 
     /** The state of a process that has just started. */
-    public static TableReading start() {
+    public static TableReadState start() {
         FoldedTable empty = FoldedTable.empty();
-        return new TableReading(
+        return new TableReadState(
                 Phase.TAIL,
                 empty,
                 new LogBounds(0, Long.MAX_VALUE),
@@ -93,13 +93,13 @@
     }
 
     /** Time at which the log appended the first record that was read, in milliseconds since 1970. */
-    public Optional<Long> firstAt() {
-        return firstAt;
+    public Optional<Long> firstRecordMillis() {
+        return firstRecordMillis;
     }
 
     /** Number of snapshots read that differ from the local fold of the same records; any above 0 indicates a bug. */
-    public int divergences() {
-        return divergences;
+    public int divergentSnapshots() {
+        return divergentSnapshots;
     }
 
     /** Offset of the next record to read. */
@@ -118,16 +118,16 @@
     }
 
     /** Returns the state after records were read from {@link #readFrom}. */
-    public TableReading onPage(LogBounds newBounds, List<LoggedRecord> records) {
+    public TableReadState onPage(LogBounds newBounds, List<LoggedRecord> records) {
         return phase == Phase.SCAN ? scan(newBounds, records) : fold(newBounds, records);
     }
 
     /** Returns the state after the log has reported that it no longer retains the record at {@link #readFrom}. */
-    public TableReading onGone(LogBounds newBounds) {
+    public TableReadState onRecordsGone(LogBounds newBounds) {
         if (phase != Phase.SCAN && table.offset() >= newBounds.oldest()) {
             return this;
         }
-        return new TableReading(
+        return new TableReadState(
                 Phase.SCAN,
                 table,
                 newBounds,
@@ -135,26 +135,27 @@
                 newBounds.next(),
                 table,
                 newestSnapshot,
-                firstAt,
-                divergences);
+                firstRecordMillis,
+                divergentSnapshots);
     }
 
     /** Returns the state after a peer's table was received; it is used only while the reading is stuck. */
-    public TableReading onPeerTable(FoldedTable peer) {
+    public TableReadState onPeerTable(FoldedTable peer) {
         if (phase != Phase.STUCK || peer.offset() <= table.offset()) {
             return this;
         }
-        return new TableReading(Phase.TAIL, peer, bounds, 0, 0, peer, newestSnapshot, firstAt, divergences);
+        return new TableReadState(
+                Phase.TAIL, peer, bounds, 0, 0, peer, newestSnapshot, firstRecordMillis, divergentSnapshots);
     }
 
-    private TableReading fold(LogBounds newBounds, List<LoggedRecord> records) {
+    private TableReadState fold(LogBounds newBounds, List<LoggedRecord> records) {
         FoldedTable folded = table;
         Optional<SnapshotPosition> position = newestSnapshot;
-        int divergent = divergences;
+        int divergent = divergentSnapshots;
         for (LoggedRecord record : records) {
             if (record.offset() > folded.offset()) {
                 return nextState(Phase.TAIL, folded, newBounds, position, records, divergent)
-                        .onGone(newBounds);
+                        .onRecordsGone(newBounds);
             }
             if (record.offset() == folded.offset()) {
                 divergent += isDivergent(record, folded) ? 1 : 0;
@@ -166,7 +167,7 @@
         return nextState(Phase.TAIL, folded, newBounds, position, records, divergent);
     }
 
-    private TableReading scan(LogBounds newBounds, List<LoggedRecord> records) {
+    private TableReadState scan(LogBounds newBounds, List<LoggedRecord> records) {
         FoldedTable bestFound = bestSnapshot;
         Optional<SnapshotPosition> position = newestSnapshot;
         long at = scanOffset;
@@ -177,7 +178,7 @@
         }
         boolean scanComplete = at >= scanEnd || records.isEmpty();
         if (!scanComplete) {
-            return new TableReading(
+            return new TableReadState(
                     Phase.SCAN,
                     table,
                     newBounds,
@@ -186,10 +187,10 @@
                     bestFound,
                     position,
                     firstRecordMillisAfter(records),
-                    divergences);
+                    divergentSnapshots);
         }
         boolean usable = bestFound.offset() >= newBounds.oldest();
-        return new TableReading(
+        return new TableReadState(
                 usable ? Phase.TAIL : Phase.STUCK,
                 usable ? bestFound : table,
                 newBounds,
@@ -198,17 +199,17 @@
                 FoldedTable.empty(),
                 position,
                 firstRecordMillisAfter(records),
-                divergences);
+                divergentSnapshots);
     }
 
-    private TableReading nextState(
+    private TableReadState nextState(
             Phase next,
             FoldedTable folded,
             LogBounds newBounds,
             Optional<SnapshotPosition> position,
             List<LoggedRecord> records,
             int divergent) {
-        return new TableReading(
+        return new TableReadState(
                 next,
                 folded,
                 newBounds,
@@ -221,37 +222,40 @@
     }
 
     private Optional<Long> firstRecordMillisAfter(List<LoggedRecord> records) {
-        return firstAt.or(() -> records.stream().findFirst().map(LoggedRecord::at));
+        return firstRecordMillis.or(() -> records.stream().findFirst().map(LoggedRecord::appendedAtMillis));
     }
 
     private static FoldedTable newerSnapshot(FoldedTable bestFound, LoggedRecord record, LogBounds newBounds) {
         return snapshotOf(record)
-                .filter(snapshot -> snapshot.covers() > bestFound.offset() && snapshot.covers() >= newBounds.oldest())
-                .flatMap(TableReading::decodeSnapshot)
+                .filter(snapshot ->
+                        snapshot.coveredOffset() > bestFound.offset() && snapshot.coveredOffset() >= newBounds.oldest())
+                .flatMap(TableReadState::decodeSnapshot)
                 .orElse(bestFound);
     }
 
     /** Drops a snapshot that claims to cover its own record or later ones: it cannot be a fold of earlier records. */
     private static Optional<TableRecords.SnapshotRecord> snapshotOf(LoggedRecord record) {
-        return TableRecords.readSnapshot(record.value()).filter(snapshot -> snapshot.covers() <= record.offset());
+        return TableRecords.readSnapshot(record.value())
+                .filter(snapshot -> snapshot.coveredOffset() <= record.offset());
     }
 
     private static Optional<FoldedTable> decodeSnapshot(TableRecords.SnapshotRecord snapshot) {
         Either<String, FoldedTable> read = TableSnapshotCodec.read(FoldedTable.empty(), snapshot.snapshot());
-        return read.toJavaOptional().filter(table -> table.offset() == snapshot.covers());
+        return read.toJavaOptional().filter(table -> table.offset() == snapshot.coveredOffset());
     }
 
     /** Whether the record is a snapshot at the same offset as the folded table but with other contents. */
     private static boolean isDivergent(LoggedRecord record, FoldedTable folded) {
         return snapshotOf(record)
-                .filter(snapshot -> snapshot.covers() == folded.offset())
-                .flatMap(TableReading::decodeSnapshot)
+                .filter(snapshot -> snapshot.coveredOffset() == folded.offset())
+                .flatMap(TableReadState::decodeSnapshot)
                 .filter(table -> !table.equals(folded))
                 .isPresent();
     }
 
     private static Optional<SnapshotPosition> positionOf(LoggedRecord record) {
-        return snapshotOf(record).map(snapshot -> new SnapshotPosition(snapshot.covers(), record.at()));
+        return snapshotOf(record)
+                .map(snapshot -> new SnapshotPosition(snapshot.coveredOffset(), record.appendedAtMillis()));
     }
 
     private static Optional<SnapshotPosition> newerPosition(
--- a/core/src/main/java/org/cornelramp/core/table/TableRecords.java
+++ b/core/src/main/java/org/cornelramp/core/table/TableRecords.java
@@ -24,7 +24,7 @@
     private TableRecords() {}
 
     /** A table snapshot in a record, with the offset of its table. */
-    public record SnapshotRecord(long covers, byte[] snapshot) {}
+    public record SnapshotRecord(long coveredOffset, byte[] snapshot) {}
 
     /** Writes an edit as a record. */
     public static ObjectNode writeEdit(TableEdit edit) {
@@ -33,9 +33,9 @@
         node.put("id", edit.id());
         node.put("organisation", edit.key().organisation().value());
         node.put("service", edit.key().service().value());
-        node.put("against", edit.against());
+        node.put("against", edit.baseVersion());
         node.set("values", edit.values().map(TableRecords::writeValues).orElse(null));
-        node.put("by", edit.by());
+        node.put("by", edit.author());
         return node;
     }
 
@@ -61,7 +61,7 @@
     public static ObjectNode writeSnapshot(SnapshotRecord snapshot, String by) {
         ObjectNode node = JsonNodeFactory.instance.objectNode();
         node.put(TYPE, SNAPSHOT);
-        node.put("covers", snapshot.covers());
+        node.put("covers", snapshot.coveredOffset());
         node.put("table", snapshot.snapshot());
         node.put("by", by);
         return node;
--- a/core/src/main/java/org/cornelramp/core/table/TableSnapshotCodec.java
+++ b/core/src/main/java/org/cornelramp/core/table/TableSnapshotCodec.java
@@ -44,11 +44,11 @@
 
     /** Writes the whole table. */
     public static byte[] write(FoldedTable table) {
-        return writeAbove(table, 0);
+        return writeChangesSince(table, 0);
     }
 
     /** Writes the changes at and above an offset; the whole table for offset 0. */
-    public static byte[] writeAbove(FoldedTable table, long above) {
+    public static byte[] writeChangesSince(FoldedTable table, long above) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator(new GZIPOutputStream(bytes))) {
             out.writeStartObject();
@@ -101,7 +101,7 @@
 
         void addRow(JsonNode node) {
             RowValues values = TableRecords.readValues(node.path("values"));
-            if (!RowChecks.check(values).isEmpty()) {
+            if (!RowChecks.validate(values).isEmpty()) {
                 throw new IllegalArgumentException("A row has values out of their ranges");
             }
             rows.add(new Row(key(node), readLong(node.path("version")), interner.values(values)));
@@ -180,7 +180,7 @@
         for (Row row : content.rows) {
             table = table.with(row);
         }
-        return Either.right(table.at(content.offset));
+        return Either.right(table.atOffset(content.offset));
     }
 
     private static ObjectNode keyNode(RowKey key, long version) {
--- a/core/src/main/java/org/cornelramp/core/text/Vocabulary.java
+++ b/core/src/main/java/org/cornelramp/core/text/Tokenizer.java
@@ -9,14 +9,14 @@
  * <p>A prompt token is the value of one UTF-8 byte plus 1, so that no prompt contains the end token. Stateless, safe
  * for use by any thread.
  */
-public final class Vocabulary {
+public final class Tokenizer {
     /** The token that ends an answer. */
-    public static final int END = 0;
+    public static final int END_TOKEN = 0;
 
     private static final int RADIX = 36;
     private static final int BYTE_MASK = 0xff;
 
-    private Vocabulary() {}
+    private Tokenizer() {}
 
     /** Returns the tokens of a prompt: of the contents of its messages, joined by newlines. */
     public static long[] encode(List<String> contents) {
@@ -28,8 +28,8 @@
         return tokens;
     }
 
-    /** Returns the text of one generated token; empty for {@link #END}. */
-    public static String render(int token) {
-        return token == END ? "" : "w" + Integer.toString(token, RADIX) + " ";
+    /** Returns the text of one generated token; empty for {@link #END_TOKEN}. */
+    public static String decode(int token) {
+        return token == END_TOKEN ? "" : "w" + Integer.toString(token, RADIX) + " ";
     }
 }
--- a/core/src/test/java/org/cornelramp/core/route/ChooserProperties.java
+++ b/core/src/test/java/org/cornelramp/core/route/ChooserProperties.java
@@ -16,7 +16,7 @@
 
 /** For any fleet, a chosen chain covers every layer once, in order, with one version of the model. */
 class ChooserProperties {
-    private static final Work WORK = TestFleets.modelRequest(100, 20, Duration.ofHours(10));
+    private static final RoutingRequest WORK = TestFleets.modelRequest(100, 20, Duration.ofHours(10));
 
     @Property(seed = "7101", tries = 400)
     void chainsCoverAllLayersWheneverTheFleetDoes(
@@ -35,7 +35,8 @@
     void excludedAgentIsNeverChosen(@ForAll long seed, @ForAll ChoicePolicy policy) {
         List<Candidate> fleet = TestFleets.randomFleet(new Random(seed), 30, 4);
         Candidate avoided = fleet.get(7);
-        Work request = new Work(TestFleets.MODEL, 10, 10, WORK.deadline(), "", java.util.Set.of(avoided.incarnation()));
+        RoutingRequest request = new RoutingRequest(
+                TestFleets.MODEL, 10, 10, WORK.deadline(), "", java.util.Set.of(avoided.incarnation()));
         choose(policy, fleet, request, seed).peek(c -> assertTrue(!c.stages().contains(avoided)));
     }
 
@@ -46,15 +47,16 @@
         Duration budget = Duration.ofMillis(budgetMillis);
         Either<Problem, Choice> choice =
                 choose(ChoicePolicy.EXPECTED_COMPLETION, fleet, TestFleets.modelRequest(500, 100, budget), seed);
-        choice.peek(c -> assertTrue(c.expected().compareTo(budget) <= 0));
+        choice.peek(c -> assertTrue(c.expectedTime().compareTo(budget) <= 0));
         choice.peekLeft(p -> {
             boolean retryable = p.kind() == ProblemKind.OVERLOADED || p.kind() == ProblemKind.NO_BACKEND_SERVER;
             assertEquals(retryable, !p.retryAfter().isZero());
         });
     }
 
-    private static Either<Problem, Choice> choose(ChoicePolicy policy, List<Candidate> fleet, Work request, long seed) {
-        Chooser chooser = policy.chooser(PrefixHints.NONE);
+    private static Either<Problem, Choice> choose(
+            ChoicePolicy policy, List<Candidate> fleet, RoutingRequest request, long seed) {
+        Chooser chooser = policy.newChooser(PrefixHints.NONE);
         return chooser.choose(
                 fleet, request, TestFleets.HERE, StaticLinkCosts.DEFAULTS, TestFleets.NOW, new Random(seed));
     }
--- a/core/src/test/java/org/cornelramp/core/route/ExpectedCompletionChooserTest.java
+++ b/core/src/test/java/org/cornelramp/core/route/ExpectedCompletionChooserTest.java
@@ -46,7 +46,8 @@
         Candidate uncached = TestFleets.stage("cold", 0, 4, 4, TestFleets.load(0, 1_000));
         Candidate cached = TestFleets.stage("warm", 0, 4, 4, TestFleets.load(300, 1_000));
         PrefixHints hints = PrefixHints.NONE.withCached("p", cached.incarnation(), TestFleets.NOW);
-        Work request = new Work(TestFleets.MODEL, 1_000, 1, TestFleets.NOW.plus(LONG), "p", Set.of());
+        RoutingRequest request =
+                new RoutingRequest(TestFleets.MODEL, 1_000, 1, TestFleets.NOW.plus(LONG), "p", Set.of());
         Chooser chooser = new ExpectedCompletionChooser(hints);
         assertEquals(mostOftenChosen(chooser, List.of(uncached, cached), request), cached);
     }
@@ -86,11 +87,11 @@
         assertEquals(p.retryAfter(), Duration.ZERO);
     }
 
-    private static Candidate mostOftenChosen(List<Candidate> fleet, Work request) {
+    private static Candidate mostOftenChosen(List<Candidate> fleet, RoutingRequest request) {
         return mostOftenChosen(new ExpectedCompletionChooser(PrefixHints.NONE), fleet, request);
     }
 
-    private static Candidate mostOftenChosen(Chooser chooser, List<Candidate> fleet, Work request) {
+    private static Candidate mostOftenChosen(Chooser chooser, List<Candidate> fleet, RoutingRequest request) {
         int first = 0;
         Random random = new Random(5);
         for (int i = 0; i < 100; i++) {
@@ -101,7 +102,7 @@
         return fleet.get(first > 50 ? 0 : 1);
     }
 
-    private static Either<Problem, Choice> choose(List<Candidate> fleet, Work request, long seed) {
+    private static Either<Problem, Choice> choose(List<Candidate> fleet, RoutingRequest request, long seed) {
         return new ExpectedCompletionChooser(PrefixHints.NONE)
                 .choose(fleet, request, TestFleets.HERE, StaticLinkCosts.DEFAULTS, TestFleets.NOW, new Random(seed));
     }
--- a/core/src/test/java/org/cornelramp/core/route/MixedFleet.java
+++ b/core/src/test/java/org/cornelramp/core/route/MixedFleet.java
@@ -37,7 +37,7 @@
             engines.add(new Engine(BASE_STEP_MILLIS[i % BASE_STEP_MILLIS.length]));
         }
         for (int i = 0; i < entryCount; i++) {
-            entries.add(new Entry(policy.chooser(PrefixHints.NONE), size));
+            entries.add(new Entry(policy.newChooser(PrefixHints.NONE), size));
         }
     }
 
@@ -92,7 +92,7 @@
                     entry.outstandingCalls[i],
                     1));
         }
-        Work request = new Work(TestFleets.MODEL, 0, tokens, now.plus(budget), "", Set.of());
+        RoutingRequest request = new RoutingRequest(TestFleets.MODEL, 0, tokens, now.plus(budget), "", Set.of());
         entry.chooser
                 .choose(candidates, request, TestFleets.HERE, StaticLinkCosts.DEFAULTS, now, random)
                 .peek(choice -> {
--- a/core/src/test/java/org/cornelramp/core/route/TestFleets.java
+++ b/core/src/test/java/org/cornelramp/core/route/TestFleets.java
@@ -42,12 +42,12 @@
         return new AgentLoad(queuedTokens == 0 ? 0 : 1, 0, queuedTokens, tokensPerSecond, 0, 1);
     }
 
-    static Work modelRequest(int prompt, int tokens, Duration budget) {
-        return new Work(MODEL, prompt, tokens, NOW.plus(budget), "", Set.of());
+    static RoutingRequest modelRequest(int prompt, int tokens, Duration budget) {
+        return new RoutingRequest(MODEL, prompt, tokens, NOW.plus(budget), "", Set.of());
     }
 
-    static Work bookingRequest(Duration budget) {
-        return new Work(BOOKING, 0, 0, NOW.plus(budget), "", Set.of());
+    static RoutingRequest bookingRequest(Duration budget) {
+        return new RoutingRequest(BOOKING, 0, 0, NOW.plus(budget), "", Set.of());
     }
 
     /** Stages with random layer ranges of a model, of two versions; the ranges may leave gaps. */
--- a/core/src/test/java/org/cornelramp/core/routing/RoutingConfigTest.java
+++ b/core/src/test/java/org/cornelramp/core/routing/RoutingConfigTest.java
@@ -39,8 +39,8 @@
 
     @Test
     public void onlyAnonymousRoutesRequireNoKey() {
-        assertTrue(CONFIG.needsKey(CONFIG.route("a.example", "/x/1").orElseThrow()));
-        assertFalse(CONFIG.needsKey(CONFIG.route("a.example", "/x/y/1").orElseThrow()));
+        assertTrue(CONFIG.requiresKey(CONFIG.route("a.example", "/x/1").orElseThrow()));
+        assertFalse(CONFIG.requiresKey(CONFIG.route("a.example", "/x/y/1").orElseThrow()));
         assertEquals(CONFIG.organisation("key").orElseThrow().id(), new OrganisationId("org"));
         assertEquals(CONFIG.organisation("gone"), Optional.empty());
     }
--- a/core/src/test/java/org/cornelramp/core/session/PipelineSessionProperties.java
+++ b/core/src/test/java/org/cornelramp/core/session/PipelineSessionProperties.java
@@ -33,17 +33,17 @@
     @Property(seed = "72", tries = 500)
     boolean olderEpochsChangeNothing(@ForAll @IntRange(min = 1, max = 6) int rebuilds) {
         PipelineSession session = new PipelineSession(new long[PROMPT], 8, 8);
-        session.use(stages(0));
+        session.assignStages(stages(0));
         for (int i = 1; i <= rebuilds; i++) {
-            session.lost(session.epoch(), 1, lostProblem());
-            session.use(stages(i));
+            session.onLost(session.epoch(), 1, lostProblem());
+            session.assignStages(stages(i));
         }
         int before = session.generatedTokens();
         List<SessionAction> actions = new ArrayList<>();
         for (int old = 0; old < session.epoch(); old++) {
-            actions.addAll(session.generated(old, PROMPT - 1, new int[] {9}));
-            actions.addAll(session.opened(old, 0, 3));
-            actions.addAll(session.lost(old, 0, lostProblem()));
+            actions.addAll(session.onGenerated(old, PROMPT - 1, new int[] {9}));
+            actions.addAll(session.onOpened(old, 0, 3));
+            actions.addAll(session.onLost(old, 0, lostProblem()));
         }
         return actions.isEmpty() && session.generatedTokens() == before && session.epoch() == rebuilds + 1;
     }
@@ -85,21 +85,21 @@
         }
 
         void run() {
-            apply(session.use(stages(nextIncarnation++)));
+            apply(session.assignStages(stages(nextIncarnation++)));
             for (int i = 0; i < 400 && !session.isEnded(); i++) {
                 if (random.nextInt(25) == 0) {
-                    apply(session.lost(session.epoch(), random.nextInt(STAGES), lostProblem()));
+                    apply(session.onLost(session.epoch(), random.nextInt(STAGES), lostProblem()));
                 } else if (random.nextInt(40) == 0) {
                     Incarnation agent = session.stages().get(random.nextInt(STAGES));
                     apply(
                             random.nextBoolean()
-                                    ? session.lost(agent, lostProblem())
-                                    : session.unlinked(agent, lostProblem()));
+                                    ? session.onLost(agent, lostProblem())
+                                    : session.onLinkLost(agent, lostProblem()));
                 } else {
                     deliver();
                 }
             }
-            apply(session.generated(session.epoch(), PROMPT - 1, new int[] {5}));
+            apply(session.onGenerated(session.epoch(), PROMPT - 1, new int[] {5}));
         }
 
         boolean isCorrect() {
@@ -130,7 +130,7 @@
                     for (int token : emit.tokens()) {
                         emitted.add(token);
                     }
-                } else if (action instanceof SessionAction.Rechoose) {
+                } else if (action instanceof SessionAction.SelectStages) {
                     rechoose();
                 } else if (action instanceof SessionAction.Finish) {
                     finished = true;
@@ -145,7 +145,7 @@
             for (int i = 0; i < STAGES; i++) {
                 int stage = i;
                 int position = positions.computeIfAbsent(open.stages().get(i), key -> 0);
-                queue(open.epoch(), () -> apply(session.opened(open.epoch(), stage, position)));
+                queue(open.epoch(), () -> apply(session.onOpened(open.epoch(), stage, position)));
             }
         }
 
@@ -159,7 +159,7 @@
                     tokens[i] = expectedToken(next + i - (PROMPT - 1));
                 }
                 int position = next;
-                Runnable token = () -> apply(session.generated(from.epoch(), position, tokens));
+                Runnable token = () -> apply(session.onGenerated(from.epoch(), position, tokens));
                 queue(from.epoch(), token);
                 if (random.nextInt(6) == 0) {
                     queue(from.epoch(), token);
@@ -171,14 +171,14 @@
         private void rechoose() {
             List<Incarnation> next = new ArrayList<>(session.stages());
             for (int i = 0; i < STAGES; i++) {
-                if (session.failed().contains(next.get(i))) {
+                if (session.failedAgents().contains(next.get(i))) {
                     next.set(i, new Incarnation(new BackendServerId("s" + i), nextIncarnation++));
                 }
             }
             if (random.nextInt(10) == 0) {
-                apply(session.giveUp(lostProblem()));
+                apply(session.fail(lostProblem()));
             } else {
-                apply(session.use(next));
+                apply(session.assignStages(next));
             }
         }
 
--- a/core/src/test/java/org/cornelramp/core/step/PipelineSimulation.java
+++ b/core/src/test/java/org/cornelramp/core/step/PipelineSimulation.java
@@ -104,7 +104,7 @@
             if (nodes[i] == null) {
                 nodes[i] = new StageNode(new StageSession(spec(i), epoch), new Engine(i), i);
             }
-            nodes[i].session.open(epoch);
+            nodes[i].session.openEpoch(epoch);
             openedPositions[i] = nodes[i].session.position();
         }
         for (int i = 0; i < stages; i++) {
@@ -114,8 +114,8 @@
         fromEntry.get(0).add(new Frame(0, epoch, openedPositions[0], knownInputs(openedPositions[0])));
     }
 
-    private StageShape spec(int stage) {
-        return new StageShape(stage, stages, prompt.length, maxTokens);
+    private StageSpec spec(int stage) {
+        return new StageSpec(stage, stages, prompt.length, maxTokens);
     }
 
     private long[] knownInputs(int from) {
@@ -131,17 +131,17 @@
     private void cutLink(int stage) {
         delayed.addAll(fromNeighbour.get(stage));
         fromNeighbour.get(stage).clear();
-        nodes[(stage + stages - 1) % stages].session.sendAgain();
+        nodes[(stage + stages - 1) % stages].session.resendAll();
     }
 
     private void deliver(List<Frame> queue, int stage) {
         if (!queue.isEmpty()) {
             Frame frame = queue.remove(0);
             if (frame.values == null) {
-                nodes[stage].session.sendFrom(frame.epoch, frame.position);
+                nodes[stage].session.startSending(frame.epoch, frame.position);
             } else {
-                StepVerdict acceptance = nodes[stage].session.accept(frame.epoch, frame.position, frame.values);
-                if (acceptance == StepVerdict.GAP) {
+                StepAcceptance acceptance = nodes[stage].session.accept(frame.epoch, frame.position, frame.values);
+                if (acceptance == StepAcceptance.OUT_OF_RANGE) {
                     throw new AssertionError("Inputs out of range on an ordered link at stage " + stage);
                 }
             }
@@ -155,8 +155,8 @@
                 ? delayed.get(selector % delayed.size())
                 : queue.isEmpty() ? null : queue.get(0);
         if (frame != null && frame.values != null) {
-            StepVerdict acceptance = nodes[frame.stage].session.accept(frame.epoch, frame.position, frame.values);
-            if (acceptance == StepVerdict.GAP) {
+            StepAcceptance acceptance = nodes[frame.stage].session.accept(frame.epoch, frame.position, frame.values);
+            if (acceptance == StepAcceptance.OUT_OF_RANGE) {
                 throw new AssertionError("A late step counts as out of range, so the stage would be given up");
             }
         }
@@ -175,19 +175,19 @@
     private void finishRun(int stage) {
         StageNode node = nodes[stage];
         if (node.currentRun != null) {
-            node.session.ran(node.engine.run(node.currentRun));
+            node.session.completeRun(node.engine.run(node.currentRun));
             node.currentRun = null;
         }
     }
 
     private void send(int stage) {
         StageSession session = nodes[stage].session;
-        Optional<StepSend> next = session.nextSend(MAX_SEND);
+        Optional<OutputBatch> next = session.nextSend(MAX_SEND);
         if (next.isEmpty()) {
             return;
         }
-        StepSend send = next.get();
-        session.sent(send);
+        OutputBatch send = next.get();
+        session.markSent(send);
         if (stage + 1 < stages) {
             fromNeighbour.get(stage + 1).add(new Frame(stage + 1, session.epoch(), send.position(), send.outputs()));
             return;
@@ -228,7 +228,7 @@
     }
 
     private boolean isComplete() {
-        return tokens.size() == maxTokens || tokens.containsValue(StageShape.END_TOKEN);
+        return tokens.size() == maxTokens || tokens.containsValue(StageSpec.END_TOKEN);
     }
 
     /** The tokens up to the end of the answer, as the caller receives them. */
@@ -236,7 +236,7 @@
         List<Long> answer = new ArrayList<>();
         for (int i = 0; i < maxTokens && tokens.containsKey(i); i++) {
             answer.add(tokens.get(i));
-            if (tokens.get(i) == StageShape.END_TOKEN) {
+            if (tokens.get(i) == StageSpec.END_TOKEN) {
                 break;
             }
         }
@@ -255,12 +255,12 @@
         while (answer.size() < maxTokens) {
             long[] values = inputs;
             for (Engine engine : engines) {
-                values = engine.run(new StepRun(position, values));
+                values = engine.run(new InputBatch(position, values));
             }
             position += inputs.length;
             inputs = new long[] {values[values.length - 1]};
             answer.add(inputs[0]);
-            if (inputs[0] == StageShape.END_TOKEN) {
+            if (inputs[0] == StageSpec.END_TOKEN) {
                 break;
             }
         }
@@ -273,7 +273,7 @@
     private static final class StageNode {
         final StageSession session;
         final Engine engine;
-        StepRun currentRun;
+        InputBatch currentRun;
 
         StageNode(StageSession session, Engine engine, int stage) {
             this.session = session;
@@ -301,7 +301,7 @@
             return copy;
         }
 
-        long[] run(StepRun run) {
+        long[] run(InputBatch run) {
             if (run.position() != position) {
                 throw new AssertionError(
                         "Stage " + stage + " was given position " + run.position() + " instead of " + position);
--- a/core/src/test/java/org/cornelramp/core/step/StaleStepTest.java
+++ b/core/src/test/java/org/cornelramp/core/step/StaleStepTest.java
@@ -11,43 +11,43 @@
  * outputs of the replacement may differ in the last bits and the KV cache would mix both.
  */
 public class StaleStepTest {
-    private static final StageShape MIDDLE = new StageShape(1, 3, 4, 8);
+    private static final StageSpec MIDDLE = new StageSpec(1, 3, 4, 8);
 
     @Test
     public void stepOfAnOldEpochChangesNothing() {
         StageSession stage = new StageSession(MIDDLE, 1);
         stage.accept(1, 0, new long[] {10, 11});
         stage.nextRun(9);
-        stage.ran(new long[] {20, 21});
-        stage.open(2);
+        stage.completeRun(new long[] {20, 21});
+        stage.openEpoch(2);
 
-        assertEquals(stage.accept(1, 2, new long[] {99}), StepVerdict.STALE);
+        assertEquals(stage.accept(1, 2, new long[] {99}), StepAcceptance.STALE);
         assertFalse(stage.isReady());
-        assertEquals(stage.accept(2, 2, new long[] {12}), StepVerdict.TAKEN);
+        assertEquals(stage.accept(2, 2, new long[] {12}), StepAcceptance.ACCEPTED);
         assertEquals(stage.nextRun(9).orElseThrow().inputs(), new long[] {12});
     }
 
     @Test
     public void resumedStageSendsNothingBeforeTheNewEpochStartsSending() {
         StageSession stage = new StageSession(MIDDLE, 1);
-        stage.sendFrom(1, 0);
+        stage.startSending(1, 0);
         stage.accept(1, 0, new long[] {10});
         stage.nextRun(9);
-        stage.open(2);
-        stage.ran(new long[] {20});
+        stage.openEpoch(2);
+        stage.completeRun(new long[] {20});
 
         assertFalse(stage.nextSend(9).isPresent(), "nothing may be sent before the new epoch sets the first position");
-        assertFalse(stage.sendFrom(1, 0));
-        stage.sendFrom(2, 0);
+        assertFalse(stage.startSending(1, 0));
+        stage.startSending(2, 0);
         assertEquals(stage.nextSend(9).orElseThrow().outputs(), new long[] {20});
     }
 
     @Test
     public void repeatedStepIsDroppedAndOverlapRunsOnlyItsNewPart() {
         StageSession stage = new StageSession(MIDDLE, 1);
-        assertEquals(stage.accept(1, 0, new long[] {10, 11}), StepVerdict.TAKEN);
-        assertEquals(stage.accept(1, 0, new long[] {10, 11}), StepVerdict.DUPLICATE);
-        assertEquals(stage.accept(1, 1, new long[] {11, 12}), StepVerdict.TAKEN);
+        assertEquals(stage.accept(1, 0, new long[] {10, 11}), StepAcceptance.ACCEPTED);
+        assertEquals(stage.accept(1, 0, new long[] {10, 11}), StepAcceptance.DUPLICATE);
+        assertEquals(stage.accept(1, 1, new long[] {11, 12}), StepAcceptance.ACCEPTED);
         assertEquals(stage.nextRun(9).orElseThrow().inputs(), new long[] {10, 11, 12});
     }
 }
--- a/core/src/test/java/org/cornelramp/core/table/InMemoryLog.java
+++ b/core/src/test/java/org/cornelramp/core/table/InMemoryLog.java
@@ -58,10 +58,10 @@
     }
 
     /** Reads one page, as a process does. */
-    TableReading read(TableReading state, int maxRecords) {
+    TableReadState read(TableReadState state, int maxRecords) {
         long from = state.readFrom();
         if (from < oldest) {
-            return state.onGone(bounds());
+            return state.onRecordsGone(bounds());
         }
         int end = (int) Math.min(next(), from + maxRecords);
         return state.onPage(bounds(), from >= end ? List.of() : records.subList((int) from, end));
@@ -72,6 +72,6 @@
         return oldest == 0
                 || records.subList((int) oldest, records.size()).stream()
                         .flatMap(record -> TableRecords.readSnapshot(record.value()).stream())
-                        .anyMatch(snapshot -> snapshot.covers() >= oldest);
+                        .anyMatch(snapshot -> snapshot.coveredOffset() >= oldest);
     }
 }
--- a/core/src/test/java/org/cornelramp/core/table/InvalidSnapshotTest.java
+++ b/core/src/test/java/org/cornelramp/core/table/InvalidSnapshotTest.java
@@ -23,10 +23,10 @@
     public void snapshotOfLaterRecordsIsRejected() {
         InMemoryLog log = new InMemoryLog();
         log.edit(0, 1);
-        append(log, 50, FoldedTable.empty().at(50));
+        append(log, 50, FoldedTable.empty().atOffset(50));
         log.oldest = 1;
-        TableReading state = log.read(log.read(TableReading.start(), 9), 9);
-        assertEquals(state.phase(), TableReading.Phase.STUCK);
+        TableReadState state = log.read(log.read(TableReadState.start(), 9), 9);
+        assertEquals(state.phase(), TableReadState.Phase.STUCK);
         assertEquals(state.table(), FoldedTable.empty());
     }
 
@@ -34,9 +34,9 @@
     public void snapshotThatDiffersFromTheFoldIsCounted() {
         InMemoryLog log = new InMemoryLog();
         log.edit(0, 1);
-        append(log, 1, FoldedTable.empty().at(1));
-        TableReading state = TableReading.start().onPage(log.bounds(), log.records);
-        assertEquals(state.divergences(), 1);
+        append(log, 1, FoldedTable.empty().atOffset(1));
+        TableReadState state = TableReadState.start().onPage(log.bounds(), log.records);
+        assertEquals(state.divergentSnapshots(), 1);
         assertEquals(state.table(), log.table());
     }
 
@@ -46,10 +46,10 @@
         log.append(TableRecords.writeSnapshot(new TableRecords.SnapshotRecord(0, new byte[] {1, 2}), "e1"), log.next());
         log.oldest = 1;
         log.edit(0, 1);
-        TableReading state = TableReading.start().onGone(log.bounds());
+        TableReadState state = TableReadState.start().onRecordsGone(log.bounds());
         assertEquals(
                 state.onPage(log.bounds(), List.copyOf(log.records.subList(1, 2)))
                         .phase(),
-                TableReading.Phase.STUCK);
+                TableReadState.Phase.STUCK);
     }
 }
--- a/core/src/test/java/org/cornelramp/core/table/RowHistoryProperties.java
+++ b/core/src/test/java/org/cornelramp/core/table/RowHistoryProperties.java
@@ -47,8 +47,9 @@
         for (LoggedRecord record : retained) {
             RowKey key = TableRecords.readEdit(record.value()).orElseThrow().key();
             RowHistory history = RowHistory.of(log.table(), key, retained);
-            Verdict outcome = TableFold.apply(log.tables.get((int) record.offset()), record.offset(), record.value())
-                    .verdict();
+            RecordOutcome outcome = TableFold.apply(
+                            log.tables.get((int) record.offset()), record.offset(), record.value())
+                    .outcome();
             assertEquals(history.isAccepted(record.offset()), outcome.isAccepted());
         }
     }
@@ -63,12 +64,12 @@
         FoldedTable before = log.table();
         log.append(first.value(), log.next());
         boolean wasAccepted = TableFold.apply(log.tables.get((int) first.offset()), first.offset(), first.value())
-                .verdict()
+                .outcome()
                 .isAccepted();
         RowHistory history = RowHistory.of(log.table(), edit.key(), log.records);
         if (wasAccepted) {
             assertEquals(history.find(edit.id()).orElseThrow().offset(), first.offset());
-            assertEquals(log.table(), before.at(log.next()));
+            assertEquals(log.table(), before.atOffset(log.next()));
         }
     }
 }
--- a/core/src/test/java/org/cornelramp/core/table/SnapshotScheduleTest.java
+++ b/core/src/test/java/org/cornelramp/core/table/SnapshotScheduleTest.java
@@ -28,28 +28,28 @@
         return log;
     }
 
-    private static TableReading readAll(InMemoryLog log) {
-        return log.read(TableReading.start(), Integer.MAX_VALUE / 2);
+    private static TableReadState readAll(InMemoryLog log) {
+        return log.read(TableReadState.start(), Integer.MAX_VALUE / 2);
     }
 
     @Test
     public void onlyFewOfManyEntriesWrite() {
         InMemoryLog log = logWithOldEdit();
-        TableReading oldState = readAll(log);
-        List<SnapshotPlan> schedules = new ArrayList<>();
+        TableReadState oldState = readAll(log);
+        List<SnapshotSchedule> schedules = new ArrayList<>();
         for (int i = 0; i < ENTRIES; i++) {
-            schedules.add(SnapshotPlan.start());
+            schedules.add(SnapshotSchedule.start());
         }
         int writers = 0;
         Instant firstWrite = Instant.MAX;
-        for (int ms = 0; ms <= SnapshotPlan.MAX_DELAY.toMillis() + STEP_MILLIS; ms += STEP_MILLIS) {
+        for (int ms = 0; ms <= SnapshotSchedule.MAX_DELAY.toMillis() + STEP_MILLIS; ms += STEP_MILLIS) {
             Instant now = START.plusMillis(ms);
             if (firstWrite.isBefore(now.minusMillis(READ_DELAY_MILLIS))) {
                 break; // every entry has read the first snapshot
             }
             for (int i = 0; i < ENTRIES; i++) {
-                SnapshotPlan.Step decision = schedules.get(i).look(oldState, MAX_AGE, "entry-" + i, now);
-                schedules.set(i, decision.plan());
+                SnapshotSchedule.Decision decision = schedules.get(i).evaluate(oldState, MAX_AGE, "entry-" + i, now);
+                schedules.set(i, decision.schedule());
                 writers += decision.write() ? 1 : 0;
                 firstWrite = decision.write() && firstWrite.isAfter(now) ? now : firstWrite;
             }
@@ -64,9 +64,10 @@
                 TableRecords.writeSnapshot(
                         new TableRecords.SnapshotRecord(1, TableSnapshotCodec.write(log.table())), "e1"),
                 START.toEpochMilli());
-        SnapshotPlan.Step decision = SnapshotPlan.start().look(readAll(log), MAX_AGE, "e2", START.plusSeconds(60));
+        SnapshotSchedule.Decision decision =
+                SnapshotSchedule.start().evaluate(readAll(log), MAX_AGE, "e2", START.plusSeconds(60));
         assertFalse(decision.write());
-        assertTrue(decision.plan().dueSince().isEmpty());
+        assertTrue(decision.schedule().dueSince().isEmpty());
     }
 
     @Test
@@ -77,20 +78,21 @@
                         new TableRecords.SnapshotRecord(1, TableSnapshotCodec.write(log.table())), "e1"),
                 START.toEpochMilli());
         Instant late = START.plus(MAX_AGE).plusMillis(1);
-        SnapshotPlan schedule =
-                SnapshotPlan.start().look(readAll(log), MAX_AGE, "e2", late).plan();
-        assertTrue(schedule.look(readAll(log), MAX_AGE, "e2", late.plus(SnapshotPlan.MAX_DELAY))
+        SnapshotSchedule schedule = SnapshotSchedule.start()
+                .evaluate(readAll(log), MAX_AGE, "e2", late)
+                .schedule();
+        assertTrue(schedule.evaluate(readAll(log), MAX_AGE, "e2", late.plus(SnapshotSchedule.MAX_DELAY))
                 .write());
     }
 
     @Test
     public void processThatHasNotReadToTheEndWritesNothing() {
         InMemoryLog log = logWithOldEdit();
-        TableReading partialState = TableReading.start().onPage(new LogBounds(0, 5), log.records);
+        TableReadState partialState = TableReadState.start().onPage(new LogBounds(0, 5), log.records);
         assertEquals(
-                SnapshotPlan.start()
-                        .look(partialState, MAX_AGE, "e2", START.plusSeconds(1))
-                        .plan()
+                SnapshotSchedule.start()
+                        .evaluate(partialState, MAX_AGE, "e2", START.plusSeconds(1))
+                        .schedule()
                         .dueSince()
                         .isEmpty(),
                 true);
--- a/core/src/test/java/org/cornelramp/core/table/TableCsvProperties.java
+++ b/core/src/test/java/org/cornelramp/core/table/TableCsvProperties.java
@@ -70,12 +70,12 @@
                     faults.forEach(fault -> assertTrue(fault.line() >= 1, fault.toString()));
                 })
                 .peek(rows -> rows.forEach(
-                        row -> assertEquals(RowChecks.check(row.row().values()), List.of())));
+                        row -> assertEquals(RowChecks.validate(row.row().values()), List.of())));
     }
 
     @Property(seed = "53", tries = 500)
     void garbageIsNoSnapshot(@ForAll byte[] bytes) {
-        FoldedTable base = FoldedTable.empty().at(7);
+        FoldedTable base = FoldedTable.empty().atOffset(7);
         assertTrue(TableSnapshotCodec.read(base, bytes).isLeft());
     }
 
--- a/core/src/test/java/org/cornelramp/core/table/TableFoldProperties.java
+++ b/core/src/test/java/org/cornelramp/core/table/TableFoldProperties.java
@@ -81,13 +81,13 @@
         FoldedTable table = FoldedTable.empty();
         for (JsonNode record : records(drafts)) {
             FoldResult folded = TableFold.apply(table, table.offset(), record);
-            if (folded.verdict().isAccepted()) {
+            if (folded.outcome().isAccepted()) {
                 TableEdit edit = TableRecords.readEdit(record).orElseThrow();
-                assertEquals(edit.against(), table.version(edit.key()));
-                accepted.merge(edit.key() + "@" + edit.against(), 1, Integer::sum);
+                assertEquals(edit.baseVersion(), table.version(edit.key()));
+                accepted.merge(edit.key() + "@" + edit.baseVersion(), 1, Integer::sum);
                 assertEquals(folded.table().version(edit.key()), table.offset());
             } else {
-                assertEquals(folded.table(), table.at(table.offset() + 1));
+                assertEquals(folded.table(), table.atOffset(table.offset() + 1));
             }
             table = folded.table();
         }
@@ -114,7 +114,7 @@
         FoldedTable whole = fold(FoldedTable.empty(), records);
         FoldedTable part = fold(FoldedTable.empty(), records.subList(0, base));
         assertEquals(
-                TableSnapshotCodec.read(part, TableSnapshotCodec.writeAbove(whole, above))
+                TableSnapshotCodec.read(part, TableSnapshotCodec.writeChangesSince(whole, above))
                         .get(),
                 whole);
     }
@@ -126,7 +126,7 @@
         long stale = baseVersion == table.version(key) ? baseVersion + 1 : baseVersion;
         JsonNode record = TableRecords.writeEdit(new TableEdit("late", key, stale, Optional.of(values(9)), "operator"));
         FoldResult folded = TableFold.apply(table, table.offset(), record);
-        assertEquals(folded.verdict().kind(), Verdict.Kind.LOST_RACE);
-        assertEquals(folded.table(), table.at(table.offset() + 1));
+        assertEquals(folded.outcome().kind(), RecordOutcome.Kind.LOST_RACE);
+        assertEquals(folded.table(), table.atOffset(table.offset() + 1));
     }
 }
--- a/core/src/test/java/org/cornelramp/core/table/TableReadStateProperties.java
+++ b/core/src/test/java/org/cornelramp/core/table/TableReadStateProperties.java
@@ -54,14 +54,14 @@
     @Property(seed = "21", tries = 500)
     void offsetNeverDecreasesAndTableIsTheFold(@ForAll("events") List<Event> events) {
         InMemoryLog log = new InMemoryLog();
-        TableReading state = TableReading.start();
+        TableReadState state = TableReadState.start();
         for (Event event : events) {
             applyToLog(log, event);
             if (event.kind() == Kind.READ) {
-                TableReading after = log.read(state, event.number() + 1);
+                TableReadState after = log.read(state, event.number() + 1);
                 assertTrue(after.table().offset() >= state.table().offset());
                 assertEquals(after.table(), log.tables.get((int) after.table().offset()));
-                assertEquals(after.divergences(), 0);
+                assertEquals(after.divergentSnapshots(), 0);
                 state = after;
             }
         }
@@ -71,12 +71,12 @@
     void newReaderReachesTheEndOrIsStuck(@ForAll("events") List<Event> events) {
         InMemoryLog log = new InMemoryLog();
         events.forEach(event -> applyToLog(log, event));
-        TableReading state = TableReading.start();
-        for (int i = 0; i < MAX_READS && !state.isAtEnd() && state.phase() != TableReading.Phase.STUCK; i++) {
+        TableReadState state = TableReadState.start();
+        for (int i = 0; i < MAX_READS && !state.isAtEnd() && state.phase() != TableReadState.Phase.STUCK; i++) {
             state = log.read(state, 3);
         }
         assertEquals(state.isAtEnd(), log.isReadable());
-        assertEquals(state.phase() == TableReading.Phase.STUCK, !log.isReadable());
+        assertEquals(state.phase() == TableReadState.Phase.STUCK, !log.isReadable());
         if (state.isAtEnd()) {
             assertEquals(state.table(), log.table());
         }
@@ -88,8 +88,8 @@
         events.forEach(event -> applyToLog(log, event));
         log.edit(0, 1);
         log.oldest = log.next();
-        TableReading state = TableReading.start();
-        for (int i = 0; i < MAX_READS && state.phase() != TableReading.Phase.STUCK; i++) {
+        TableReadState state = TableReadState.start();
+        for (int i = 0; i < MAX_READS && state.phase() != TableReadState.Phase.STUCK; i++) {
             state = log.read(state, 3);
         }
         state = log.read(state.onPeerTable(log.table()), 3);
