--- a/core/src/test/java/org/cornelramp/core/admission/FairQueueProperties.java
+++ b/core/src/test/java/org/cornelramp/core/admission/FairQueueProperties.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.cornelramp.core.model.OrganisationId;
 
-/** The queue loses nothing, holds nothing it gave up, and shares an overloaded server by weight. */
+/** No request is lost or kept after it was dropped, and an overloaded server is shared by weight. */
 class FairQueueProperties {
     private static final int[] WEIGHTS = {1, 2, 5};
 
@@ -32,9 +32,9 @@
                 assertTrue(r.waiting().latestStart().isBefore(late));
             });
             Waiting<Integer> w = request(id, random, now);
-            queue.offer(w, now).peek(given -> {
+            queue.offer(w, now).peek(evicted -> {
                 held.add(w.id());
-                given.forEach(r -> assertTrue(held.remove(r.waiting().id())));
+                evicted.forEach(r -> assertTrue(held.remove(r.waiting().id())));
             });
             if (random.nextInt(3) == 0) {
                 queue.poll(now).ifPresent(p -> assertTrue(held.remove(p.id())));
@@ -75,14 +75,14 @@
     }
 
     @Property(seed = "9103", tries = 10)
-    void threeTimesTheCapacityKeepsGoodputAndShares(
+    void anOverloadOfThreeTimesTheCapacityKeepsGoodputAndShares(
             @ForAll long seed, @ForAll @IntRange(min = 50, max = 400) int capacity) {
         QueuedServer server = new QueuedServer(capacity, WEIGHTS, new Random(seed));
         server.run(20, new double[] {QueuedServer.CAPACITY, QueuedServer.CAPACITY, QueuedServer.CAPACITY});
-        double ratio = server.good() / (QueuedServer.CAPACITY * 20);
+        double ratio = server.totalInTime() / (QueuedServer.CAPACITY * 20);
         assertTrue(ratio > 0.95, "goodput " + ratio + " of the capacity, late " + server.late);
         for (int o = 0; o < WEIGHTS.length; o++) {
-            double part = server.inTime[o] / (double) server.good();
+            double part = server.inTime[o] / (double) server.totalInTime();
             assertTrue(Math.abs(part - WEIGHTS[o] / 8.0) < 0.05, "organisation " + o + " got " + part);
         }
     }
