--- a/core/src/main/java/org/cornelramp/core/fleet/PlainServers.java
+++ b/core/src/main/java/org/cornelramp/core/fleet/PlainServers.java
@@ -10,79 +10,90 @@
 import org.cornelramp.core.model.DataCentre;
 
 /**
- * Chooses the backend server of a plain request: the one that is expected to answer first, by what it has under way
- * from here, how long it took, and how often it failed lately. Owned by one thread.
+ * Chooses the backend server for a request to a plain service: the one expected to answer first, judged by the requests
+ * that this process has in flight there, its recent latency and its recent failure rate. Owned by one thread.
  */
 public final class PlainServers {
-    /** Weight of the newest answer in the means: about the last ten answers count. */
-    private static final double NEWEST = 0.1;
+    /** Weight of the newest answer in the moving averages, which cover about the last ten answers. */
+    private static final double SMOOTHING_FACTOR = 0.1;
 
-    /** Time expected of a server that has not answered yet, in milliseconds. */
-    private static final double UNKNOWN_MILLIS = 60;
+    /** Latency assumed for a server that has not answered yet, in milliseconds. */
+    private static final double INITIAL_LATENCY_MILLIS = 60;
 
-    /** Way to another data centre and back, in milliseconds, with a margin so that near servers go first. */
-    private static final double FAR_MILLIS = 5;
+    /** Round trip to another data centre, in milliseconds, with a margin so that local servers are preferred. */
+    private static final double CROSS_DATA_CENTRE_MILLIS = 5;
 
-    /** What a failed answer costs its client, in milliseconds: the time of another try. */
-    private static final double FAILURE_MILLIS = 400;
+    /** Latency that a failed answer adds for its client, in milliseconds: the time of a retry. */
+    private static final double FAILURE_PENALTY_MILLIS = 400;
 
     private final Map<BackendServerId, Stats> stats = new HashMap<>();
 
     private static final class Stats {
-        private int underWay;
-        private double millis = UNKNOWN_MILLIS;
-        private double failures;
+        private int inFlight;
+        private double latencyMillis = INITIAL_LATENCY_MILLIS;
+        private double failureRate;
     }
 
-    /** The best of the given servers that is not among those to avoid; empty if there is none. */
+    /**
+     * Chooses the server with the lowest expected cost; empty if there is none.
+     *
+     * @param servers the candidates
+     * @param excluded servers that must not be chosen
+     * @param home data centre of this process
+     */
     public Optional<BackendServer> choose(
-            Collection<BackendServer> servers, Set<BackendServerId> avoid, DataCentre home) {
+            Collection<BackendServer> servers, Set<BackendServerId> excluded, DataCentre home) {
         BackendServer best = null;
-        double least = Double.MAX_VALUE;
+        double lowestCost = Double.MAX_VALUE;
         for (BackendServer server : servers) {
             double cost = cost(server, home);
-            boolean better = cost < least
-                    || (cost == least && best != null && server.id().compareTo(best.id()) < 0);
-            if (!avoid.contains(server.id()) && better) {
+            boolean better = cost < lowestCost
+                    || (cost == lowestCost && best != null && server.id().compareTo(best.id()) < 0);
+            if (!excluded.contains(server.id()) && better) {
                 best = server;
-                least = cost;
+                lowestCost = cost;
             }
         }
         return Optional.ofNullable(best);
     }
 
     private double cost(BackendServer server, DataCentre home) {
-        Stats known = stats.get(server.id());
-        double far = server.dataCentre().equals(home) ? 0 : FAR_MILLIS;
-        if (known == null) {
-            return UNKNOWN_MILLIS + far;
+        Stats serverStats = stats.get(server.id());
+        double distance = server.dataCentre().equals(home) ? 0 : CROSS_DATA_CENTRE_MILLIS;
+        if (serverStats == null) {
+            return INITIAL_LATENCY_MILLIS + distance;
         }
-        double rounds = 1 + known.underWay / (double) Math.max(1, server.slots());
-        return known.millis * rounds + far + known.failures * FAILURE_MILLIS;
+        double rounds = 1 + serverStats.inFlight / (double) Math.max(1, server.slots());
+        return serverStats.latencyMillis * rounds + distance + serverStats.failureRate * FAILURE_PENALTY_MILLIS;
     }
 
-    /** Notes that a request was sent. */
+    /** Records that a request was sent. */
     public void sent(BackendServerId id) {
-        stats.computeIfAbsent(id, any -> new Stats()).underWay++;
+        stats.computeIfAbsent(id, any -> new Stats()).inFlight++;
     }
 
-    /** Notes how a request ended. */
-    public void ended(BackendServerId id, boolean good, long millis) {
-        Stats known = stats.computeIfAbsent(id, any -> new Stats());
-        known.underWay = Math.max(0, known.underWay - 1);
-        known.failures += NEWEST * ((good ? 0 : 1) - known.failures);
-        if (good) {
-            known.millis += NEWEST * (millis - known.millis);
+    /**
+     * Records how a request ended.
+     *
+     * @param succeeded whether the server answered without a failure
+     * @param millis time from sending to the answer; ignored after a failure
+     */
+    public void ended(BackendServerId id, boolean succeeded, long millis) {
+        Stats serverStats = stats.computeIfAbsent(id, any -> new Stats());
+        serverStats.inFlight = Math.max(0, serverStats.inFlight - 1);
+        serverStats.failureRate += SMOOTHING_FACTOR * ((succeeded ? 0 : 1) - serverStats.failureRate);
+        if (succeeded) {
+            serverStats.latencyMillis += SMOOTHING_FACTOR * (millis - serverStats.latencyMillis);
         }
     }
 
-    /** Requests that are under way from here. */
+    /** Number of requests that this process has in flight at the server. */
     public int underWay(BackendServerId id) {
-        Stats known = stats.get(id);
-        return known == null ? 0 : known.underWay;
+        Stats serverStats = stats.get(id);
+        return serverStats == null ? 0 : serverStats.inFlight;
     }
 
-    /** Forgets servers that nobody knows any more. */
+    /** Drops the statistics of servers that are no longer known. */
     public void retain(Predicate<BackendServerId> known) {
         stats.keySet().removeIf(id -> !known.test(id));
     }
--- a/core/src/main/java/org/cornelramp/core/fleet/Suspicions.java
+++ b/core/src/main/java/org/cornelramp/core/fleet/Suspicions.java
@@ -8,128 +8,140 @@
 import org.cornelramp.core.model.BackendServerId;
 
 /**
- * Backend servers that have just been seen to fail, and for how long nothing is sent to them.
+ * Backend servers that failed recently and are excluded from routing for a time.
  *
- * <p>A registration outlives a crash by several heartbeats, and requests sent meanwhile would all be lost. The time
- * doubles with each failure in a row, so a dead server costs few trials and a living one is soon back. Owned by one
- * thread.
+ * <p>A registration outlives a crash by several heartbeats, and requests sent to the server in that time would be lost.
+ * The exclusion time doubles with each consecutive failure, so a dead server costs few probes, and one that works again
+ * is soon used again. Owned by one thread.
  */
 public final class Suspicions {
-    /** Time without failures after which the count starts anew. */
-    private static final long FORGET_MILLIS = 10_000;
+    /** Time without failures after which the count of consecutive failures restarts. */
+    private static final long FAILURE_COUNT_RESET_MILLIS = 10_000;
 
-    /** How long before its end a suspicion is due for a trial: two round trips and the age of a report. */
-    private static final long TRIAL_MILLIS = 300;
+    /** How long before its end a suspicion is due for a probe: two round trips and the age of a report. */
+    private static final long PROBE_LEAD_MILLIS = 300;
 
-    private static final int MOST_DOUBLINGS = 3;
+    private static final int MAX_DOUBLINGS = 3;
 
-    private final Map<BackendServerId, Mark> marks = new HashMap<>();
+    private final Map<BackendServerId, Suspicion> suspicions = new HashMap<>();
 
-    /** What was seen. Immutable, safe for use by any thread. */
+    /** The kind of failure that was observed. Immutable, safe for use by any thread. */
     public enum Evidence {
-        /** Nothing listens there, or work stalls there: it is dead or cut off, and comes back in another life, if at all. */
+        /**
+         * Nothing listens at its address, or work on it stalls: it is dead or partitioned, and returns as another
+         * incarnation, if at all.
+         */
         LOST(2_000, true),
-        /** It says nothing to this process. The same, unless something is heard of it after all. */
+        /** It does not answer this process. Treated as {@link #LOST}, unless a sign of life arrives after all. */
         SILENT(2_000, true),
-        /** It refused a request at once: it is full, or is just giving layers up. Both pass within moments. */
+        /** It refused a request at once: it is full, or is releasing layers. Both last only moments. */
         BUSY(250, false);
 
-        private final long firstMillis;
+        private final long initialMillis;
         private final boolean lost;
 
-        Evidence(long firstMillis, boolean lost) {
-            this.firstMillis = firstMillis;
+        Evidence(long initialMillis, boolean lost) {
+            this.initialMillis = initialMillis;
             this.lost = lost;
         }
 
-        /** Whether the server is held to be dead or cut off, so that work which runs there should move. */
+        /** Whether the server is presumed dead or partitioned, so that its running work should move. */
         public boolean isLost() {
             return lost;
         }
     }
 
-    private record Mark(Evidence evidence, long sinceMillis, long untilMillis, int failures, boolean tried) {
-        Mark endedAt(long nowMillis) {
-            return new Mark(evidence, sinceMillis, nowMillis, failures, tried);
+    private record Suspicion(Evidence evidence, long sinceMillis, long untilMillis, int failures, boolean probed) {
+        Suspicion endedAt(long nowMillis) {
+            return new Suspicion(evidence, sinceMillis, nowMillis, failures, probed);
         }
 
-        Mark asTried() {
-            return new Mark(evidence, sinceMillis, untilMillis, failures, true);
+        Suspicion asProbed() {
+            return new Suspicion(evidence, sinceMillis, untilMillis, failures, true);
         }
     }
 
-    /** Notes a failure. True if the server was trusted until now. */
+    /** Records a failure; returns whether it is a new one, rather than one that is already recorded. */
     public boolean suspect(BackendServerId id, Evidence evidence, long nowMillis) {
-        Mark old = marks.get(id);
-        if (old != null && nowMillis < old.untilMillis() && old.evidence().firstMillis >= evidence.firstMillis) {
-            return false; // the same failure, told by another request
+        Suspicion previous = suspicions.get(id);
+        if (previous != null
+                && nowMillis < previous.untilMillis()
+                && previous.evidence().initialMillis >= evidence.initialMillis) {
+            return false; // the same failure, reported by another request
         }
-        mark(id, evidence, old, nowMillis);
+        putSuspicion(id, evidence, previous, nowMillis);
         return true;
     }
 
-    /** Notes that a trial has failed: the time starts again, twice as long. */
+    /** Records a failed probe: the exclusion time starts again and doubles, up to a maximum. */
     public void trialFailed(BackendServerId id, long nowMillis) {
-        Mark old = marks.get(id);
-        mark(id, old == null ? Evidence.LOST : old.evidence(), old, nowMillis);
+        Suspicion previous = suspicions.get(id);
+        putSuspicion(id, previous == null ? Evidence.LOST : previous.evidence(), previous, nowMillis);
     }
 
     /**
-     * Notes that a server gave a sign of life. It ends a suspicion that only the silence of the server had raised before, and
-     * keeps the count of failures in a row. True if it ended one.
+     * Records a sign of life of a server. It ends an earlier suspicion whose evidence is {@link Evidence#SILENT}, and keeps
+     * the count of consecutive failures.
      *
-     * @param seenMillis when the sign was given
+     * @param seenMillis when the server gave the sign
+     * @return whether it ended a suspicion
      */
     public boolean seenAlive(BackendServerId id, long seenMillis, long nowMillis) {
-        Mark mark = marks.get(id);
-        boolean refuted =
-                isSuspect(id, nowMillis) && mark.evidence() == Evidence.SILENT && seenMillis > mark.sinceMillis();
+        Suspicion suspicion = suspicions.get(id);
+        boolean refuted = isSuspect(id, nowMillis)
+                && suspicion.evidence() == Evidence.SILENT
+                && seenMillis > suspicion.sinceMillis();
         if (refuted) {
-            marks.put(id, mark.endedAt(nowMillis));
+            suspicions.put(id, suspicion.endedAt(nowMillis));
         }
         return refuted;
     }
 
-    /** Whether a server is held to be dead only because it says nothing. */
+    /** Whether any server is currently suspected only because it does not answer. */
     public boolean hasSilent(long nowMillis) {
-        return marks.values().stream()
-                .anyMatch(mark -> mark.evidence() == Evidence.SILENT && nowMillis < mark.untilMillis());
+        return suspicions.values().stream()
+                .anyMatch(suspicion -> suspicion.evidence() == Evidence.SILENT && nowMillis < suspicion.untilMillis());
     }
 
-    private void mark(BackendServerId id, Evidence evidence, Mark old, long nowMillis) {
-        boolean known = old != null && old.evidence() == evidence && nowMillis - old.untilMillis() < FORGET_MILLIS;
-        int failures = known ? old.failures() + 1 : 1;
-        long span = evidence.firstMillis << Math.min(failures - 1, MOST_DOUBLINGS);
-        marks.put(id, new Mark(evidence, nowMillis, nowMillis + span, failures, false));
+    private void putSuspicion(BackendServerId id, Evidence evidence, Suspicion previous, long nowMillis) {
+        boolean known = previous != null
+                && previous.evidence() == evidence
+                && nowMillis - previous.untilMillis() < FAILURE_COUNT_RESET_MILLIS;
+        int failures = known ? previous.failures() + 1 : 1;
+        long span = evidence.initialMillis << Math.min(failures - 1, MAX_DOUBLINGS);
+        suspicions.put(id, new Suspicion(evidence, nowMillis, nowMillis + span, failures, false));
     }
 
-    /** Whether nothing is sent to the server now. */
+    /** Whether the server is currently excluded. */
     public boolean isSuspect(BackendServerId id, long nowMillis) {
-        Mark mark = marks.get(id);
-        return mark != null && nowMillis < mark.untilMillis();
+        Suspicion suspicion = suspicions.get(id);
+        return suspicion != null && nowMillis < suspicion.untilMillis();
     }
 
-    /** Whether the server is held to be dead or cut off, so that work which runs there should move. */
+    /** Whether the server is presumed dead or partitioned, so that its running work should move. */
     public boolean isLost(BackendServerId id, long nowMillis) {
-        return isSuspect(id, nowMillis) && marks.get(id).evidence().isLost();
+        return isSuspect(id, nowMillis) && suspicions.get(id).evidence().isLost();
     }
 
-    /** Servers whose time is nearly over and which should be asked how they are; each is given once. */
+    /**
+     * The servers presumed dead or partitioned that should be probed now because their exclusion is about to end. Each
+     * suspicion is returned once.
+     */
     public List<BackendServerId> dueForTrial(long nowMillis) {
         List<BackendServerId> due = new ArrayList<>();
-        marks.replaceAll((id, mark) -> {
-            boolean nearlyOver = !mark.tried() && nowMillis > mark.untilMillis() - TRIAL_MILLIS;
-            if (!nearlyOver || !mark.evidence().isLost()) {
-                return mark;
+        suspicions.replaceAll((id, suspicion) -> {
+            boolean nearlyOver = !suspicion.probed() && nowMillis > suspicion.untilMillis() - PROBE_LEAD_MILLIS;
+            if (!nearlyOver || !suspicion.evidence().isLost()) {
+                return suspicion;
             }
             due.add(id);
-            return mark.asTried();
+            return suspicion.asProbed();
         });
         return due;
     }
 
-    /** Forgets servers that nobody knows any more. */
+    /** Drops servers that are no longer known. */
     public void retain(Predicate<BackendServerId> known) {
-        marks.keySet().removeIf(id -> !known.test(id));
+        suspicions.keySet().removeIf(id -> !known.test(id));
     }
 }
--- a/core/src/main/java/org/cornelramp/core/fleet/UnansweredQuestions.java
+++ b/core/src/main/java/org/cornelramp/core/fleet/UnansweredQuestions.java
@@ -5,42 +5,44 @@
 import org.cornelramp.core.model.BackendServerId;
 
 /**
- * Tells servers that are dead from a process that hears nobody. Owned by one thread.
+ * Decides whether an unanswered probe means that the server is dead or that this process is at fault. Owned by one thread.
  *
- * <p>A process whose own link is full, or that stands still for a moment, gets no answer in time from anyone. If it took
- * all of them for dead it would move every stream, and a leader would place the model anew. Few servers die in the same
- * moment; so from the third silent one on, each is asked once more, with more time.
+ * <p>A process whose own link is saturated, or that is paused for a moment, gets no answer in time from any server. If it
+ * took all of them for dead, it would move every stream, and a leader would place the model anew. Few servers die at the
+ * same moment. Therefore, from the third silent server on, each is probed once more with a longer timeout.
  *
- * <p>A process that is short of processor time reads answers late, and its own clocks stand in the same queue: it measures
- * a silence that is its own. Believed, the silence of living engines makes it move their streams, for which it has no time
- * either. So while it is late it believes the first silence only of a server that another process has seen fail too.
+ * <p>A process that is short of CPU time reads answers late, and its timers are delayed as well, so the silence that it
+ * measures is its own. If it trusted that measurement, it would move the streams of living engines, for which it has no CPU
+ * time either. Therefore, while it runs late, it accepts a first silence as a failure only for a server that another process
+ * has also seen fail.
  */
 public final class UnansweredQuestions {
-    /** Servers that may be found dead in one span without doubt: those of a small rack. */
-    static final int BELIEVED = 2;
+    /** Servers that may be declared dead within one window without a second probe: those of a small rack. */
+    static final int MAX_WITHOUT_SECOND_PROBE = 2;
 
-    /** Span in which they are counted, in milliseconds: five times the time that a question is given. */
-    static final long SPAN_MILLIS = 600;
+    /** Window in which they are counted, in milliseconds: five times the timeout of a probe. */
+    static final long WINDOW_MILLIS = 600;
 
     private final Map<BackendServerId, Long> silent = new HashMap<>();
-    private final Map<BackendServerId, Long> seenElsewhere = new HashMap<>();
+    private final Map<BackendServerId, Long> peerReports = new HashMap<>();
 
-    /** Notes that another process has seen a server fail. */
+    /** Records that another process has seen a server fail. */
     public void seenElsewhere(BackendServerId id, long nowMillis) {
-        seenElsewhere.put(id, nowMillis);
+        peerReports.put(id, nowMillis);
     }
 
     /**
-     * Notes that a server did not answer; true if the fault is more likely here than there. A server that is asked again
-     * within the span and does not answer is believed to be dead.
+     * Records that a server did not answer. A server that is probed again within the window and does not answer either
+     * counts as dead.
      *
-     * @param late whether this process ran late just now
+     * @param runningLate whether this process was delayed at the time
+     * @return whether the fault is more likely in this process than in the server
      */
-    public boolean isOwnFault(BackendServerId id, boolean late, long nowMillis) {
-        silent.values().removeIf(at -> nowMillis - at > SPAN_MILLIS);
-        seenElsewhere.values().removeIf(at -> nowMillis - at > SPAN_MILLIS);
-        boolean askedAgain = silent.putIfAbsent(id, nowMillis) != null;
-        boolean alone = late && !seenElsewhere.containsKey(id);
-        return !askedAgain && (alone || silent.size() > BELIEVED);
+    public boolean isOwnFault(BackendServerId id, boolean runningLate, long nowMillis) {
+        silent.values().removeIf(at -> nowMillis - at > WINDOW_MILLIS);
+        peerReports.values().removeIf(at -> nowMillis - at > WINDOW_MILLIS);
+        boolean probedAgain = silent.putIfAbsent(id, nowMillis) != null;
+        boolean unconfirmed = runningLate && !peerReports.containsKey(id);
+        return !probedAgain && (unconfirmed || silent.size() > MAX_WITHOUT_SECOND_PROBE);
     }
 }
