--- a/core/src/test/java/org/cornelramp/core/health/FleetHealthProperties.java
+++ b/core/src/test/java/org/cornelramp/core/health/FleetHealthProperties.java
@@ -14,12 +14,12 @@
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.model.Incarnation;
 
-/** Whatever happens to the requests, a group keeps its stated part in use, and shares stay in their range. */
+/** Whatever the results of the requests, a group keeps its configured part in use, and shares stay in range. */
 class FleetHealthProperties {
     private static final Duration EXPECTED = Duration.ofMillis(10);
 
     @Property(seed = "5101", tries = 200)
-    void theStatedPartStaysInUse(@ForAll long seed, @ForAll @IntRange(min = 1, max = 20) int size) {
+    void theConfiguredPartStaysInUse(@ForAll long seed, @ForAll @IntRange(min = 1, max = 20) int size) {
         Random random = new Random(seed);
         FleetHealth health = new FleetHealth(HealthSettings.DEFAULTS);
         Instant now = Instant.ofEpochSecond(1_000);
@@ -40,30 +40,30 @@
     }
 
     @Property(seed = "5102", tries = 100)
-    void aRecoveredAgentWinsItsShareBackByProbes(
+    void aRecoveredAgentRegainsItsShareThroughProbes(
             @ForAll @IntRange(min = 5, max = 50) int failures, @ForAll @IntRange(min = 0, max = 4) int failedProbes) {
         FleetHealth health = new FleetHealth(HealthSettings.DEFAULTS);
         Instant now = Instant.ofEpochSecond(1_000);
-        Incarnation sick = fleet(health, 4, now).get(0);
+        Incarnation failing = fleet(health, 4, now).get(0);
         for (int i = 0; i < failures; i++) {
-            health.failed(sick, now);
+            health.failed(failing, now);
         }
-        assertTrue(!health.shares(now).containsKey(sick));
+        assertTrue(!health.shares(now).containsKey(failing));
         for (int i = 0; i <= failedProbes; i++) {
             now = now.plusSeconds(30);
-            assertTrue(health.probe("g", now).filter(sick::equals).isPresent());
-            health.probeSent(sick, now);
+            assertTrue(health.probe("g", now).filter(failing::equals).isPresent());
+            health.probeSent(failing, now);
             assertTrue(health.probe("g", now).isEmpty());
             if (i < failedProbes) {
-                health.failed(sick, now);
+                health.failed(failing, now);
             }
         }
-        health.succeeded(sick, EXPECTED, EXPECTED, now);
-        double first = health.shares(now).get(sick);
+        health.succeeded(failing, EXPECTED, EXPECTED, now);
+        double first = health.shares(now).get(failing);
         for (int i = 0; i < 40; i++) {
-            health.succeeded(sick, EXPECTED, EXPECTED, now);
+            health.succeeded(failing, EXPECTED, EXPECTED, now);
         }
-        double later = health.shares(now.plusSeconds(10)).get(sick);
+        double later = health.shares(now.plusSeconds(10)).get(failing);
         assertTrue(first < 0.2 && later > 0.99, "share " + first + " then " + later);
     }
 
--- a/core/src/test/java/org/cornelramp/core/health/FleetHealthTest.java
+++ b/core/src/test/java/org/cornelramp/core/health/FleetHealthTest.java
@@ -10,14 +10,14 @@
 import org.cornelramp.core.model.Incarnation;
 import org.testng.annotations.Test;
 
-/** Slow and flaky agents lose work in proportion; a new one ramps up. */
+/** Slow and failing agents get a proportionally smaller share; a new one ramps up. */
 public class FleetHealthTest {
     private static final Instant START = Instant.ofEpochSecond(1_000);
     private static final Instant LATER = START.plusSeconds(10);
     private static final Duration EXPECTED = Duration.ofMillis(10);
 
     @Test
-    public void anAgentFarSlowerThanItsPeersLosesWorkInProportion() {
+    public void aSlowAgentGetsAProportionallySmallerShare() {
         FleetHealth health = new FleetHealth(HealthSettings.DEFAULTS);
         List<Incarnation> fleet = FleetHealthProperties.fleet(health, 4, START);
         for (int i = 0; i < 50; i++) {
@@ -31,7 +31,7 @@
     }
 
     @Test
-    public void slownessOfAllIsNobodysFault() {
+    public void aSlowdownOfAllAgentsReducesNoShare() {
         FleetHealth health = new FleetHealth(HealthSettings.DEFAULTS);
         List<Incarnation> fleet = FleetHealthProperties.fleet(health, 4, START);
         for (int i = 0; i < 50; i++) {
@@ -41,7 +41,7 @@
     }
 
     @Test
-    public void failingEveryOtherRequestLosesWorkThoughNeverManyInARow() {
+    public void failingEveryOtherRequestReducesTheShare() {
         FleetHealth health = new FleetHealth(HealthSettings.DEFAULTS);
         Incarnation flaky = FleetHealthProperties.fleet(health, 4, START).get(0);
         for (int i = 0; i < 50; i++) {
