--- a/core/src/main/java/org/cornelramp/core/member/Listed.java
+++ b/core/src/main/java/org/cornelramp/core/member/Listed.java
@@ -3,10 +3,10 @@
 import org.cornelramp.core.model.BackendServerId;
 
 /**
- * One agent's VM as the VM list shows it. Immutable, safe for use by any thread.
+ * An agent's VM as shown in the VM list. Immutable, safe for use by any thread.
  *
- * @param server its name
- * @param address where its agent takes links, as host:port
- * @param leaving whether it is about to be taken away
+ * @param server name of the VM's backend server
+ * @param address where its agent accepts links, as host:port
+ * @param leaving whether the VM is about to be removed
  */
 public record Listed(BackendServerId server, String address, boolean leaving) {}
--- a/core/src/main/java/org/cornelramp/core/member/Lives.java
+++ b/core/src/main/java/org/cornelramp/core/member/Lives.java
@@ -12,23 +12,24 @@
 import org.cornelramp.core.model.ServiceName;
 
 /**
- * What this entry has witnessed of the lives of agents: which of them may have run a key of a given age.
+ * The agent incarnations that this entry has observed, to determine which of them may have run a key of a given age.
  *
- * <p>While the log cannot be read, nobody tells to which agent another entry may have bound a key. The agents
- * themselves can: if every life that may have run the key denies it and notes that it never will, the key did not
- * run. That proof needs all lives, so {@link #holders} gives them only if none can be missing.
+ * <p>While the log cannot be read, this entry cannot tell to which agent another entry may have bound a key. The agents
+ * can: if every incarnation that may have run the key denies it and records that it never will, the key did not run.
+ * That proof needs all of them, so {@link #holders} returns them only if none can be missing.
  *
- * <p>Confined to one thread. Bounded: ended lives are forgotten after the window in which keys are used.
+ * <p>Confined to one thread. Bounded: incarnations without a link are dropped after twice the window in which keys are
+ * accepted.
  */
 public final class Lives {
     private final Duration window;
     private final Duration clockSkew;
-    private final Map<Incarnation, Life> lives = new HashMap<>();
-    private Set<BackendServerId> listed = Set.of();
+    private final Map<Incarnation, Observation> observations = new HashMap<>();
+    private Set<BackendServerId> listedServers = Set.of();
     private Instant watchingSince = Instant.MAX;
-    private Instant listAskedAt = Instant.MIN;
+    private Instant listReadStartedAt = Instant.MIN;
 
-    private record Life(Optional<ServiceName> service, Instant since, Instant lastSeen, boolean linked) {
+    private record Observation(Optional<ServiceName> service, Instant since, Instant lastSeen, boolean linked) {
 
         boolean mayServe(ServiceName wanted) {
             return service.isEmpty() || service.get().equals(wanted);
@@ -37,78 +38,88 @@
 
     /**
      * @param window age at which keys are refused
-     * @param clockSkew how far the clock that dated a key may run ahead of this entry's
+     * @param clockSkew maximum time by which the clock that dated a key may be ahead of this entry's clock
      */
     public Lives(Duration window, Duration clockSkew) {
         this.window = window;
         this.clockSkew = clockSkew;
     }
 
-    /** A link to an agent is up, or its agent was heard. */
+    /** Records that a link to an agent is up, or that a message of the agent arrived. */
     public void seen(Incarnation agent, Optional<ServiceName> service, Instant now) {
-        lives.merge(agent, new Life(service, now, now, true), (old, fresh) -> new Life(service, old.since, now, true));
+        observations.merge(
+                agent,
+                new Observation(service, now, now, true),
+                (old, added) -> new Observation(service, old.since, now, true));
     }
 
-    /** The link to an agent is gone. */
+    /** Records that the link to an agent is lost. */
     public void unlinked(Incarnation agent) {
-        lives.computeIfPresent(agent, (key, life) -> new Life(life.service, life.since, life.lastSeen, false));
+        observations.computeIfPresent(
+                agent,
+                (key, observation) ->
+                        new Observation(observation.service, observation.since, observation.lastSeen, false));
     }
 
     /**
-     * The VM list was read.
+     * Records a read of the VM list.
      *
      * @param askedAt when the read began
-     * @param agents the agents that it shows
+     * @param agents the agents in the list
      */
     public void listed(Instant askedAt, Set<BackendServerId> agents, Instant now) {
-        listed = Set.copyOf(agents);
-        listAskedAt = askedAt;
+        listedServers = Set.copyOf(agents);
+        listReadStartedAt = askedAt;
         if (watchingSince.equals(Instant.MAX)) {
             watchingSince = now;
         }
         Instant limit = now.minus(window.multipliedBy(2));
-        lives.values().removeIf(life -> !life.linked() && life.lastSeen().isBefore(limit));
+        observations
+                .values()
+                .removeIf(observation ->
+                        !observation.linked() && observation.lastSeen().isBefore(limit));
     }
 
-    /** Whether the VM list was read in a read that began at or after {@code since}. */
+    /** Whether the latest read of the VM list began at or after {@code since}. */
     public boolean isListReadSince(Instant since) {
-        return !listAskedAt.isBefore(since);
+        return !listReadStartedAt.isBefore(since);
     }
 
     /**
-     * The lives that may have run a key of a service; empty if one may be missing.
+     * The incarnations that may have run a key of a service; empty if one may be missing.
      *
-     * <p>None is missing if this entry has watched since before the key was made, the VM list, read after the
-     * request came, shows no agent without a link, and no life of the service began or ended in that time: a life
-     * that ended took what it knew with it, and before one that began there may have been another, unseen.
+     * <p>None is missing under three conditions. This entry has watched since before the key was created. The VM list, read
+     * after the request arrived, shows no agent without a link. No incarnation of the service started or ended in that
+     * time: one that ended has lost its key records, and one that started may have replaced another that was never seen.
      *
-     * @param madeAt when the key was made, by its maker's clock
-     * @param askedAt when the request came
+     * @param createdAt when the key was created, by the clock of its creator
+     * @param askedAt when the request arrived
      */
-    public Optional<Set<Incarnation>> holders(ServiceName service, Instant madeAt, Instant askedAt) {
-        Instant from = madeAt.minus(clockSkew);
+    public Optional<Set<Incarnation>> holders(ServiceName service, Instant createdAt, Instant askedAt) {
+        Instant from = createdAt.minus(clockSkew);
         if (watchingSince.isAfter(from) || !isListReadSince(askedAt)) {
             return Optional.empty();
         }
         Set<Incarnation> holders = new HashSet<>();
         Set<BackendServerId> linked = new HashSet<>();
-        for (Map.Entry<Incarnation, Life> entry : lives.entrySet()) {
-            Life life = entry.getValue();
-            if (life.linked()) {
+        for (Map.Entry<Incarnation, Observation> entry : observations.entrySet()) {
+            Observation observation = entry.getValue();
+            if (observation.linked()) {
                 linked.add(entry.getKey().server());
             }
-            if (!life.mayServe(service)) {
+            if (!observation.mayServe(service)) {
                 continue;
             }
-            boolean unsure =
-                    life.linked() ? life.since().isAfter(from) : life.lastSeen().isAfter(from);
-            if (unsure) {
+            boolean changedSince = observation.linked()
+                    ? observation.since().isAfter(from)
+                    : observation.lastSeen().isAfter(from);
+            if (changedSince) {
                 return Optional.empty();
             }
-            if (life.linked()) {
+            if (observation.linked()) {
                 holders.add(entry.getKey());
             }
         }
-        return linked.containsAll(listed) ? Optional.of(holders) : Optional.empty();
+        return linked.containsAll(listedServers) ? Optional.of(holders) : Optional.empty();
     }
 }
