--- a/core/src/main/java/org/cornelramp/core/key/KeyRecordCodec.java
+++ b/core/src/main/java/org/cornelramp/core/key/KeyRecordCodec.java
@@ -19,8 +19,8 @@
 /**
  * The JSON form of the records of the key stream. Stateless, safe for use by any thread.
  *
- * <p>A record that cannot be read is skipped, the same way by every reader: the log is shared, and one bad record
- * must not stop all entries.
+ * <p>Every reader skips the same records that it cannot parse: the log is shared, and one bad record must not stop all
+ * entries.
  */
 public final class KeyRecordCodec {
     private static final String TYPE = "type";
@@ -33,7 +33,7 @@
 
     private KeyRecordCodec() {}
 
-    /** Writes a binding. */
+    /** Converts a binding to JSON. */
     public static JsonNode write(KeyRecord.Bind bind) {
         ObjectNode node = JsonNodeFactory.instance.objectNode();
         node.put(TYPE, BIND);
@@ -44,7 +44,7 @@
         return node;
     }
 
-    /** Reads a record; empty if it is in no known form. */
+    /** Parses a record; empty if it is in no known form. */
     public static Optional<KeyRecord> read(JsonNode node) {
         try {
             return switch (node.path(TYPE).asText()) {
@@ -68,17 +68,17 @@
     private static KeyRecord readSettled(JsonNode node) throws IOException {
         Map<String, AgentWord> results = new HashMap<>();
         for (JsonNode result : node.path("results")) {
-            results.put(text(result, KEY), readWord(result));
+            results.put(text(result, KEY), readReply(result));
         }
         int parts = node.path("parts").asInt();
         if (parts < 1) {
-            throw new IllegalArgumentException("A settled record has at least one part");
+            throw new IllegalArgumentException("A settled record needs at least one part");
         }
         return new KeyRecord.Settled(
                 Incarnation.parse(text(node, INCARNATION)), node.path("part").asInt(), parts, results);
     }
 
-    private static AgentWord readWord(JsonNode result) throws IOException {
+    private static AgentWord readReply(JsonNode result) throws IOException {
         Outcome outcome = outcome(text(result, "outcome"));
         if (outcome == Outcome.ANSWERED) {
             JsonNode body = result.path("body");
@@ -99,13 +99,13 @@
                 return outcome;
             }
         }
-        throw new IllegalArgumentException("The outcome is not known");
+        throw new IllegalArgumentException("Unknown outcome");
     }
 
     private static String text(JsonNode node, String field) {
         JsonNode value = node.path(field);
         if (!value.isTextual()) {
-            throw new IllegalArgumentException("The record lacks " + field);
+            throw new IllegalArgumentException("The record has no text field " + field);
         }
         return value.textValue();
     }
