--- a/core/src/test/java/org/cornelramp/core/fence/TermGuardProperties.java
+++ b/core/src/test/java/org/cornelramp/core/fence/TermGuardProperties.java
@@ -9,8 +9,8 @@
 import net.jqwik.api.RandomDistribution;
 
 /**
- * Orders of many holders, old and new, reach an agent in any order, between heartbeats and restarts of the agent.
- * The terms that pass never fall, over restarts neither.
+ * Orders of past and current leaders reach an agent in any order, between heartbeats and restarts of the agent. The terms
+ * of the orders that pass never decrease, not even over a restart.
  */
 class TermGuardProperties {
 
