--- a/core/src/main/java/org/cornelramp/core/burn/BurnMeter.java
+++ b/core/src/main/java/org/cornelramp/core/burn/BurnMeter.java
@@ -60,7 +60,10 @@
             return new BurnCounts(totals, bads);
         }
 
-        /** Clears buckets up to the given one. If the clock is set back, the newest bucket stays current. */
+        /**
+         * Clears the buckets up to the given one. If the clock is set back, the newest bucket stays current, so that nothing
+         * is counted twice.
+         */
         private void advance(long bucket) {
             long steps = Math.min(bucket - newest, BUCKETS + 1);
             for (long i = 0; i < steps; i++) {
