--- a/core/src/main/java/org/cornelramp/core/model/BackendServerId.java
+++ b/core/src/main/java/org/cornelramp/core/model/BackendServerId.java
@@ -6,13 +6,13 @@
 /**
  * Names one backend server VM; its agent carries the same name over every restart.
  *
- * <p>Invariant: {@link Names#isValid the value is a valid name}. Immutable, safe for use by any thread.
+ * <p>Invariant: {@link NameValidator#isValid the value is a valid name}. Immutable, safe for use by any thread.
  */
 public record BackendServerId(@JsonValue String value) implements Comparable<BackendServerId> {
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public BackendServerId {
-        Names.check("backend server", value);
+        NameValidator.check("backend server", value);
     }
 
     /**
@@ -20,7 +20,7 @@
      *
      * @param bornMillis when the life began, by the server's own clock; lives are told apart by it, not ordered
      */
-    public BackendServerId inLife(long bornMillis) {
+    public BackendServerId forIncarnation(long bornMillis) {
         return new BackendServerId(value + "." + Long.toString(bornMillis, Character.MAX_RADIX));
     }
 
--- a/core/src/main/java/org/cornelramp/core/model/Incarnation.java
+++ b/core/src/main/java/org/cornelramp/core/model/Incarnation.java
@@ -11,9 +11,9 @@
  * never share a number: it is drawn at random from 64 bits. Immutable, safe for use by any thread.
  *
  * @param server the backend server that the agent stands beside
- * @param life random number of this life
+ * @param number random number of this life
  */
-public record Incarnation(BackendServerId server, long life) {
+public record Incarnation(BackendServerId server, long number) {
     private static final char SEPARATOR = '~';
     private static final int HEX = 16;
 
@@ -32,6 +32,6 @@
     @JsonValue
     @Override
     public String toString() {
-        return server.value() + SEPARATOR + Long.toHexString(life);
+        return server.value() + SEPARATOR + Long.toHexString(number);
     }
 }
--- a/core/src/main/java/org/cornelramp/core/operate/EditSettlement.java
+++ b/core/src/main/java/org/cornelramp/core/operate/EditResultResolver.java
@@ -12,8 +12,8 @@
  *
  * <p>Pure and stateless, safe for use by any thread.
  */
-public final class EditSettlement {
-    private EditSettlement() {}
+public final class EditResultResolver {
+    private EditResultResolver() {}
 
     /**
      * What became of an edit.
@@ -22,7 +22,7 @@
      * @param edit the edit
      * @param since all records that the log held since before the edit was first appended, up to the table's offset
      */
-    public static EditResult settle(FoldedTable table, TableEdit edit, List<LoggedRecord> since) {
+    public static EditResult resolve(FoldedTable table, TableEdit edit, List<LoggedRecord> since) {
         RowHistory history = RowHistory.of(table, edit.key(), since);
         Optional<RowHistory.Entry> found = history.find(edit.id());
         if (found.isEmpty()) {
@@ -35,7 +35,7 @@
     }
 
     /** The edit was made against a version that is in force no more, and was not appended. */
-    public static EditResult lost(FoldedTable table, TableEdit edit, List<LoggedRecord> since) {
+    public static EditResult staleVersion(FoldedTable table, TableEdit edit, List<LoggedRecord> since) {
         return rejected(table, edit, Optional.empty(), lostTo(table, edit, RowHistory.of(table, edit.key(), since)));
     }
 
--- a/core/src/main/java/org/cornelramp/core/path/EngineLoads.java
+++ b/core/src/main/java/org/cornelramp/core/path/EngineLoads.java
@@ -34,21 +34,21 @@
      * Load of one engine. Immutable, safe for use by any thread.
      *
      * @param requests requests that pass it
-     * @param asFirst those of them that were sent to it
+     * @param asFirstEngine those of them that were sent to it
      * @param tokenLayers tokens times layers that they take
-     * @param reading prompt tokens of those whose first event has not come
+     * @param pendingPromptTokens prompt tokens of those whose first event has not come
      */
-    public record Load(int requests, int asFirst, long tokenLayers, int reading) {
+    public record Load(int requests, int asFirstEngine, long tokenLayers, int pendingPromptTokens) {
         Load plus(Load other) {
             return new Load(
                     requests + other.requests,
-                    asFirst + other.asFirst,
+                    asFirstEngine + other.asFirstEngine,
                     tokenLayers + other.tokenLayers,
-                    reading + other.reading);
+                    pendingPromptTokens + other.pendingPromptTokens);
         }
 
         Load negated() {
-            return new Load(-requests, -asFirst, -tokenLayers, -reading);
+            return new Load(-requests, -asFirstEngine, -tokenLayers, -pendingPromptTokens);
         }
     }
 
@@ -57,13 +57,13 @@
     private record Pace(double factor, long heardMillis) {}
 
     /** Notes what a peer has under way; it counts until the next news, or until the peer falls silent. */
-    public void peer(String name, Map<BackendServerId, Load> underWay, int crossings, long nowMillis) {
+    public void updatePeer(String name, Map<BackendServerId, Load> underWay, int crossings, long nowMillis) {
         forget(peers.put(name, new News(Map.copyOf(underWay), crossings, nowMillis)));
         underWay.forEach(this::addToTotal);
     }
 
     /** Notes that a peer lives whose news did not tell what it has under way: what it told last still counts. */
-    public void heard(String name, int crossings, long nowMillis) {
+    public void keepPeer(String name, int crossings, long nowMillis) {
         News last = peers.get(name);
         peers.put(name, new News(last == null ? Map.of() : last.loads(), crossings, nowMillis));
     }
@@ -79,7 +79,7 @@
     }
 
     /** Forgets peers that have been silent for so long; what a dead process had under way has ended. */
-    public void forgetSilent(long silenceMillis, long nowMillis) {
+    public void removeSilentPeers(long silenceMillis, long nowMillis) {
         peers.values().removeIf(news -> {
             boolean silent = nowMillis - news.heardMillis() > silenceMillis;
             forget(silent ? news : null);
@@ -103,7 +103,7 @@
     }
 
     /** What this process itself has under way. */
-    public Map<BackendServerId, Load> own() {
+    public Map<BackendServerId, Load> ownLoads() {
         return Map.copyOf(loads);
     }
 
@@ -113,7 +113,7 @@
     }
 
     /** Notes that the engines of a path have this many prompt tokens more to read, or fewer if negative. */
-    public void reading(StagePath path, int tokens) {
+    public void addPendingPromptTokens(StagePath path, int tokens) {
         for (Hop hop : path.hops()) {
             addOwn(hop.server().id(), new Load(0, 0, 0, tokens));
         }
@@ -149,7 +149,7 @@
     }
 
     /** Notes whether an engine that a request was sent to broke it off by itself. */
-    public void ended(BackendServerId first, boolean failed) {
+    public void recordOutcome(BackendServerId first, boolean failed) {
         double before = failures.getOrDefault(first, 0.0);
         double after = before + NEWEST * ((failed ? 1 : 0) - before);
         if (failed || after > NEWEST / 2) {
@@ -165,18 +165,18 @@
     }
 
     /** How many times longer than usual the engine takes, as last told; 1 if it has not told lately. */
-    public double pace(BackendServerId id) {
+    public double slowdown(BackendServerId id) {
         Pace pace = paces.get(id);
         return pace == null ? 1 : pace.factor();
     }
 
     /** Notes how many times longer than usual an engine takes. */
-    public void setPace(BackendServerId id, double factor, long nowMillis) {
+    public void setSlowdown(BackendServerId id, double factor, long nowMillis) {
         paces.put(id, new Pace(factor, nowMillis));
     }
 
     /** The paces that are not usual. */
-    public Map<BackendServerId, Double> unusualPaces() {
+    public Map<BackendServerId, Double> slowdownFactors() {
         Map<BackendServerId, Double> unusual = new HashMap<>();
         paces.forEach((id, pace) -> {
             if (pace.factor() > 1) {
@@ -187,7 +187,7 @@
     }
 
     /** Forgets paces that were told too long ago. */
-    public void forgetPaces(long nowMillis) {
+    public void removeExpiredSlowdowns(long nowMillis) {
         paces.values().removeIf(pace -> nowMillis - pace.heardMillis() > PACE_MILLIS);
     }
 
--- a/core/src/main/java/org/cornelramp/core/path/FirstEvents.java
+++ b/core/src/main/java/org/cornelramp/core/path/LostAnswerDetector.java
@@ -20,7 +20,7 @@
  * <p>Invariant: nothing is kept of streams that were sent longer ago than {@value #KEPT_MILLIS} ms, so the memory is bounded
  * by the streams of that time. Owned by one thread.
  */
-public final class FirstEvents {
+public final class LostAnswerDetector {
     /** Time without a first event before a stream is looked at: ten times the usual one, a third of a client's patience. */
     static final long PATIENCE_MILLIS = 700;
 
@@ -33,22 +33,22 @@
     /** Streams sent longer ago are witnesses for nobody: the clients of streams sent before them have left. */
     static final long KEPT_MILLIS = 2_000;
 
-    private final Map<BackendServerId, Deque<Long>> begun = new HashMap<>();
+    private final Map<BackendServerId, Deque<Long>> recordBegun = new HashMap<>();
 
     /** Notes that a stream has begun: the first engine of its path, and when it was sent. */
-    public void begun(BackendServerId first, long sentMillis, long nowMillis) {
-        Deque<Long> sent = begun.computeIfAbsent(first, any -> new ArrayDeque<>());
+    public void recordBegun(BackendServerId first, long sentMillis, long nowMillis) {
+        Deque<Long> sent = recordBegun.computeIfAbsent(first, any -> new ArrayDeque<>());
         sent.add(sentMillis);
-        begun.values().forEach(one -> one.removeIf(at -> nowMillis - at > KEPT_MILLIS));
-        begun.values().removeIf(Deque::isEmpty);
+        recordBegun.values().forEach(one -> one.removeIf(at -> nowMillis - at > KEPT_MILLIS));
+        recordBegun.values().removeIf(Deque::isEmpty);
     }
 
     /** Whether a stream that has not begun waits for an answer that will not come. */
     public boolean isAnswerLost(BackendServerId first, long sentMillis, long nowMillis) {
-        if (nowMillis - sentMillis < PATIENCE_MILLIS || !begun.containsKey(first)) {
+        if (nowMillis - sentMillis < PATIENCE_MILLIS || !recordBegun.containsKey(first)) {
             return false;
         }
-        long witnesses = begun.get(first).stream()
+        long witnesses = recordBegun.get(first).stream()
                 .filter(at -> at >= sentMillis + LEAD_MILLIS)
                 .count();
         return witnesses >= WITNESSES;
--- a/core/src/main/java/org/cornelramp/core/path/PathFinder.java
+++ b/core/src/main/java/org/cornelramp/core/path/PathFinder.java
@@ -225,9 +225,9 @@
             double freeMb = card.memoryMb() - (layers.to() - layers.from()) * spec.layerMb();
             this.server = server;
             this.to = layers.to();
-            this.hasSlot = load.asFirst() < server.slots();
+            this.hasSlot = load.asFirstEngine() < server.slots();
             this.freeTokenLayers = MEMORY_SHARE * freeMb / spec.tokenLayerMb() - load.tokenLayers();
-            this.layerMillis = layerMillis(load, card, spec) * loads.pace(server.id());
+            this.layerMillis = layerMillis(load, card, spec) * loads.slowdown(server.id());
             this.failureMillis = FAILURE_MILLIS * loads.failureShare(server.id());
         }
 
@@ -237,7 +237,7 @@
          */
         private static double layerMillis(EngineLoads.Load load, CardKind card, EngineSpec spec) {
             double step = spec.stepMillis() + (load.requests() + 1) / 2.0 * spec.usualRequestMillis();
-            double reading = load.reading() / spec.readPerMilli() * card.readFactor();
+            double reading = load.pendingPromptTokens() / spec.readPerMilli() * card.readFactor();
             return (WAITING_FACTOR * step * card.stepFactor() + READING_PART * reading) / spec.layers();
         }
 
--- a/core/src/main/java/org/cornelramp/core/path/SilentEngines.java
+++ b/core/src/main/java/org/cornelramp/core/path/SilentEngineDetector.java
@@ -20,7 +20,7 @@
  * shorter the time in which none of their events comes while it lives; so their silences count together, each in its own
  * usual pauses. Stateless, safe for use by any thread.
  */
-public final class SilentEngines {
+public final class SilentEngineDetector {
     /**
      * Silence of a stream that counts, at least. A client takes a stream for late after a pause of 200 ms or more; of
      * that, finding the dead engine may take about half, since the prompt has to be read again elsewhere.
@@ -58,50 +58,51 @@
     private static final long SPREAD_MILLIS = 20;
 
     /** Events of an engine that has died may come so long after. */
-    public static final long AFTER_DEATH_MILLIS = 20;
+    public static final long MAX_DELAY_AFTER_DEATH_MILLIS = 20;
 
-    private SilentEngines() {}
+    private SilentEngineDetector() {}
 
     /**
      * One stream under way. Immutable, safe for use by any thread.
      *
      * @param engines the engines that it passes
-     * @param lastMillis when its last event came, or when it was sent if none has come since
+     * @param lastEventMillis when its last event came, or when it was sent if none has come since
      * @param begun whether an event has come since it was sent
      * @param usualPauseMillis its usual time between two events; 0 if that is not known
      */
-    public record Stream(List<BackendServerId> engines, long lastMillis, boolean begun, double usualPauseMillis) {
-        public Stream {
+    public record StreamActivity(
+            List<BackendServerId> engines, long lastEventMillis, boolean begun, double usualPauseMillis) {
+        public StreamActivity {
             engines = List.copyOf(engines);
         }
 
         boolean isSilent(long nowMillis) {
             double usual = Math.min(MOST_SILENCE_MILLIS, USUAL_PAUSES * usualPauseMillis);
             double limit = begun ? Math.max(LEAST_SILENCE_MILLIS, usual) : FIRST_SILENCE_MILLIS;
-            return nowMillis - lastMillis > limit;
+            return nowMillis - lastEventMillis > limit;
         }
 
         /**
          * Whether its events still come. They pass each engine of its path, so all of those live, whatever a question
          * that was not answered says; a stream that is cut then is lost for nothing.
          */
-        public boolean isFlowing(long nowMillis) {
+        public boolean isActive(long nowMillis) {
             double usual = Math.min(MOST_FLOWING_MILLIS, FLOWING_PAUSES * usualPauseMillis);
             double limit = usualPauseMillis == 0 ? FIRST_FLOWING_MILLIS : Math.max(LEAST_FLOWING_MILLIS, usual);
-            return begun && nowMillis - lastMillis <= limit;
+            return begun && nowMillis - lastEventMillis <= limit;
         }
     }
 
     /**
      * Whether events pass an engine, so that it lives although it has not answered a question. A gateway that has just
      * started, or whose link loses packets, misses answers; taken for dead, an engine costs each of its streams a new
-     * start. What a dead engine had passed on arrives within {@value #AFTER_DEATH_MILLIS} ms, and it is asked only after
+     * start. What a dead engine had passed on arrives within {@value #MAX_DELAY_AFTER_DEATH_MILLIS} ms, and it is asked only after
      * a longer silence.
      */
-    public static boolean isPassed(Collection<Stream> streams, BackendServerId engine, long nowMillis) {
+    public static boolean hasRecentEvents(Collection<StreamActivity> streams, BackendServerId engine, long nowMillis) {
         return streams.stream()
-                .filter(stream ->
-                        stream.begun() && nowMillis - stream.lastMillis() <= LEAST_SILENCE_MILLIS - AFTER_DEATH_MILLIS)
+                .filter(stream -> stream.begun()
+                        && nowMillis - stream.lastEventMillis() <= LEAST_SILENCE_MILLIS - MAX_DELAY_AFTER_DEATH_MILLIS)
                 .anyMatch(stream -> stream.engines().contains(engine));
     }
 
@@ -111,17 +112,17 @@
      * @param late whether this process ran late just now; its streams then all look silent together, so only the silence of
      *     single streams counts
      */
-    public static Set<BackendServerId> find(Collection<Stream> streams, boolean late, long nowMillis) {
+    public static Set<BackendServerId> findSuspects(Collection<StreamActivity> streams, boolean late, long nowMillis) {
         Map<BackendServerId, Long> passed = new HashMap<>();
-        for (Stream stream : streams) {
+        for (StreamActivity stream : streams) {
             if (stream.begun()) {
-                stream.engines().forEach(id -> passed.merge(id, stream.lastMillis(), Math::max));
+                stream.engines().forEach(id -> passed.merge(id, stream.lastEventMillis(), Math::max));
             }
         }
         Set<BackendServerId> found = new HashSet<>();
-        for (Stream stream : streams) {
+        for (StreamActivity stream : streams) {
             if (stream.isSilent(nowMillis)) {
-                long since = stream.lastMillis() + SPREAD_MILLIS;
+                long since = stream.lastEventMillis() + SPREAD_MILLIS;
                 stream.engines().stream()
                         .filter(id -> passed.getOrDefault(id, Long.MIN_VALUE) <= since)
                         .forEach(found::add);
@@ -138,11 +139,11 @@
     }
 
     /** For each engine the silences of the streams that pass it, each in usual pauses of that stream, in all. */
-    private static Map<BackendServerId, Double> silentTogether(Collection<Stream> streams, long nowMillis) {
+    private static Map<BackendServerId, Double> silentTogether(Collection<StreamActivity> streams, long nowMillis) {
         Map<BackendServerId, Double> pauses = new HashMap<>();
-        for (Stream stream : streams) {
+        for (StreamActivity stream : streams) {
             if (stream.begun() && stream.usualPauseMillis() > 0) {
-                double silence = (nowMillis - stream.lastMillis()) / stream.usualPauseMillis();
+                double silence = (nowMillis - stream.lastEventMillis()) / stream.usualPauseMillis();
                 stream.engines().forEach(id -> pauses.merge(id, silence, Double::sum));
             }
         }
--- a/core/src/main/java/org/cornelramp/core/poison/CrashReport.java
+++ b/core/src/main/java/org/cornelramp/core/poison/CrashReport.java
@@ -12,19 +12,19 @@
  *
  * <p>An agent leaves out requests of which it saw another run complete: what has run whole is not what crashed.
  *
- * @param crash names the crash, the same in every report of it: the agent's incarnation and the backend server's
+ * @param crashId names the crash, the same in every report of it: the agent's incarnation and the backend server's
  *     life, or the incarnation alone when the agent died as well
  * @param at when it was noticed
  * @param suspects fingerprints of the requests in progress, at most {@value #MAX_SUSPECTS}
  */
-public record CrashReport(String crash, Instant at, Set<String> suspects) {
+public record CrashReport(String crashId, Instant at, Set<String> suspects) {
     /** Most suspects of one crash; those that sort first are kept, whatever the order of reports. */
     public static final int MAX_SUSPECTS = 512;
 
     private static final String SEPARATOR = "|";
 
     public CrashReport {
-        if (crash.isEmpty() || crash.contains(SEPARATOR)) {
+        if (crashId.isEmpty() || crashId.contains(SEPARATOR)) {
             throw new IllegalArgumentException("A crash is named by a text without " + SEPARATOR);
         }
         suspects = first(suspects);
@@ -44,12 +44,12 @@
     public CrashReport with(CrashReport other) {
         TreeSet<String> all = new TreeSet<>(suspects);
         all.addAll(other.suspects);
-        return new CrashReport(crash, at.isBefore(other.at) ? at : other.at, all);
+        return new CrashReport(crashId, at.isBefore(other.at) ? at : other.at, all);
     }
 
     @Override
     public String toString() {
-        return crash + SEPARATOR + at.toEpochMilli() + SEPARATOR + String.join(",", suspects);
+        return crashId + SEPARATOR + at.toEpochMilli() + SEPARATOR + String.join(",", suspects);
     }
 
     private static Set<String> first(Collection<String> all) {
--- a/core/src/main/java/org/cornelramp/core/retry/Attempt.java
+++ b/core/src/main/java/org/cornelramp/core/retry/FailedAttempt.java
@@ -9,10 +9,10 @@
  *
  * @param problem how it failed
  * @param idempotent whether the request may run more than once
- * @param number attempts made, this one included
+ * @param attempts attempts made, this one included
  * @param crashes attempts that ended in a crash of the backend server, this one included
  * @param deadline when the whole answer must be there
- * @param expected least time that another attempt takes
+ * @param minimumDuration least time that another attempt takes
  */
-public record Attempt(
-        Problem problem, boolean idempotent, int number, int crashes, Instant deadline, Duration expected) {}
+public record FailedAttempt(
+        Problem problem, boolean idempotent, int attempts, int crashes, Instant deadline, Duration minimumDuration) {}
--- a/core/src/main/java/org/cornelramp/core/retry/RetryBudget.java
+++ b/core/src/main/java/org/cornelramp/core/retry/OrganisationRetryBudget.java
@@ -17,7 +17,7 @@
  * retries. Owned by one thread; holds at most {@value #MAX_ORGANISATIONS} organisations and forgets the one that
  * was used longest ago.
  */
-public final class RetryBudget {
+public final class OrganisationRetryBudget {
     /** Most organisations held. */
     public static final int MAX_ORGANISATIONS = 8_192;
 
@@ -38,19 +38,19 @@
      * @param reservePerSecond retries a second that are earned without successes
      * @param most most retries saved up
      */
-    public RetryBudget(double share, double reservePerSecond, double most) {
+    public OrganisationRetryBudget(double share, double reservePerSecond, double most) {
         this.share = share;
         this.reservePerSecond = reservePerSecond;
         this.most = most;
     }
 
     /** A tenth of the successes, one retry a second without any, ten saved up. */
-    public static RetryBudget standard() {
-        return new RetryBudget(0.1, 1, 10);
+    public static OrganisationRetryBudget standard() {
+        return new OrganisationRetryBudget(0.1, 1, 10);
     }
 
     /** Notes that a request of the organisation was answered. */
-    public void succeeded(OrganisationId organisation, Instant now) {
+    public void recordSuccess(OrganisationId organisation, Instant now) {
         Account a = account(organisation, now);
         a.balance = Math.min(most, a.balance + share);
     }
--- a/core/src/main/java/org/cornelramp/core/retry/RepeatLoans.java
+++ b/core/src/main/java/org/cornelramp/core/retry/RepeatLoans.java
@@ -37,7 +37,7 @@
     private final Map<String, Long> answered = new HashMap<>();
     private final Deque<Borrowed> borrowed = new ArrayDeque<>();
     private final Set<String> lenders = new HashSet<>();
-    private RepeatNews.Ask ask;
+    private RetryLoanUpdate.LoanRequest ask;
     private long askedMillis;
 
     /** A loan as the lender keeps it. Immutable. */
@@ -61,14 +61,14 @@
         if (amount <= 0) {
             ask = null;
         } else if (!stands) {
-            ask = new RepeatNews.Ask(ids.nextLong(), amount);
+            ask = new RetryLoanUpdate.LoanRequest(ids.nextLong(), amount);
             askedMillis = nowMillis;
             lenders.clear();
         }
     }
 
     /** What this process asks for now. */
-    Optional<RepeatNews.Ask> asks() {
+    Optional<RetryLoanUpdate.LoanRequest> asks() {
         return Optional.ofNullable(ask);
     }
 
@@ -77,7 +77,7 @@
      *
      * @param spare repeats that this process can do without
      */
-    void lend(String to, RepeatNews.Ask theirs, int spare, long nowMillis) {
+    void lend(String to, RetryLoanUpdate.LoanRequest theirs, int spare, long nowMillis) {
         int amount = Math.min(theirs.amount(), spare);
         if (amount > 0 && !Long.valueOf(theirs.id()).equals(answered.get(to))) {
             answered.put(to, theirs.id());
@@ -86,11 +86,11 @@
     }
 
     /** The loans that are still to be told; each is told for as long as it may be used. */
-    List<RepeatNews.Loan> toTell(long nowMillis) {
-        List<RepeatNews.Loan> loans = new ArrayList<>();
+    List<RetryLoanUpdate.Loan> toTell(long nowMillis) {
+        List<RetryLoanUpdate.Loan> loans = new ArrayList<>();
         for (Lent one : lent) {
             if (nowMillis - one.lentMillis() < VALID_MILLIS) {
-                loans.add(new RepeatNews.Loan(one.to(), one.ask(), one.amount()));
+                loans.add(new RetryLoanUpdate.Loan(one.to(), one.ask(), one.amount()));
             }
         }
         return loans;
@@ -108,9 +108,9 @@
     }
 
     /** Takes a loan that a process tells of; it counts if it answers the ask that stands, once for each lender. */
-    void told(String from, RepeatNews.Loan loan, long nowMillis) {
+    void told(String from, RetryLoanUpdate.Loan loan, long nowMillis) {
         long until = askedMillis + VALID_MILLIS;
-        boolean answers = ask != null && ask.id() == loan.ask() && nowMillis < until;
+        boolean answers = ask != null && ask.id() == loan.requestId() && nowMillis < until;
         if (answers && loan.amount() > 0 && lenders.add(from)) {
             borrowed.add(new Borrowed(loan.amount(), until));
         }
--- a/core/src/main/java/org/cornelramp/core/retry/RunLimit.java
+++ b/core/src/main/java/org/cornelramp/core/retry/RequestServerLimit.java
@@ -13,8 +13,8 @@
  * there has ended with them, and a rack that fails under a stream must not use up its attempts. One that is only suspected
  * counts: a link that loses packets makes living engines look dead, and streams ran on three of two.
  */
-public final class RunLimit {
-    private RunLimit() {}
+public final class RequestServerLimit {
+    private RequestServerLimit() {}
 
     /**
      * The servers that may take the request: all of them, given as the empty set, while fewer than {@code most} living
@@ -24,7 +24,8 @@
      * @param alive whether a server is still registered
      * @param most servers on which the route lets a request run
      */
-    public static Set<BackendServerId> allowed(Set<BackendServerId> ran, Predicate<BackendServerId> alive, int most) {
+    public static Set<BackendServerId> allowedServers(
+            Set<BackendServerId> ran, Predicate<BackendServerId> alive, int most) {
         Set<BackendServerId> living = new HashSet<>(ran);
         living.removeIf(alive.negate());
         return living.size() < most ? Set.of() : living;
--- a/core/src/main/java/org/cornelramp/core/retry/RepeatNews.java
+++ b/core/src/main/java/org/cornelramp/core/retry/RetryLoanUpdate.java
@@ -7,15 +7,15 @@
 /**
  * What a process tells of its repeats. Immutable, safe for use by any thread.
  *
- * @param asks what it lacks now, for each service for which it lacks any
+ * @param loanRequests what it lacks now, for each service for which it lacks any
  * @param loans what it has just lent to others, for each service of which it lends
  */
-public record RepeatNews(Map<ServiceName, Ask> asks, Map<ServiceName, List<Loan>> loans) {
+public record RetryLoanUpdate(Map<ServiceName, LoanRequest> loanRequests, Map<ServiceName, List<Loan>> loans) {
     /** News of a process that lacks nothing and lends nothing. */
-    public static final RepeatNews NONE = new RepeatNews(Map.of(), Map.of());
+    public static final RetryLoanUpdate NONE = new RetryLoanUpdate(Map.of(), Map.of());
 
-    public RepeatNews {
-        asks = Map.copyOf(asks);
+    public RetryLoanUpdate {
+        loanRequests = Map.copyOf(loanRequests);
         loans = Map.copyOf(loans);
     }
 
@@ -25,14 +25,14 @@
      * @param id tells it from all other asks, of earlier lives of the process as well
      * @param amount repeats wanted of each peer
      */
-    public record Ask(long id, int amount) {}
+    public record LoanRequest(long id, int amount) {}
 
     /**
      * Repeats lent to one process. Immutable, safe for use by any thread.
      *
-     * @param to who may use them
-     * @param ask the ask that they answer
+     * @param borrower who may use them
+     * @param requestId the ask that they answer
      * @param amount how many they are
      */
-    public record Loan(String to, long ask, int amount) {}
+    public record Loan(String borrower, long requestId, int amount) {}
 }
--- a/core/src/main/java/org/cornelramp/core/retry/RetryRule.java
+++ b/core/src/main/java/org/cornelramp/core/retry/RetryPolicy.java
@@ -5,11 +5,11 @@
 import org.cornelramp.core.model.ProblemKind;
 
 /**
- * Whether a failed attempt may be made again. The caller of the rule also takes one from the {@link RetryBudget}
+ * Whether a failed attempt may be made again. The caller of the rule also takes one from the {@link OrganisationRetryBudget}
  * and adds the failed agent to those to avoid, so that no request meets the same fault twice. Stateless, safe for
  * use by any thread.
  */
-public final class RetryRule {
+public final class RetryPolicy {
     /** Most attempts at one request. */
     public static final int MAX_ATTEMPTS = 3;
 
@@ -19,7 +19,7 @@
      */
     public static final int MAX_CRASHES = 2;
 
-    private RetryRule() {}
+    private RetryPolicy() {}
 
     /**
      * Returns whether another attempt is safe, may help and still fits the deadline.
@@ -27,14 +27,14 @@
      * <p>An attempt of unknown outcome is repeated only if the request is idempotent: it may have taken effect, and
      * a second booking sends a second crew.
      */
-    public static boolean mayRetry(Attempt failed, Instant now) {
+    public static boolean mayRetry(FailedAttempt failed, Instant now) {
         boolean safe = failed.problem().outcome() == Outcome.NOT_RUN || failed.idempotent();
-        boolean inTime = now.plus(failed.expected()).isBefore(failed.deadline());
+        boolean inTime = now.plus(failed.minimumDuration()).isBefore(failed.deadline());
         return safe && helps(failed.problem().kind()) && inTime && attemptsLeft(failed);
     }
 
-    private static boolean attemptsLeft(Attempt failed) {
-        return failed.number() < MAX_ATTEMPTS && failed.crashes() < MAX_CRASHES;
+    private static boolean attemptsLeft(FailedAttempt failed) {
+        return failed.attempts() < MAX_ATTEMPTS && failed.crashes() < MAX_CRASHES;
     }
 
     /** Whether another backend server may do better. A refusal of the request itself stays one everywhere. */
--- a/core/src/main/java/org/cornelramp/core/retry/RepeatQueue.java
+++ b/core/src/main/java/org/cornelramp/core/retry/RetryQueue.java
@@ -16,11 +16,11 @@
  *
  * <p>Invariant: at most {@value #MOST_FRESH} requests wait that have not begun, and none of them longer than its time.
  */
-public final class RepeatQueue<T> {
+public final class RetryQueue<T> {
     /** Most requests that wait and have not begun: some seconds of a busy process's. */
     static final int MOST_FRESH = 256;
 
-    private final Map<T, Waiting> waiting = new LinkedHashMap<>();
+    private final Map<T, WaitState> waiting = new LinkedHashMap<>();
     private int fresh;
 
     /**
@@ -28,12 +28,12 @@
      *
      * @param begun whether a part of its answer has been passed on; it waits until its client leaves
      * @param deadlineMillis when its client must have an answer
-     * @param untilMillis when it is refused if it has not begun
+     * @param waitUntilMillis when it is refused if it has not begun
      */
-    public record Waiting(boolean begun, long deadlineMillis, long untilMillis) {}
+    public record WaitState(boolean begun, long deadlineMillis, long waitUntilMillis) {}
 
     /** Lets a request wait; false if too many do. One that waits already keeps its time. */
-    public boolean add(T request, Waiting how) {
+    public boolean add(T request, WaitState how) {
         if (waiting.containsKey(request)) {
             return true;
         }
@@ -46,8 +46,8 @@
     }
 
     /** Lets a request wait no longer; how it waited, empty if it did not. */
-    public Optional<Waiting> remove(T request) {
-        Optional<Waiting> how = Optional.ofNullable(waiting.remove(request));
+    public Optional<WaitState> remove(T request) {
+        Optional<WaitState> how = Optional.ofNullable(waiting.remove(request));
         fresh -= how.isPresent() && !how.get().begun() ? 1 : 0;
         return how;
     }
@@ -59,7 +59,7 @@
 
     /** All that wait, the first to get a repeat first. */
     public List<T> inOrder() {
-        Comparator<Map.Entry<T, Waiting>> begunFirst =
+        Comparator<Map.Entry<T, WaitState>> begunFirst =
                 Comparator.comparing(entry -> !entry.getValue().begun());
         return waiting.entrySet().stream()
                 .sorted(begunFirst.thenComparing(entry -> entry.getValue().deadlineMillis()))
@@ -68,10 +68,10 @@
     }
 
     /** Takes out the requests that have not begun and whose time to wait is over. */
-    public List<T> takeOverdue(long nowMillis) {
+    public List<T> removeOverdue(long nowMillis) {
         List<T> overdue = new ArrayList<>();
         waiting.forEach((request, how) -> {
-            if (!how.begun() && nowMillis >= how.untilMillis()) {
+            if (!how.begun() && nowMillis >= how.waitUntilMillis()) {
                 overdue.add(request);
             }
         });
--- a/core/src/test/java/org/cornelramp/core/fleet/RestoredStoreProperties.java
+++ b/core/src/test/java/org/cornelramp/core/fleet/RestoredStoreProperties.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.cornelramp.core.model.BackendServerId;
-import org.cornelramp.core.path.Engines;
+import org.cornelramp.core.path.EngineFixtures;
 
 /** The store fails and is restored from a copy some seconds old, while servers start, leave, end and restart. */
 class RestoredStoreProperties {
@@ -56,10 +56,10 @@
             if (before != null) {
                 left.add(before.id());
             }
-            BackendServer any = Engines.engine(name.value(), "dc1", "t4", 0, 5);
+            BackendServer any = EngineFixtures.engine(name.value(), "dc1", "t4", 0, 5);
             lastStartMillis += 1 + random.nextInt(50);
             BackendServer next = new BackendServer(
-                    name.inLife(lastStartMillis),
+                    name.forIncarnation(lastStartMillis),
                     name,
                     any.service(),
                     any.address(),
--- a/core/src/test/java/org/cornelramp/core/path/Engines.java
+++ b/core/src/test/java/org/cornelramp/core/path/EngineFixtures.java
@@ -14,11 +14,11 @@
 import org.cornelramp.core.settings.HostPort;
 
 /** Engines and specifications for tests, with the figures of the two deployments of today. */
-public final class Engines {
+public final class EngineFixtures {
     /** Layers of the model of today. */
     public static final int LAYERS = 80;
 
-    private Engines() {}
+    private EngineFixtures() {}
 
     /** The model of today on the cards of today; the pipe as given. */
     public static EngineSpec spec(double crossMbps) {
--- a/core/src/test/java/org/cornelramp/core/path/EngineLoadsProperties.java
+++ b/core/src/test/java/org/cornelramp/core/path/EngineLoadsProperties.java
@@ -21,13 +21,16 @@
     }
 
     private static StagePath path(Random random) {
-        int cut = 1 + random.nextInt(Engines.LAYERS - 1);
+        int cut = 1 + random.nextInt(EngineFixtures.LAYERS - 1);
         int first = random.nextInt(ENGINES);
         int second = (first + 1 + random.nextInt(ENGINES - 1)) % ENGINES;
         return new StagePath(
                 List.of(
-                        new Hop(Engines.engine("e" + first, "dc1", "l4", 0, cut), 0, cut),
-                        new Hop(Engines.engine("e" + second, "dc1", "l4", cut, Engines.LAYERS), cut, Engines.LAYERS)),
+                        new Hop(EngineFixtures.engine("e" + first, "dc1", "l4", 0, cut), 0, cut),
+                        new Hop(
+                                EngineFixtures.engine("e" + second, "dc1", "l4", cut, EngineFixtures.LAYERS),
+                                cut,
+                                EngineFixtures.LAYERS)),
                 1,
                 1);
     }
@@ -53,10 +56,10 @@
             String peer = "p" + random.nextInt(5);
             Map<BackendServerId, EngineLoads.Load> news = anyNews(random);
             if (random.nextInt(3) > 0) {
-                loads.peer(peer, news, 0, now);
+                loads.updatePeer(peer, news, 0, now);
                 told.put(peer, new Told(news, now));
             } else {
-                loads.heard(peer, 0, now);
+                loads.keepPeer(peer, 0, now);
                 told.put(peer, new Told(told.containsKey(peer) ? told.get(peer).loads() : Map.of(), now));
             }
             if (own.size() < 8 && random.nextBoolean()) {
@@ -67,7 +70,7 @@
             }
             if (random.nextInt(4) == 0) {
                 long at = now;
-                loads.forgetSilent(SILENCE, now);
+                loads.removeSilentPeers(SILENCE, now);
                 told.values().removeIf(one -> at - one.atMillis() > SILENCE);
             }
             check(loads, told, own);
--- a/core/src/test/java/org/cornelramp/core/path/FirstEventsTest.java
+++ b/core/src/test/java/org/cornelramp/core/path/FirstEventsTest.java
@@ -16,9 +16,9 @@
      */
     @Test
     public void aStreamThatLaterOnesHaveOvertakenIsLost() {
-        FirstEvents events = new FirstEvents();
+        LostAnswerDetector events = new LostAnswerDetector();
         for (long sent = 1_100; sent <= 1_600; sent += 100) {
-            events.begun(ENGINE, sent, sent + 50);
+            events.recordBegun(ENGINE, sent, sent + 50);
         }
         assertFalse(events.isAnswerLost(ENGINE, 1_000, 1_699), "too early");
         assertTrue(events.isAnswerLost(ENGINE, 1_000, 1_700));
@@ -31,11 +31,11 @@
      */
     @Test
     public void aFullEngineLosesNothing() {
-        FirstEvents events = new FirstEvents();
+        LostAnswerDetector events = new LostAnswerDetector();
         for (long now = 0; now < 3_000; now++) {
             for (long sent = 0; sent < 1_000; sent += 14) {
                 if (now == sent + 1_300) {
-                    events.begun(ENGINE, sent, now);
+                    events.recordBegun(ENGINE, sent, now);
                 }
                 boolean waits = now >= sent && now < sent + 1_300;
                 assertFalse(waits && events.isAnswerLost(ENGINE, sent, now), "sent at " + sent + " now " + now);
@@ -46,12 +46,12 @@
     /** One stream with a higher priority overtakes another; that alone shows no loss, nor do streams sent long ago. */
     @Test
     public void oneWitnessIsNotEnough() {
-        FirstEvents events = new FirstEvents();
-        events.begun(ENGINE, 1_300, 1_350);
+        LostAnswerDetector events = new LostAnswerDetector();
+        events.recordBegun(ENGINE, 1_300, 1_350);
         assertFalse(events.isAnswerLost(ENGINE, 1_000, 2_000));
-        events.begun(ENGINE, 1_150, 1_400);
+        events.recordBegun(ENGINE, 1_150, 1_400);
         assertFalse(events.isAnswerLost(ENGINE, 1_000, 2_000), "sent at nearly the same time");
-        events.begun(ENGINE, 4_000, 4_050);
+        events.recordBegun(ENGINE, 4_000, 4_050);
         assertFalse(events.isAnswerLost(ENGINE, 1_000, 4_050), "the first one is forgotten");
     }
 }
--- a/core/src/test/java/org/cornelramp/core/path/PathFinderTest.java
+++ b/core/src/test/java/org/cornelramp/core/path/PathFinderTest.java
@@ -15,20 +15,20 @@
 
 /** Which engines a stream passes, by place, load, memory and slowness. */
 public class PathFinderTest {
-    private static final EngineSpec SPEC = Engines.spec(9_000);
+    private static final EngineSpec SPEC = EngineFixtures.spec(9_000);
 
     private static List<BackendServer> copy(String dataCentre) {
         List<BackendServer> copy = new ArrayList<>();
-        copy.add(Engines.engine(dataCentre + "-a", dataCentre, "h100", 0, 27));
-        copy.add(Engines.engine(dataCentre + "-b", dataCentre, "h100", 27, 54));
-        copy.add(Engines.engine(dataCentre + "-c", dataCentre, "h100", 54, 80));
+        copy.add(EngineFixtures.engine(dataCentre + "-a", dataCentre, "h100", 0, 27));
+        copy.add(EngineFixtures.engine(dataCentre + "-b", dataCentre, "h100", 27, 54));
+        copy.add(EngineFixtures.engine(dataCentre + "-c", dataCentre, "h100", 54, 80));
         return copy;
     }
 
     private static List<BackendServer> slowCopy(String dataCentre) {
         List<BackendServer> copy = new ArrayList<>();
-        for (int from = 0; from < Engines.LAYERS; from += 8) {
-            copy.add(Engines.engine(dataCentre + "-" + from, dataCentre, "l4", from, from + 8));
+        for (int from = 0; from < EngineFixtures.LAYERS; from += 8) {
+            copy.add(EngineFixtures.engine(dataCentre + "-" + from, dataCentre, "l4", from, from + 8));
         }
         return copy;
     }
@@ -40,13 +40,15 @@
     @Test
     public void prefersFewerEnginesOfAboutTheSameSpeed() {
         List<BackendServer> engines = new ArrayList<>();
-        for (int from = 0; from < Engines.LAYERS; from += 6) {
-            engines.add(Engines.engine("small-" + from, "dc1", "t4", from, Math.min(from + 6, Engines.LAYERS)));
+        for (int from = 0; from < EngineFixtures.LAYERS; from += 6) {
+            engines.add(EngineFixtures.engine(
+                    "small-" + from, "dc1", "t4", from, Math.min(from + 6, EngineFixtures.LAYERS)));
         }
-        for (int from = 0; from < Engines.LAYERS; from += 9) {
-            engines.add(Engines.engine("large-" + from, "dc1", "l4", from, Math.min(from + 9, Engines.LAYERS)));
+        for (int from = 0; from < EngineFixtures.LAYERS; from += 9) {
+            engines.add(EngineFixtures.engine(
+                    "large-" + from, "dc1", "l4", from, Math.min(from + 9, EngineFixtures.LAYERS)));
         }
-        StagePath path = PathFinder.find(SPEC, engines, new EngineLoads(), Engines.demand("dc1"))
+        StagePath path = PathFinder.find(SPEC, engines, new EngineLoads(), EngineFixtures.demand("dc1"))
                 .orElseThrow();
         assertEquals(path.hops().size(), 9);
     }
@@ -61,7 +63,7 @@
     public void staysInItsOwnDataCentreWhileThatHasACopy() {
         List<BackendServer> engines = new ArrayList<>(copy("dc1"));
         engines.addAll(copy("dc2"));
-        StagePath path = PathFinder.find(SPEC, engines, new EngineLoads(), Engines.demand("dc2"))
+        StagePath path = PathFinder.find(SPEC, engines, new EngineLoads(), EngineFixtures.demand("dc2"))
                 .orElseThrow();
         assertEquals(dataCentres(path), Set.of("dc2"));
         assertEquals(path.crossings(), 0);
@@ -76,7 +78,7 @@
         List<BackendServer> engines = new ArrayList<>(copy("dc1"));
         engines.remove(1);
         engines.addAll(copy("dc2"));
-        StagePath path = PathFinder.find(SPEC, engines, new EngineLoads(), Engines.demand("dc1"))
+        StagePath path = PathFinder.find(SPEC, engines, new EngineLoads(), EngineFixtures.demand("dc1"))
                 .orElseThrow();
         assertEquals(dataCentres(path), Set.of("dc2"));
         assertEquals(path.crossings(), 0);
@@ -93,13 +95,13 @@
         engines.addAll(copy("dc2"));
         EngineLoads loads = new EngineLoads();
         for (int i = 0; i < 20; i++) {
-            loads.ended(new BackendServerId("dc1-a"), i % 5 < 2);
+            loads.recordOutcome(new BackendServerId("dc1-a"), i % 5 < 2);
         }
-        StagePath path =
-                PathFinder.find(SPEC, engines, loads, Engines.demand("dc1")).orElseThrow();
+        StagePath path = PathFinder.find(SPEC, engines, loads, EngineFixtures.demand("dc1"))
+                .orElseThrow();
         assertEquals(dataCentres(path), Set.of("dc2"));
-        StagePath only =
-                PathFinder.find(SPEC, copy("dc1"), loads, Engines.demand("dc1")).orElseThrow();
+        StagePath only = PathFinder.find(SPEC, copy("dc1"), loads, EngineFixtures.demand("dc1"))
+                .orElseThrow();
         assertEquals(dataCentres(only), Set.of("dc1"));
     }
 
@@ -111,13 +113,13 @@
     @Test
     public void plansNoMoreCrossingsThanThePipeCarries() {
         List<BackendServer> engines = new ArrayList<>();
-        engines.add(Engines.engine("left", "dc1", "h100", 0, 27));
-        engines.add(Engines.engine("middle", "dc2", "h100", 27, 54));
-        engines.add(Engines.engine("right", "dc2", "h100", 54, 80));
-        EngineSpec roomy = Engines.spec(9_000);
+        engines.add(EngineFixtures.engine("left", "dc1", "h100", 0, 27));
+        engines.add(EngineFixtures.engine("middle", "dc2", "h100", 27, 54));
+        engines.add(EngineFixtures.engine("right", "dc2", "h100", 54, 80));
+        EngineSpec roomy = EngineFixtures.spec(9_000);
         EngineLoads loads = new EngineLoads();
         int placed = 0;
-        Optional<StagePath> path = PathFinder.find(roomy, engines, loads, Engines.demand("dc1"));
+        Optional<StagePath> path = PathFinder.find(roomy, engines, loads, EngineFixtures.demand("dc1"));
         while (path.isPresent() && placed < 1_000) {
             loads.add(path.get(), 1);
             placed++;
@@ -125,7 +127,7 @@
                     roomy,
                     engines,
                     loads,
-                    new PathFinder.Demand(Engines.demand("dc1").home(), 772, 1, Set.of()));
+                    new PathFinder.Demand(EngineFixtures.demand("dc1").home(), 772, 1, Set.of()));
         }
         double tokensPerSecond = placed * roomy.usualTokens() / 4.0;
         double megabits = tokensPerSecond * roomy.activationBytes() * 8 / 1e6;
@@ -145,13 +147,13 @@
         EngineLoads peer = new EngineLoads();
         for (int i = 0; i < 60; i++) {
             peer.add(
-                    PathFinder.find(SPEC, slowCopy("dc1"), peer, Engines.demand("dc1"))
+                    PathFinder.find(SPEC, slowCopy("dc1"), peer, EngineFixtures.demand("dc1"))
                             .orElseThrow(),
                     944);
         }
-        loads.peer("peer", peer.own(), 0, 0);
-        StagePath path =
-                PathFinder.find(SPEC, engines, loads, Engines.demand("dc1")).orElseThrow();
+        loads.updatePeer("peer", peer.ownLoads(), 0, 0);
+        StagePath path = PathFinder.find(SPEC, engines, loads, EngineFixtures.demand("dc1"))
+                .orElseThrow();
         assertEquals(dataCentres(path), Set.of("dc2"));
     }
 
@@ -160,11 +162,11 @@
         EngineLoads loads = new EngineLoads();
         List<BackendServer> engines = copy("dc1");
         int placed = 0;
-        Optional<StagePath> path = PathFinder.find(SPEC, engines, loads, Engines.demand("dc1"));
+        Optional<StagePath> path = PathFinder.find(SPEC, engines, loads, EngineFixtures.demand("dc1"));
         while (path.isPresent()) {
             loads.add(path.get(), 944);
             placed++;
-            path = PathFinder.find(SPEC, engines, loads, Engines.demand("dc1"));
+            path = PathFinder.find(SPEC, engines, loads, EngineFixtures.demand("dc1"));
         }
         double freeMb = 72_000 - 27 * 1_750;
         double takenMb = placed * 944.0 * 27 * SPEC.tokenLayerMb();
@@ -175,22 +177,22 @@
     @Test
     public void goesAroundASlowEngine() {
         List<BackendServer> engines = copy("dc1");
-        engines.add(Engines.engine("twin", "dc1", "h100", 27, 54));
+        engines.add(EngineFixtures.engine("twin", "dc1", "h100", 27, 54));
         EngineLoads loads = new EngineLoads();
-        loads.setPace(new BackendServerId("dc1-b"), 5, 0);
-        StagePath path =
-                PathFinder.find(SPEC, engines, loads, Engines.demand("dc1")).orElseThrow();
+        loads.setSlowdown(new BackendServerId("dc1-b"), 5, 0);
+        StagePath path = PathFinder.find(SPEC, engines, loads, EngineFixtures.demand("dc1"))
+                .orElseThrow();
         assertTrue(path.hop(new BackendServerId("twin")).isPresent(), path.text());
-        loads.forgetPaces(60_000);
-        assertEquals(loads.pace(new BackendServerId("dc1-b")), 1.0);
+        loads.removeExpiredSlowdowns(60_000);
+        assertEquals(loads.slowdown(new BackendServerId("dc1-b")), 1.0);
     }
 
     @Test
     public void startsOnlyAtAnEngineThatMayTakeTheRequest() {
         List<BackendServer> engines = copy("dc1");
         engines.addAll(copy("dc2"));
-        PathFinder.Demand demand =
-                new PathFinder.Demand(Engines.demand("dc1").home(), 10, 20, Set.of(new BackendServerId("dc2-a")));
+        PathFinder.Demand demand = new PathFinder.Demand(
+                EngineFixtures.demand("dc1").home(), 10, 20, Set.of(new BackendServerId("dc2-a")));
         StagePath path =
                 PathFinder.find(SPEC, engines, new EngineLoads(), demand).orElseThrow();
         assertEquals(path.first().id(), new BackendServerId("dc2-a"));
@@ -199,12 +201,12 @@
     @Test
     public void keepsTheFirstHopOfARunningRequest() {
         List<BackendServer> engines = copy("dc1");
-        engines.add(Engines.engine("twin", "dc1", "h100", 27, 54));
+        engines.add(EngineFixtures.engine("twin", "dc1", "h100", 27, 54));
         Hop first = new Hop(engines.get(0), 0, 27);
         List<BackendServer> left = engines.stream()
                 .filter(one -> !one.id().value().equals("dc1-b"))
                 .toList();
-        StagePath path = PathFinder.findAfter(first, SPEC, left, new EngineLoads(), Engines.demand("dc1"))
+        StagePath path = PathFinder.findAfter(first, SPEC, left, new EngineLoads(), EngineFixtures.demand("dc1"))
                 .orElseThrow();
         assertEquals(path.hops().get(0), first);
         assertTrue(path.hop(new BackendServerId("twin")).isPresent(), path.text());
@@ -221,10 +223,10 @@
         EngineLoads loads = new EngineLoads();
         int away = 0;
         for (int i = 0; i < 30; i++) {
-            StagePath path =
-                    PathFinder.find(SPEC, engines, loads, Engines.demand("dc1")).orElseThrow();
+            StagePath path = PathFinder.find(SPEC, engines, loads, EngineFixtures.demand("dc1"))
+                    .orElseThrow();
             loads.add(path, 944);
-            loads.reading(path, 772);
+            loads.addPendingPromptTokens(path, 772);
             away += dataCentres(path).contains("dc2") ? 1 : 0;
         }
         assertTrue(away >= 10 && away <= 15, "sent to the other copy: " + away);
--- a/core/src/test/java/org/cornelramp/core/path/SilentEnginesTest.java
+++ b/core/src/test/java/org/cornelramp/core/path/SilentEnginesTest.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import org.cornelramp.core.model.BackendServerId;
-import org.cornelramp.core.path.SilentEngines.Stream;
+import org.cornelramp.core.path.SilentEngineDetector.StreamActivity;
 import org.testng.annotations.Test;
 
 /** Which engines are asked when streams pause. Figures are of the deployments of today: an event in about 27 ms. */
@@ -25,12 +25,12 @@
                 .toList();
     }
 
-    private static Stream stream(List<BackendServerId> path, long silentMillis) {
-        return new Stream(path, NOW - silentMillis, true, USUAL);
+    private static StreamActivity stream(List<BackendServerId> path, long silentMillis) {
+        return new StreamActivity(path, NOW - silentMillis, true, USUAL);
     }
 
-    private static Set<String> asked(List<Stream> streams) {
-        return SilentEngines.find(streams, false, NOW).stream()
+    private static Set<String> asked(List<StreamActivity> streams) {
+        return SilentEngineDetector.findSuspects(streams, false, NOW).stream()
                 .map(BackendServerId::value)
                 .collect(Collectors.toSet());
     }
@@ -44,7 +44,7 @@
         List<BackendServerId> one = path("dc1", 8);
         List<BackendServerId> other = new ArrayList<>(one);
         other.set(5, new BackendServerId("dc1-spare"));
-        List<Stream> streams = new ArrayList<>();
+        List<StreamActivity> streams = new ArrayList<>();
         for (int i = 0; i < 15; i++) {
             streams.add(stream(one, 115 + i));
             streams.add(stream(other, i));
@@ -58,9 +58,9 @@
      */
     @Test
     public void anEngineThatEventsPassLivesThoughItDoesNotAnswer() {
-        List<Stream> streams = List.of(stream(path("dc1", 8), 30), stream(path("dc2", 8), 130));
-        assertTrue(SilentEngines.isPassed(streams, new BackendServerId("dc1-3"), NOW));
-        assertFalse(SilentEngines.isPassed(streams, new BackendServerId("dc2-3"), NOW));
+        List<StreamActivity> streams = List.of(stream(path("dc1", 8), 30), stream(path("dc2", 8), 130));
+        assertTrue(SilentEngineDetector.hasRecentEvents(streams, new BackendServerId("dc1-3"), NOW));
+        assertFalse(SilentEngineDetector.hasRecentEvents(streams, new BackendServerId("dc2-3"), NOW));
     }
 
     /** Nobody else passes the path, so any of its engines may be the dead one. */
@@ -72,7 +72,7 @@
     /** Under load every stream is slow, at 60 ms an event; a pause of 200 ms is usual then and asks nobody. */
     @Test
     public void aPauseThatIsUsualForTheStreamAsksNobody() {
-        Stream slow = new Stream(path("dc1", 8), NOW - 200, true, 60);
+        StreamActivity slow = new StreamActivity(path("dc1", 8), NOW - 200, true, 60);
         assertEquals(asked(List.of(slow)), Set.of());
         assertEquals(asked(List.of(stream(path("dc1", 8), 100))), Set.of());
     }
@@ -80,9 +80,9 @@
     /** A prompt takes longer than an event; only a stream whose first event is long due asks. */
     @Test
     public void waitsLongerForTheFirstEvent() {
-        Stream reading = new Stream(path("dc1", 2), NOW - 400, false, 0);
+        StreamActivity reading = new StreamActivity(path("dc1", 2), NOW - 400, false, 0);
         assertEquals(asked(List.of(reading)), Set.of());
-        Stream due = new Stream(path("dc1", 2), NOW - 401, false, 0);
+        StreamActivity due = new StreamActivity(path("dc1", 2), NOW - 401, false, 0);
         assertEquals(asked(List.of(due)).size(), 2);
     }
 
@@ -95,17 +95,17 @@
     @Test
     public void aStreamFlowsWhileItsEventsComeAsUsual() {
         List<BackendServerId> path = path("dc1", 8);
-        assertTrue(stream(path, 50).isFlowing(NOW));
-        assertFalse(stream(path, 100).isFlowing(NOW));
-        assertTrue(new Stream(path, NOW - 250, true, 150).isFlowing(NOW), "a slow stream");
-        assertFalse(new Stream(path, NOW - 310, true, 150).isFlowing(NOW), "a slow stream that has stopped");
-        assertFalse(new Stream(path, NOW - 1_100, true, 900).isFlowing(NOW), "however slow it is");
-        assertTrue(new Stream(path, NOW - 200, true, 0).isFlowing(NOW), "after its first event");
-        assertFalse(new Stream(path, NOW - 10, false, 0).isFlowing(NOW), "before its first event");
+        assertTrue(stream(path, 50).isActive(NOW));
+        assertFalse(stream(path, 100).isActive(NOW));
+        assertTrue(new StreamActivity(path, NOW - 250, true, 150).isActive(NOW), "a slow stream");
+        assertFalse(new StreamActivity(path, NOW - 310, true, 150).isActive(NOW), "a slow stream that has stopped");
+        assertFalse(new StreamActivity(path, NOW - 1_100, true, 900).isActive(NOW), "however slow it is");
+        assertTrue(new StreamActivity(path, NOW - 200, true, 0).isActive(NOW), "after its first event");
+        assertFalse(new StreamActivity(path, NOW - 10, false, 0).isActive(NOW), "before its first event");
     }
 
-    private static Stream slow(List<BackendServerId> path, long silentMillis) {
-        return new Stream(path, NOW - silentMillis, true, 90);
+    private static StreamActivity slow(List<BackendServerId> path, long silentMillis) {
+        return new StreamActivity(path, NOW - silentMillis, true, 90);
     }
 
     /**
@@ -119,7 +119,7 @@
         List<BackendServerId> one = path("dc1", 8);
         List<BackendServerId> other = new ArrayList<>(one);
         other.set(5, new BackendServerId("dc1-spare"));
-        List<Stream> streams =
+        List<StreamActivity> streams =
                 List.of(slow(one, 130), slow(one, 140), slow(one, 150), slow(other, 20), slow(other, 40));
         assertEquals(asked(streams), Set.of("dc1-5"));
         assertEquals(asked(streams.subList(1, 5)), Set.of(), "two of them are not enough yet");
@@ -133,12 +133,12 @@
      */
     @Test
     public void aLateProcessAsksForNoSharedSilence() {
-        List<Stream> streams = new ArrayList<>();
+        List<StreamActivity> streams = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             streams.add(slow(path("dc1", 8), 130));
         }
-        assertEquals(SilentEngines.find(streams, true, NOW), Set.of());
+        assertEquals(SilentEngineDetector.findSuspects(streams, true, NOW), Set.of());
         streams.add(slow(path("dc2", 2), 320));
-        assertEquals(SilentEngines.find(streams, true, NOW).size(), 2);
+        assertEquals(SilentEngineDetector.findSuspects(streams, true, NOW).size(), 2);
     }
 }
--- a/core/src/test/java/org/cornelramp/core/placement/DeathsInABusyFleetTest.java
+++ b/core/src/test/java/org/cornelramp/core/placement/DeathsInABusyFleetTest.java
@@ -11,8 +11,8 @@
 import java.util.Random;
 import java.util.Set;
 import org.cornelramp.core.fleet.BackendServer;
+import org.cornelramp.core.path.EngineFixtures;
 import org.cornelramp.core.path.EngineLoads;
-import org.cornelramp.core.path.Engines;
 import org.cornelramp.core.path.PathFinder;
 import org.cornelramp.core.path.StagePath;
 import org.cornelramp.core.routing.EngineSpec;
@@ -24,7 +24,7 @@
  * die at once before anything is loaded elsewhere. Callers whose stream finds no path are refused.
  */
 public class DeathsInABusyFleetTest {
-    private static final EngineSpec SPEC = Engines.spec(3_400);
+    private static final EngineSpec SPEC = EngineFixtures.spec(3_400);
     private static final List<String> DATA_CENTRES = List.of("norte", "mixco", "sur", "villa", "oriente");
     private static final double STREAMS_PER_SECOND = 228;
     private static final long MILLIS = 20_000;
@@ -69,7 +69,7 @@
             }
             String from = DATA_CENTRES.get(random.nextInt(DATA_CENTRES.size()));
             int answer = LEAST_ANSWER + random.nextInt(MOST_ANSWER - LEAST_ANSWER);
-            Optional<StagePath> path = PathFinder.find(SPEC, engines, loads, Engines.demand(from));
+            Optional<StagePath> path = PathFinder.find(SPEC, engines, loads, EngineFixtures.demand(from));
             sent++;
             if (path.isEmpty()) {
                 refused++;
--- a/core/src/test/java/org/cornelramp/core/placement/PlannerTest.java
+++ b/core/src/test/java/org/cornelramp/core/placement/PlannerTest.java
@@ -14,13 +14,13 @@
 import java.util.stream.Collectors;
 import org.cornelramp.core.fleet.BackendServer;
 import org.cornelramp.core.model.BackendServerId;
-import org.cornelramp.core.path.Engines;
+import org.cornelramp.core.path.EngineFixtures;
 import org.cornelramp.core.routing.EngineSpec;
 import org.testng.annotations.Test;
 
 /** Which engine holds which layers, on the cards of the deployments of today. */
 public class PlannerTest {
-    private static final EngineSpec SPEC = Engines.spec(9_000);
+    private static final EngineSpec SPEC = EngineFixtures.spec(9_000);
 
     /** The cards of today's three data centres, all empty. */
     private static List<BackendServer> today() {
@@ -40,7 +40,7 @@
 
     static void add(List<BackendServer> engines, String dataCentre, String card, int count) {
         for (int i = 0; i < count; i++) {
-            engines.add(Engines.engine(dataCentre + "-" + card + "-" + i, dataCentre, card, 0, 0));
+            engines.add(EngineFixtures.engine(dataCentre + "-" + card + "-" + i, dataCentre, card, 0, 0));
         }
     }
 
@@ -59,7 +59,7 @@
     }
 
     private static boolean covers(List<BackendServer> engines, String dataCentre) {
-        for (int layer = 0; layer < Engines.LAYERS; layer++) {
+        for (int layer = 0; layer < EngineFixtures.LAYERS; layer++) {
             int wanted = layer;
             boolean held =
                     engines.stream().anyMatch(one -> one.dataCentre().value().equals(dataCentre) && one.holds(wanted));
@@ -137,7 +137,7 @@
     @Test
     public void keepsANewcomerForTheLayersOfTheOneThatLeaves() {
         List<BackendServer> placed = apply(today(), plan(today()));
-        BackendServer newcomer = Engines.engine("new", "sur", "l4", 0, 0);
+        BackendServer newcomer = EngineFixtures.engine("new", "sur", "l4", 0, 0);
         placed.add(newcomer);
         assertEquals(Planner.plan(SPEC, placed, Set.of(), Set.of(newcomer.id())), List.of());
         BackendServer old = placed.stream()
@@ -172,7 +172,7 @@
         for (int rounds = 0; rounds < 30 && !covers(placed, "norte"); rounds++) {
             List<Placement> orders = plan(placed);
             List<BackendServer> next = apply(placed, orders);
-            for (int layer = 0; layer < Engines.LAYERS; layer++) {
+            for (int layer = 0; layer < EngineFixtures.LAYERS; layer++) {
                 assertTrue(holders(next, layer) > 0 || holders(placed, layer) == 0, "layer " + layer + " " + orders);
             }
             for (Placement order : orders) {
--- a/core/src/test/java/org/cornelramp/core/poison/CrashingFleet.java
+++ b/core/src/test/java/org/cornelramp/core/poison/CrashingFleet.java
@@ -25,7 +25,7 @@
     private final int reportTicks;
     private final List<List<Run>> servers = new ArrayList<>();
     private final List<Late> late = new ArrayList<>();
-    private final SetAside setAside = new SetAside(Duration.ofMinutes(10), 256);
+    private final PoisonDetector setAside = new PoisonDetector(Duration.ofMinutes(10), 256);
     private final Map<String, Integer> crashes = new HashMap<>();
     private Instant now = Instant.ofEpochSecond(1_000);
     private int tick;
@@ -71,7 +71,7 @@
     }
 
     boolean isSetAside(String fingerprint) {
-        return setAside.isSetAside(fingerprint, now);
+        return setAside.isPoison(fingerprint, now);
     }
 
     int crashesOf(String fingerprint) {
@@ -79,7 +79,7 @@
     }
 
     private void start(Run run) {
-        if (setAside.isSetAside(run.fingerprint, now)) {
+        if (setAside.isPoison(run.fingerprint, now)) {
             if (!run.fingerprint.startsWith("poison")) {
                 wronged.add(run.fingerprint);
             }
@@ -109,7 +109,7 @@
                 crash(s);
                 continue;
             }
-            server.stream().filter(r -> r.ticks <= 0).forEach(r -> setAside.completed(r.fingerprint, now));
+            server.stream().filter(r -> r.ticks <= 0).forEach(r -> setAside.recordCompletion(r.fingerprint, now));
             server.removeIf(r -> r.ticks <= 0);
         }
     }
@@ -140,7 +140,7 @@
         late.removeAll(ready);
         for (Late l : ready) {
             if (l.what instanceof CrashReport report) {
-                setAside.crashed(report, now);
+                setAside.recordCrash(report, now);
             } else {
                 start((Run) l.what);
             }
--- a/core/src/test/java/org/cornelramp/core/poison/SetAsideProperties.java
+++ b/core/src/test/java/org/cornelramp/core/poison/SetAsideProperties.java
@@ -30,7 +30,7 @@
             }
             reports.add(new CrashReport("c" + i % 20, NOW.minusMillis(random.nextInt(5_000)), suspects));
         }
-        SetAside one = told(reports);
+        PoisonDetector one = told(reports);
         List<CrashReport> again = new ArrayList<>(reports);
         again.addAll(reports.subList(0, random.nextInt(count)));
         Collections.shuffle(again, random);
@@ -62,21 +62,21 @@
     @Property(seed = "4104", tries = 100)
     void boundsHoldAndEverythingIsForgotten(@ForAll long seed) {
         Random random = new Random(seed);
-        SetAside setAside = new SetAside(Duration.ofSeconds(60), 16);
+        PoisonDetector setAside = new PoisonDetector(Duration.ofSeconds(60), 16);
         Instant now = NOW;
         for (int i = 0; i < 100; i++) {
             now = now.plusMillis(random.nextInt(500));
-            setAside.crashed(new CrashReport("c" + i, now, Set.of("f" + random.nextInt(5))), now);
-            setAside.heard(List.of("x" + i + "@" + now.plusSeconds(999).toEpochMilli(), "junk", "@", "a@b"), now);
+            setAside.recordCrash(new CrashReport("c" + i, now, Set.of("f" + random.nextInt(5))), now);
+            setAside.addMarks(List.of("x" + i + "@" + now.plusSeconds(999).toEpochMilli(), "junk", "@", "a@b"), now);
             assertTrue(setAside.reportsSince(Instant.EPOCH).size() <= 16);
-            assertTrue(setAside.marks(now).size() <= SetAside.MAX_TOLD);
+            assertTrue(setAside.marks(now).size() <= PoisonDetector.MAX_MARKS);
         }
         assertEquals(setAside.marks(now.plusSeconds(61)), List.of());
     }
 
-    private static SetAside told(List<CrashReport> reports) {
-        SetAside setAside = SetAside.standard();
-        reports.forEach(r -> setAside.crashed(CrashReport.parse(r.toString()), NOW));
+    private static PoisonDetector told(List<CrashReport> reports) {
+        PoisonDetector setAside = PoisonDetector.standard();
+        reports.forEach(r -> setAside.recordCrash(CrashReport.parse(r.toString()), NOW));
         return setAside;
     }
 }
--- a/core/src/test/java/org/cornelramp/core/poison/SetAsideTest.java
+++ b/core/src/test/java/org/cornelramp/core/poison/SetAsideTest.java
@@ -18,61 +18,61 @@
 
     @Test
     public void twoCrashesSetAsideWhatBothShare() {
-        SetAside s = crashes(Set.of("p", "a", "b"));
-        assertFalse(s.isSetAside("p", NOW));
+        PoisonDetector s = crashes(Set.of("p", "a", "b"));
+        assertFalse(s.isPoison("p", NOW));
         assertTrue(s.isSuspect("a", NOW));
-        s.crashed(new CrashReport("second", NOW, Set.of("p", "c")), NOW);
-        assertTrue(s.isSetAside("p", NOW));
-        assertFalse(s.isSetAside("a", NOW));
+        s.recordCrash(new CrashReport("second", NOW, Set.of("p", "c")), NOW);
+        assertTrue(s.isPoison("p", NOW));
+        assertFalse(s.isPoison("a", NOW));
         assertFalse(s.isSuspect("a", NOW), "the first crash is explained");
     }
 
     @Test
     public void anInnocentBesideTwoPoisonsIsReleasedOnceEachIsFound() {
-        SetAside s = crashes(Set.of("p", "i"), Set.of("q", "i"));
-        assertTrue(s.isSetAside("i", NOW), "so far it is the best explanation");
-        s.crashed(new CrashReport("p again", NOW, Set.of("p", "x")), NOW);
-        s.crashed(new CrashReport("q again", NOW, Set.of("q", "y")), NOW);
-        assertTrue(s.isSetAside("p", NOW) && s.isSetAside("q", NOW));
-        assertFalse(s.isSetAside("i", NOW));
+        PoisonDetector s = crashes(Set.of("p", "i"), Set.of("q", "i"));
+        assertTrue(s.isPoison("i", NOW), "so far it is the best explanation");
+        s.recordCrash(new CrashReport("p again", NOW, Set.of("p", "x")), NOW);
+        s.recordCrash(new CrashReport("q again", NOW, Set.of("q", "y")), NOW);
+        assertTrue(s.isPoison("p", NOW) && s.isPoison("q", NOW));
+        assertFalse(s.isPoison("i", NOW));
     }
 
     @Test
     public void twoThatWereTogetherEachTimeRunApartUntilOneIsFound() {
-        SetAside s = crashes(Set.of("p", "i"), Set.of("p", "i"));
-        assertFalse(s.isSetAside("p", NOW) || s.isSetAside("i", NOW));
+        PoisonDetector s = crashes(Set.of("p", "i"), Set.of("p", "i"));
+        assertFalse(s.isPoison("p", NOW) || s.isPoison("i", NOW));
         assertFalse(s.mayRunBeside("p", List.of("i"), NOW));
         assertTrue(s.mayRunBeside("p", List.of("other"), NOW));
-        s.crashed(new CrashReport("alone", NOW, Set.of("p")), NOW);
-        assertTrue(s.isSetAside("p", NOW));
-        assertFalse(s.isSetAside("i", NOW));
+        s.recordCrash(new CrashReport("alone", NOW, Set.of("p")), NOW);
+        assertTrue(s.isPoison("p", NOW));
+        assertFalse(s.isPoison("i", NOW));
     }
 
     @Test
     public void fourSharedCrashesSetBothAsideForTheSakeOfTheFleet() {
         Set<String> both = Set.of("p", "i");
-        SetAside s = crashes(both, both, both, both);
-        assertTrue(s.isSetAside("p", NOW) && s.isSetAside("i", NOW));
+        PoisonDetector s = crashes(both, both, both, both);
+        assertTrue(s.isPoison("p", NOW) && s.isPoison("i", NOW));
     }
 
     @Test
     public void aRequestThatRanToItsEndIsClearedOfEarlierCrashes() {
-        SetAside s = crashes(Set.of("popular", "a"));
-        s.completed("popular", NOW.plusMillis(1));
-        s.crashed(new CrashReport("later", NOW.plusMillis(2), Set.of("popular", "b")), NOW.plusMillis(2));
-        assertFalse(s.isSetAside("popular", NOW.plusMillis(3)));
+        PoisonDetector s = crashes(Set.of("popular", "a"));
+        s.recordCompletion("popular", NOW.plusMillis(1));
+        s.recordCrash(new CrashReport("later", NOW.plusMillis(2), Set.of("popular", "b")), NOW.plusMillis(2));
+        assertFalse(s.isPoison("popular", NOW.plusMillis(3)));
     }
 
     @Test
     public void whatAPeerHasSetAsideIsSetAsideForAsLongAndNoLonger() {
-        SetAside one = crashes(Set.of("p"), Set.of("p"));
-        SetAside other = SetAside.standard();
+        PoisonDetector one = crashes(Set.of("p"), Set.of("p"));
+        PoisonDetector other = PoisonDetector.standard();
         Instant later = NOW.plusSeconds(300);
-        other.heard(one.marks(NOW), later);
-        one.heard(other.marks(later), later);
-        assertTrue(other.isSetAside("p", later));
-        assertFalse(other.isSetAside("p", NOW.plusSeconds(601)));
-        assertFalse(one.isSetAside("p", NOW.plusSeconds(601)));
+        other.addMarks(one.marks(NOW), later);
+        one.addMarks(other.marks(later), later);
+        assertTrue(other.isPoison("p", later));
+        assertFalse(other.isPoison("p", NOW.plusSeconds(601)));
+        assertFalse(one.isPoison("p", NOW.plusSeconds(601)));
     }
 
     @Test
@@ -85,10 +85,10 @@
     }
 
     @SafeVarargs
-    private static SetAside crashes(Set<String>... crashes) {
-        SetAside s = SetAside.standard();
+    private static PoisonDetector crashes(Set<String>... crashes) {
+        PoisonDetector s = PoisonDetector.standard();
         for (int i = 0; i < crashes.length; i++) {
-            s.crashed(new CrashReport("c" + i, NOW, crashes[i]), NOW);
+            s.recordCrash(new CrashReport("c" + i, NOW, crashes[i]), NOW);
         }
         return s;
     }
--- a/core/src/test/java/org/cornelramp/core/retry/RepeatAccountProperties.java
+++ b/core/src/test/java/org/cornelramp/core/retry/RepeatAccountProperties.java
@@ -19,7 +19,7 @@
     /** One process as its peers see it; a restart forgets all that it knew. */
     private static final class Peer {
         private final String name;
-        private RepeatAccount account;
+        private ServiceRetryBudget account;
 
         Peer(String name, Random random) {
             this.name = name;
@@ -27,12 +27,13 @@
         }
 
         void start(Random random) {
-            account = new RepeatAccount(RATIO, WINDOW, random);
+            account = new ServiceRetryBudget(RATIO, WINDOW, random);
         }
     }
 
     /** News of one process on their way to another. */
-    private record Letter(String from, Optional<RepeatNews.Ask> ask, List<RepeatNews.Loan> loans, int to) {}
+    private record Letter(
+            String from, Optional<RetryLoanUpdate.LoanRequest> ask, List<RetryLoanUpdate.Loan> loans, int to) {}
 
     private final List<Peer> peers = new ArrayList<>();
     private final List<Letter> underWay = new ArrayList<>();
@@ -76,13 +77,13 @@
     private void step(Random random, long now, int mostRequests) {
         int needy = (int) (now / 9_000) % peers.size();
         for (int i = random.nextInt(mostRequests + 1); i > 0; i--) {
-            peers.get(random.nextInt(peers.size())).account.request(now);
+            peers.get(random.nextInt(peers.size())).account.recordRequest(now);
             requests.add(now);
         }
         for (int i = 0; i < 8; i++) {
             Peer who = peers.get(random.nextInt(3) > 0 ? needy : random.nextInt(peers.size()));
-            boolean sent = who.account.tryRepeat(EVEN, random.nextBoolean(), now);
-            who.account.ask(sent ? 0 : 1 + random.nextInt(8), now);
+            boolean sent = who.account.tryRetry(EVEN, random.nextBoolean(), now);
+            who.account.requestLoan(sent ? 0 : 1 + random.nextInt(8), now);
             if (sent) {
                 repeats.add(now);
             }
@@ -95,8 +96,8 @@
     private void post(Random random, long now) {
         for (int i = 0; i < 12; i++) {
             Peer from = peers.get(random.nextInt(peers.size()));
-            Letter letter =
-                    new Letter(from.name, from.account.asks(), from.account.loans(now), random.nextInt(peers.size()));
+            Letter letter = new Letter(
+                    from.name, from.account.loanRequest(), from.account.loansToSend(now), random.nextInt(peers.size()));
             underWay.add(letter);
             if (random.nextInt(5) == 0) {
                 underWay.add(letter);
@@ -112,8 +113,8 @@
             if (random.nextInt(4) > 0 && !to.name.equals(letter.from())) {
                 letter.ask().ifPresent(ask -> to.account.lend(letter.from(), ask, EVEN, now));
                 letter.loans().stream()
-                        .filter(loan -> loan.to().equals(to.name))
-                        .forEach(loan -> to.account.borrow(letter.from(), loan, now));
+                        .filter(loan -> loan.borrower().equals(to.name))
+                        .forEach(loan -> to.account.acceptLoan(letter.from(), loan, now));
             }
         }
     }
@@ -142,15 +143,15 @@
         Random random = new Random(3);
         begin(6, random);
         int sent = 0;
-        RepeatAccount needy = peers.get(0).account;
+        ServiceRetryBudget needy = peers.get(0).account;
         for (long now = 0; now < 2_000; now += TICK) {
-            boolean taken = needy.tryRepeat(EVEN, true, now);
+            boolean taken = needy.tryRetry(EVEN, true, now);
             sent += taken ? 1 : 0;
-            needy.ask(taken ? 0 : 8, now);
+            needy.requestLoan(taken ? 0 : 8, now);
             for (Peer other : peers.subList(1, peers.size())) {
                 long at = now;
-                needy.asks().ifPresent(ask -> other.account.lend("p0", ask, EVEN, at));
-                other.account.loans(now).forEach(loan -> needy.borrow(other.name, loan, at));
+                needy.loanRequest().ifPresent(ask -> other.account.lend("p0", ask, EVEN, at));
+                other.account.loansToSend(now).forEach(loan -> needy.acceptLoan(other.name, loan, at));
             }
         }
         if (sent <= 3 * EVEN) {
@@ -163,15 +164,15 @@
     void aLoanToAnEarlierLifeIsNotUsed(@ForAll long seed) {
         Random random = new Random(seed);
         begin(2, random);
-        peers.get(0).account.ask(4, 0);
-        RepeatNews.Ask ask = peers.get(0).account.asks().orElseThrow();
+        peers.get(0).account.requestLoan(4, 0);
+        RetryLoanUpdate.LoanRequest ask = peers.get(0).account.loanRequest().orElseThrow();
         peers.get(1).account.lend("p0", ask, EVEN, 10);
         peers.get(0).start(random);
-        peers.get(0).account.ask(4, 20);
-        RepeatAccount again = peers.get(0).account;
-        double before = again.left(EVEN, 30);
-        peers.get(1).account.loans(30).forEach(loan -> again.borrow("p1", loan, 30));
-        if (again.left(EVEN, 30) != before) {
+        peers.get(0).account.requestLoan(4, 20);
+        ServiceRetryBudget again = peers.get(0).account;
+        double before = again.remaining(EVEN, 30);
+        peers.get(1).account.loansToSend(30).forEach(loan -> again.acceptLoan("p1", loan, 30));
+        if (again.remaining(EVEN, 30) != before) {
             throw new AssertionError("a loan to the life before is counted");
         }
     }
@@ -179,28 +180,28 @@
     /** A process asks before it has used its last repeat, and does not ask while a good part is left. */
     @Property(tries = 1)
     void aProcessAsksBeforeItLacksAny() {
-        RepeatAccount account = new RepeatAccount(RATIO, WINDOW, new Random(1));
+        ServiceRetryBudget account = new ServiceRetryBudget(RATIO, WINDOW, new Random(1));
         for (int used = 0; used < 8; used++) {
             if (account.shortage(EVEN, 0) != 0) {
-                throw new AssertionError("asks with " + account.left(EVEN, 0) + " left");
+                throw new AssertionError("asks with " + account.remaining(EVEN, 0) + " left");
             }
-            account.tryRepeat(EVEN, true, 0);
+            account.tryRetry(EVEN, true, 0);
         }
-        account.tryRepeat(EVEN, true, 0);
-        if (account.shortage(EVEN, 0) == 0 || !account.hasRepeat(EVEN, true, 0)) {
-            throw new AssertionError("does not ask with " + account.left(EVEN, 0) + " left");
+        account.tryRetry(EVEN, true, 0);
+        if (account.shortage(EVEN, 0) == 0 || !account.hasRetry(EVEN, true, 0)) {
+            throw new AssertionError("does not ask with " + account.remaining(EVEN, 0) + " left");
         }
     }
 
     /** Fresh requests use up what they may; a begun answer still finds a repeat. */
     @Property(tries = 1)
     void begunAnswersGoBeforeFreshRequests() {
-        RepeatAccount account = new RepeatAccount(RATIO, WINDOW, new Random(1));
+        ServiceRetryBudget account = new ServiceRetryBudget(RATIO, WINDOW, new Random(1));
         boolean left = true;
         while (left) {
-            left = account.tryRepeat(EVEN, false, 0);
+            left = account.tryRetry(EVEN, false, 0);
         }
-        if (!account.tryRepeat(EVEN, true, 0)) {
+        if (!account.tryRetry(EVEN, true, 0)) {
             throw new AssertionError("fresh requests took all repeats");
         }
     }
--- a/core/src/test/java/org/cornelramp/core/retry/RepeatQueueTest.java
+++ b/core/src/test/java/org/cornelramp/core/retry/RepeatQueueTest.java
@@ -9,12 +9,12 @@
 
 /** Who gets the next repeat, and who waits no longer. */
 public class RepeatQueueTest {
-    private static RepeatQueue.Waiting begun(long deadline) {
-        return new RepeatQueue.Waiting(true, deadline, 0);
+    private static RetryQueue.WaitState begun(long deadline) {
+        return new RetryQueue.WaitState(true, deadline, 0);
     }
 
-    private static RepeatQueue.Waiting fresh(long deadline, long until) {
-        return new RepeatQueue.Waiting(false, deadline, until);
+    private static RetryQueue.WaitState fresh(long deadline, long until) {
+        return new RetryQueue.WaitState(false, deadline, until);
     }
 
     /**
@@ -23,7 +23,7 @@
      */
     @Test
     public void begunStreamsGoFirstThenByDeadline() {
-        RepeatQueue<String> queue = new RepeatQueue<>();
+        RetryQueue<String> queue = new RetryQueue<>();
         queue.add("fresh late", fresh(9_000, 400));
         queue.add("begun late", begun(8_000));
         queue.add("fresh soon", fresh(700, 400));
@@ -34,21 +34,21 @@
     /** What has not begun is told so when its time to wait is over; its client can come again itself. */
     @Test
     public void aFreshRequestWaitsNoLongerThanItsTime() {
-        RepeatQueue<String> queue = new RepeatQueue<>();
+        RetryQueue<String> queue = new RetryQueue<>();
         queue.add("fresh", fresh(9_000, 400));
         queue.add("begun", begun(9_000));
-        assertEquals(queue.takeOverdue(399), List.of());
+        assertEquals(queue.removeOverdue(399), List.of());
         queue.add("fresh", fresh(9_000, 800)); // another failure gives it no more time
-        assertEquals(queue.takeOverdue(400), List.of("fresh"));
-        assertEquals(queue.takeOverdue(60_000), List.of());
+        assertEquals(queue.removeOverdue(400), List.of("fresh"));
+        assertEquals(queue.removeOverdue(60_000), List.of());
         assertTrue(queue.contains("begun"));
     }
 
     /** The queue is bounded: whoever finds it full is refused at once. Begun streams always find a place. */
     @Test
     public void aFullQueueTakesNoFreshRequest() {
-        RepeatQueue<Integer> queue = new RepeatQueue<>();
-        for (int i = 0; i < RepeatQueue.MOST_FRESH; i++) {
+        RetryQueue<Integer> queue = new RetryQueue<>();
+        for (int i = 0; i < RetryQueue.MOST_FRESH; i++) {
             assertTrue(queue.add(i, fresh(9_000, 400)));
         }
         assertFalse(queue.add(-1, fresh(9_000, 400)));
--- a/core/src/test/java/org/cornelramp/core/retry/RetryBudgetProperties.java
+++ b/core/src/test/java/org/cornelramp/core/retry/RetryBudgetProperties.java
@@ -16,7 +16,7 @@
     @Property(seed = "6101", tries = 200)
     void retriesStayWithinTheBudget(@ForAll long seed, @ForAll @IntRange(min = 0, max = 100) int failing) {
         Random random = new Random(seed);
-        RetryBudget budget = RetryBudget.standard();
+        OrganisationRetryBudget budget = OrganisationRetryBudget.standard();
         Instant start = Instant.ofEpochSecond(1_000);
         Instant now = start;
         int successes = 0;
@@ -26,7 +26,7 @@
             if (random.nextInt(100) < failing) {
                 retries += budget.tryRetry(O, now) ? 1 : 0;
             } else {
-                budget.succeeded(O, now);
+                budget.recordSuccess(O, now);
                 successes++;
             }
             double seconds = (now.toEpochMilli() - start.toEpochMilli()) / 1e3;
@@ -36,7 +36,7 @@
 
     @Property(seed = "6102", tries = 20)
     void oneOrganisationsFailuresLeaveAnothersBudget(@ForAll @IntRange(min = 1, max = 1_000) int failures) {
-        RetryBudget budget = RetryBudget.standard();
+        OrganisationRetryBudget budget = OrganisationRetryBudget.standard();
         Instant now = Instant.ofEpochSecond(1_000);
         for (int i = 0; i < failures; i++) {
             budget.tryRetry(O, now);
--- a/core/src/test/java/org/cornelramp/core/retry/RunLimitProperties.java
+++ b/core/src/test/java/org/cornelramp/core/retry/RunLimitProperties.java
@@ -32,7 +32,7 @@
         Set<BackendServerId> ran = new HashSet<>();
         Set<BackendServerId> dead = new HashSet<>();
         for (int i = 0; i < choices.size(); i++) {
-            Set<BackendServerId> allowed = RunLimit.allowed(ran, id -> !dead.contains(id), most);
+            Set<BackendServerId> allowed = RequestServerLimit.allowedServers(ran, id -> !dead.contains(id), most);
             BackendServerId wanted = server(choices.get(i));
             if (!dead.contains(wanted) && (allowed.isEmpty() || allowed.contains(wanted))) {
                 ran.add(wanted);
@@ -49,7 +49,7 @@
     @Property(tries = 1)
     void aDeadServerMakesRoomForAnother() {
         Set<BackendServerId> ran = Set.of(server(1), server(2));
-        assertEquals(RunLimit.allowed(ran, id -> true, 2), ran);
-        assertEquals(RunLimit.allowed(ran, id -> !id.equals(server(1)), 2), Set.of());
+        assertEquals(RequestServerLimit.allowedServers(ran, id -> true, 2), ran);
+        assertEquals(RequestServerLimit.allowedServers(ran, id -> !id.equals(server(1)), 2), Set.of());
     }
 }
