--- a/core/src/main/java/org/cornelramp/core/path/PathFinder.java
+++ b/core/src/main/java/org/cornelramp/core/path/PathFinder.java
@@ -151,12 +151,12 @@
 
     /** Cost of a hop to another data centre with all that crosses already; infinite when the pipe is full. */
     private static double crossMillis(EngineSpec spec, EngineLoads loads) {
-        if (spec.crossMbps() <= 0) {
+        if (spec.interDataCentreMbps() <= 0) {
             return CROSS_MILLIS;
         }
-        double tokensPerSecond = spec.usualTokens() / STREAM_SECONDS;
+        double tokensPerSecond = spec.meanRequestTokens() / STREAM_SECONDS;
         double megabits = spec.activationBytes() * Byte.SIZE * tokensPerSecond / BITS_PER_MEGABIT;
-        double share = (loads.crossings() + 1) * megabits / (spec.crossMbps() * PIPE_SHARE);
+        double share = (loads.crossings() + 1) * megabits / (spec.interDataCentreMbps() * PIPE_SHARE);
         return share >= 1 ? Double.POSITIVE_INFINITY : CROSS_MILLIS / (1 - share);
     }
 
@@ -206,7 +206,7 @@
             hops.addFirst(new Hop(step.server(), step.from(), step.to()));
             CardKind card = spec.card(step.server().card()).orElseThrow();
             double share = (step.to() - step.from()) / (double) spec.layers();
-            readMillis += demand.prompt() / spec.readPerMilli() * card.readFactor() * share;
+            readMillis += demand.prompt() / spec.prefillTokensPerMilli() * card.prefillFactor() * share;
         }
         return new StagePath(List.copyOf(hops), last.cost() - RISK_MILLIS * hops.size(), readMillis);
     }
@@ -226,7 +226,7 @@
             this.server = server;
             this.to = layers.to();
             this.hasSlot = load.asFirstEngine() < server.slots();
-            this.freeTokenLayers = MEMORY_SHARE * freeMb / spec.tokenLayerMb() - load.tokenLayers();
+            this.freeTokenLayers = MEMORY_SHARE * freeMb / spec.tokenMbPerLayer() - load.tokenLayers();
             this.layerMillis = layerMillis(load, card, spec) * loads.slowdown(server.id());
             this.failureMillis = FAILURE_MILLIS * loads.failureShare(server.id());
         }
@@ -236,8 +236,8 @@
          * step has only a part of them; half is a cautious guess that keeps copies evenly loaded.
          */
         private static double layerMillis(EngineLoads.Load load, CardKind card, EngineSpec spec) {
-            double step = spec.stepMillis() + (load.requests() + 1) / 2.0 * spec.usualRequestMillis();
-            double reading = load.pendingPromptTokens() / spec.readPerMilli() * card.readFactor();
+            double step = spec.stepMillis() + (load.requests() + 1) / 2.0 * spec.meanRequestStepMillis();
+            double reading = load.pendingPromptTokens() / spec.prefillTokensPerMilli() * card.prefillFactor();
             return (WAITING_FACTOR * step * card.stepFactor() + READING_PART * reading) / spec.layers();
         }
 
--- a/core/src/main/java/org/cornelramp/core/placement/Planner.java
+++ b/core/src/main/java/org/cornelramp/core/placement/Planner.java
@@ -329,7 +329,7 @@
 
         /** Layers that fit on the engine's card beside the memory of so many ordinary requests. */
         private int capacity(BackendServer engine, int requests) {
-            double requestsMb = requests * spec.usualTokens() * spec.tokenLayerMb();
+            double requestsMb = requests * spec.meanRequestTokens() * spec.tokenMbPerLayer();
             return (int) Math.min(spec.layers(), card(engine).memoryMb() / (spec.layerMb() + requestsMb));
         }
 
--- a/core/src/test/java/org/cornelramp/core/placement/DeathsInABusyFleetTest.java
+++ b/core/src/test/java/org/cornelramp/core/placement/DeathsInABusyFleetTest.java
@@ -65,7 +65,7 @@
         double hops = 0;
         for (double now = 0; now < MILLIS; now += 1_000 / STREAMS_PER_SECOND) {
             while (!underWay.isEmpty() && underWay.peek().endMillis() < now) {
-                loads.remove(underWay.poll().path(), SPEC.usualTokens());
+                loads.remove(underWay.poll().path(), SPEC.meanRequestTokens());
             }
             String from = DATA_CENTRES.get(random.nextInt(DATA_CENTRES.size()));
             int answer = LEAST_ANSWER + random.nextInt(MOST_ANSWER - LEAST_ANSWER);
@@ -76,7 +76,7 @@
                 continue;
             }
             hops += path.get().hops().size();
-            loads.add(path.get(), SPEC.usualTokens());
+            loads.add(path.get(), SPEC.meanRequestTokens());
             underWay.add(new UnderWay(now + answer * REAL_PART * path.get().tokenMillis(), path.get()));
         }
         return new Outcome(sent, refused, hops / (sent - refused));
