--- a/core/src/main/java/org/cornelramp/core/admission/FairQueue.java
+++ b/core/src/main/java/org/cornelramp/core/admission/FairQueue.java
@@ -63,7 +63,7 @@
      *
      * @return the refusal, or the requests that were evicted to make room, at most one
      */
-    public Either<Problem, List<Refusal<T>>> offer(Waiting<T> request, Instant now) {
+    public Either<Problem, List<Refusal<T>>> offer(QueuedRequest<T> request, Instant now) {
         if (byId.containsKey(request.id())) {
             throw new IllegalArgumentException("Request ids must be unique in the queue; id=" + request.id());
         }
@@ -90,7 +90,7 @@
     }
 
     /** Removes the next request to start. Call {@link #expire} first, so that no request starts past its deadline. */
-    public Optional<Waiting<T>> poll(Instant now) {
+    public Optional<QueuedRequest<T>> poll(Instant now) {
         if (backlogged.isEmpty()) {
             return Optional.empty();
         }
@@ -119,7 +119,7 @@
     }
 
     /** Removes a request that its caller cancelled; empty if it is not queued. */
-    public Optional<Waiting<T>> cancel(long id, Instant now) {
+    public Optional<QueuedRequest<T>> cancel(long id, Instant now) {
         Entry<T> e = byId.get(id);
         if (e == null) {
             return Optional.empty();
@@ -129,8 +129,8 @@
     }
 
     /** Removes all requests, for a planned stop that hands queued requests back. */
-    public List<Waiting<T>> drainAll(Instant now) {
-        List<Waiting<T>> all = new ArrayList<>();
+    public List<QueuedRequest<T>> drainAll(Instant now) {
+        List<QueuedRequest<T>> all = new ArrayList<>();
         while (!byLatestStart.isEmpty()) {
             Entry<T> e = byLatestStart.first();
             remove(e, now);
@@ -143,9 +143,9 @@
      * Corrects the charge for a request that has ended, so that an organisation is not charged for tokens that it
      * requested and did not use.
      *
-     * @param used actual cost, in the unit of {@link Waiting#cost}
+     * @param used actual cost, in the unit of {@link QueuedRequest#cost}
      */
-    public void ended(Waiting<T> request, double used) {
+    public void correctCharge(QueuedRequest<T> request, double used) {
         OrganisationShare<T> share = shares.get(request.organisation());
         if (share != null) {
             charge(share, used - request.cost());
@@ -175,7 +175,7 @@
     }
 
     private void insert(Entry<T> e, Instant now) {
-        Waiting<T> request = e.request();
+        QueuedRequest<T> request = e.request();
         OrganisationShare<T> share =
                 shares.computeIfAbsent(request.organisation(), o -> new OrganisationShare<>(o, virtualTime));
         removeFromIndexes(share);
@@ -245,7 +245,7 @@
      * Expected seconds until a new request starts: the cost that its own organisation has ahead of it, plus the service
      * that the others get until virtual time reaches its tag, bounded by their queued cost.
      */
-    private double expectedWait(Waiting<T> request, Instant now) {
+    private double expectedWait(QueuedRequest<T> request, Instant now) {
         double rate = drainRate.perSecond(now);
         if (rate <= 0 || byId.isEmpty()) {
             return 0;
@@ -261,7 +261,7 @@
     }
 
     /** Cost that the organisation has ahead of the new request, estimated from the request's place in its order. */
-    private static <T> double costAhead(OrganisationShare<T> share, Waiting<T> request) {
+    private static <T> double costAhead(OrganisationShare<T> share, QueuedRequest<T> request) {
         Entry<T> last = share.entries.last();
         Entry<T> added = new Entry<>(request, Long.MAX_VALUE);
         if (Entry.<T>order().compare(last, added) <= 0) {
@@ -276,7 +276,7 @@
         return rate > 0 ? queuedCost / rate : MIN_RETRY_SECONDS;
     }
 
-    private static <T> Problem deadlineRefusal(Waiting<T> request, Instant now) {
+    private static <T> Problem deadlineRefusal(QueuedRequest<T> request, Instant now) {
         if (!request.deadline().isAfter(now)) {
             return Problem.notRun(
                     ProblemKind.DEADLINE_PASSED, "The deadline had passed before the request could start");
--- a/core/src/main/java/org/cornelramp/core/admission/OrganisationShare.java
+++ b/core/src/main/java/org/cornelramp/core/admission/OrganisationShare.java
@@ -48,7 +48,7 @@
     }
 
     /** A queued request with its arrival sequence number. */
-    record Entry<T>(Waiting<T> request, long sequence) {
+    record Entry<T>(QueuedRequest<T> request, long sequence) {
 
         /** Orders by priority, then latest start (earliest first), then arrival. */
         static <T> Comparator<Entry<T>> order() {
--- a/core/src/main/java/org/cornelramp/core/admission/Waiting.java
+++ b/core/src/main/java/org/cornelramp/core/admission/QueuedRequest.java
@@ -16,7 +16,7 @@
  * @param runTime expected time from start to answer
  * @param work payload that the owner of the queue runs
  */
-public record Waiting<T>(
+public record QueuedRequest<T>(
         long id,
         OrganisationId organisation,
         int weight,
@@ -26,7 +26,7 @@
         Duration runTime,
         T work) {
 
-    public Waiting {
+    public QueuedRequest {
         if (weight < 1 || !(cost > 0)) {
             throw new IllegalArgumentException("A queued request needs a weight of 1 or more and a cost above 0");
         }
--- a/core/src/main/java/org/cornelramp/core/admission/Refusal.java
+++ b/core/src/main/java/org/cornelramp/core/admission/Refusal.java
@@ -8,4 +8,4 @@
  * @param waiting the request
  * @param problem the reason, and when to retry
  */
-public record Refusal<T>(Waiting<T> waiting, Problem problem) {}
+public record Refusal<T>(QueuedRequest<T> waiting, Problem problem) {}
--- a/core/src/main/java/org/cornelramp/core/call/AgentWord.java
+++ b/core/src/main/java/org/cornelramp/core/call/AgentReply.java
@@ -8,21 +8,21 @@
  *
  * <p>Invariant: exactly one of the two is present. Immutable, safe for use by any thread.
  */
-public record AgentWord(Optional<CallResult> result, Optional<Problem> problem) {
+public record AgentReply(Optional<CallResult> result, Optional<Problem> problem) {
 
-    public AgentWord {
+    public AgentReply {
         if (result.isPresent() == problem.isPresent()) {
             throw new IllegalArgumentException("A reply must have either a result or a problem");
         }
     }
 
     /** A reply with the answer of the service. */
-    public static AgentWord of(CallResult result) {
-        return new AgentWord(Optional.of(result), Optional.empty());
+    public static AgentReply of(CallResult result) {
+        return new AgentReply(Optional.of(result), Optional.empty());
     }
 
     /** A reply without an answer. */
-    public static AgentWord of(Problem problem) {
-        return new AgentWord(Optional.empty(), Optional.of(problem));
+    public static AgentReply of(Problem problem) {
+        return new AgentReply(Optional.empty(), Optional.of(problem));
     }
 }
--- a/core/src/main/java/org/cornelramp/core/call/PlainCall.java
+++ b/core/src/main/java/org/cornelramp/core/call/PlainCall.java
@@ -169,7 +169,7 @@
      *
      * @param settled the result that the agent settled at a planned stop; empty if the log has none
      */
-    public List<CallAction> lookedUp(Optional<AgentWord> settled) {
+    public List<CallAction> lookedUp(Optional<AgentReply> settled) {
         if (phase != Phase.LOOKING_UP) {
             return List.of();
         }
@@ -180,7 +180,7 @@
     }
 
     /** Handles the final reply of the agent. */
-    public List<CallAction> said(AgentWord reply, Instant now) {
+    public List<CallAction> replyReceived(AgentReply reply, Instant now) {
         if (phase != Phase.SENT && phase != Phase.ASKED) {
             return List.of();
         }
@@ -265,7 +265,7 @@
         return List.of(new Choose());
     }
 
-    private List<CallAction> conclude(AgentWord reply) {
+    private List<CallAction> conclude(AgentReply reply) {
         if (reply.result().isPresent()) {
             return end(new Answer(reply.result().get()));
         }
--- a/core/src/main/java/org/cornelramp/core/call/Denial.java
+++ b/core/src/main/java/org/cornelramp/core/call/UnboundCallRefusal.java
@@ -21,7 +21,7 @@
  *
  * <p>Confined to one thread. Invariant: exactly one final action, {@link Answer} or {@link Fail}.
  */
-public final class Denial {
+public final class UnboundCallRefusal {
     private final Problem reason;
     private final Instant deadline;
     private final Set<Incarnation> pending = new HashSet<>();
@@ -32,7 +32,7 @@
      * @param reason why the call is refused
      * @param deadline when the final answer must be given
      */
-    public Denial(Problem reason, Instant deadline) {
+    public UnboundCallRefusal(Problem reason, Instant deadline) {
         this.reason = reason;
         this.deadline = deadline;
     }
@@ -63,7 +63,7 @@
     }
 
     /** Handles the final reply of an agent. */
-    public List<CallAction> said(Incarnation agent, AgentWord reply) {
+    public List<CallAction> replyReceived(Incarnation agent, AgentReply reply) {
         if (ended || !pending.contains(agent)) {
             return List.of();
         }
--- a/core/src/main/java/org/cornelramp/core/fence/TermGuard.java
+++ b/core/src/main/java/org/cornelramp/core/fence/TermGuard.java
@@ -15,7 +15,7 @@
     /** Value in heartbeats while no term is known. */
     public static final long UNKNOWN = -1;
 
-    private long newest = UNKNOWN;
+    private long newestTerm = UNKNOWN;
     private boolean learned;
 
     /** Decision on an order. */
@@ -29,8 +29,8 @@
     }
 
     /** Records a term that a peer knows, which proves that the term was claimed. */
-    public void heard(long term) {
-        newest = Math.max(newest, term);
+    public void observe(long term) {
+        newestTerm = Math.max(newestTerm, term);
     }
 
     /**
@@ -39,25 +39,25 @@
      * @param term the newest term on the log, or that of a peer that has read it; {@link #UNKNOWN} if none was claimed
      */
     public void learned(long term) {
-        heard(term);
+        observe(term);
         learned = true;
     }
 
     /** Decides on an order with the given term; the term of an order that passes becomes the newest. */
     public Decision decide(long term) {
-        if (term < newest) {
+        if (term < newestTerm) {
             return Decision.STALE;
         }
         if (!learned) {
             return Decision.NOT_LEARNED;
         }
-        newest = term;
+        newestTerm = term;
         return Decision.PASS;
     }
 
     /** The newest term known. */
-    public long newest() {
-        return newest;
+    public long newestTerm() {
+        return newestTerm;
     }
 
     /** Whether the newest term has been read since the start of the agent. */
--- a/core/src/main/java/org/cornelramp/core/fleet/PlainServers.java
+++ b/core/src/main/java/org/cornelramp/core/fleet/PlainServerSelector.java
@@ -13,7 +13,7 @@
  * Chooses the backend server for a request to a plain service: the one expected to answer first, judged by the requests
  * that this process has in flight there, its recent latency and its recent failure rate. Owned by one thread.
  */
-public final class PlainServers {
+public final class PlainServerSelector {
     /** Weight of the newest answer in the moving averages, which cover about the last ten answers. */
     private static final double SMOOTHING_FACTOR = 0.1;
 
@@ -68,7 +68,7 @@
     }
 
     /** Records that a request was sent. */
-    public void sent(BackendServerId id) {
+    public void requestSent(BackendServerId id) {
         stats.computeIfAbsent(id, any -> new Stats()).inFlight++;
     }
 
@@ -78,7 +78,7 @@
      * @param succeeded whether the server answered without a failure
      * @param millis time from sending to the answer; ignored after a failure
      */
-    public void ended(BackendServerId id, boolean succeeded, long millis) {
+    public void requestEnded(BackendServerId id, boolean succeeded, long millis) {
         Stats serverStats = stats.computeIfAbsent(id, any -> new Stats());
         serverStats.inFlight = Math.max(0, serverStats.inFlight - 1);
         serverStats.failureRate += SMOOTHING_FACTOR * ((succeeded ? 0 : 1) - serverStats.failureRate);
@@ -88,7 +88,7 @@
     }
 
     /** Number of requests that this process has in flight at the server. */
-    public int underWay(BackendServerId id) {
+    public int inFlight(BackendServerId id) {
         Stats serverStats = stats.get(id);
         return serverStats == null ? 0 : serverStats.inFlight;
     }
--- a/core/src/main/java/org/cornelramp/core/fleet/ServerRegistry.java
+++ b/core/src/main/java/org/cornelramp/core/fleet/ServerRegistry.java
@@ -19,14 +19,14 @@
  *
  * <p>While the store is down, registrations expire although their servers still run. Removing them at once would leave
  * requests without any server just when the store returns. Therefore a removal that is read within
- * {@link #RETURN_MILLIS} of an outage takes effect only after that time, unless the server registers again before.
+ * {@link #REGISTRATION_GRACE_MILLIS} of an outage takes effect only after that time, unless the server registers again before.
  */
 public final class ServerRegistry {
     /**
      * Grace period for registrations that expired during an outage: servers register again within two seconds, and reading
      * the registrations takes up to half a second.
      */
-    public static final long RETURN_MILLIS = 2_500;
+    public static final long REGISTRATION_GRACE_MILLIS = 2_500;
 
     /** By the name that a server keeps over restarts. */
     private final Map<BackendServerId, Entry> byName = new HashMap<>();
@@ -157,7 +157,7 @@
      * write again, and new servers are missing. Therefore an incarnation that was leaving remains leaving, and one that was
      * replaced remains replaced. One that was removed is used again only after it has written again, or once its
      * registration has outlasted the time in which an unrenewed one expires. Missing servers get the grace period of
-     * {@link #RETURN_MILLIS} to register again.
+     * {@link #REGISTRATION_GRACE_MILLIS} to register again.
      *
      * @param end records at or above this offset may be missing from the read
      * @param confirmMillis time after which a registration that is not renewed expires
@@ -189,8 +189,8 @@
             return false;
         }
         entry.offset = record.offset();
-        if (!storeAvailable || nowMillis - storeAvailableSince < RETURN_MILLIS) {
-            entry.removeAtMillis = Math.max(nowMillis, storeAvailableSince + RETURN_MILLIS);
+        if (!storeAvailable || nowMillis - storeAvailableSince < REGISTRATION_GRACE_MILLIS) {
+            entry.removeAtMillis = Math.max(nowMillis, storeAvailableSince + REGISTRATION_GRACE_MILLIS);
             return true;
         }
         removeEntry(entry);
@@ -198,7 +198,7 @@
     }
 
     /** Records whether the store is available; a change from false to true starts the grace period. */
-    public void storeAnswers(boolean available, long nowMillis) {
+    public void setStoreAvailable(boolean available, long nowMillis) {
         if (available && !storeAvailable) {
             storeAvailableSince = nowMillis;
         }
--- a/core/src/main/java/org/cornelramp/core/fleet/Suspicions.java
+++ b/core/src/main/java/org/cornelramp/core/fleet/SuspectedServers.java
@@ -14,7 +14,7 @@
  * The exclusion time doubles with each consecutive failure, so a dead server costs few probes, and one that works again
  * is soon used again. Owned by one thread.
  */
-public final class Suspicions {
+public final class SuspectedServers {
     /** Time without failures after which the count of consecutive failures restarts. */
     private static final long FAILURE_COUNT_RESET_MILLIS = 10_000;
 
@@ -74,7 +74,7 @@
     }
 
     /** Records a failed probe: the exclusion time starts again and doubles, up to a maximum. */
-    public void trialFailed(BackendServerId id, long nowMillis) {
+    public void probeFailed(BackendServerId id, long nowMillis) {
         Suspicion previous = suspicions.get(id);
         putSuspicion(id, previous == null ? Evidence.LOST : previous.evidence(), previous, nowMillis);
     }
@@ -86,7 +86,7 @@
      * @param seenMillis when the server gave the sign
      * @return whether it ended a suspicion
      */
-    public boolean seenAlive(BackendServerId id, long seenMillis, long nowMillis) {
+    public boolean recordSignOfLife(BackendServerId id, long seenMillis, long nowMillis) {
         Suspicion suspicion = suspicions.get(id);
         boolean refuted = isSuspect(id, nowMillis)
                 && suspicion.evidence() == Evidence.SILENT
@@ -98,7 +98,7 @@
     }
 
     /** Whether any server is currently suspected only because it does not answer. */
-    public boolean hasSilent(long nowMillis) {
+    public boolean hasSilentSuspects(long nowMillis) {
         return suspicions.values().stream()
                 .anyMatch(suspicion -> suspicion.evidence() == Evidence.SILENT && nowMillis < suspicion.untilMillis());
     }
@@ -127,7 +127,7 @@
      * The servers presumed dead or partitioned that should be probed now because their exclusion is about to end. Each
      * suspicion is returned once.
      */
-    public List<BackendServerId> dueForTrial(long nowMillis) {
+    public List<BackendServerId> dueForProbe(long nowMillis) {
         List<BackendServerId> due = new ArrayList<>();
         suspicions.replaceAll((id, suspicion) -> {
             boolean nearlyOver = !suspicion.probed() && nowMillis > suspicion.untilMillis() - PROBE_LEAD_MILLIS;
--- a/core/src/main/java/org/cornelramp/core/fleet/UnansweredQuestions.java
+++ b/core/src/main/java/org/cornelramp/core/fleet/UnansweredProbes.java
@@ -16,7 +16,7 @@
  * time either. Therefore, while it runs late, it accepts a first silence as a failure only for a server that another process
  * has also seen fail.
  */
-public final class UnansweredQuestions {
+public final class UnansweredProbes {
     /** Servers that may be declared dead within one window without a second probe: those of a small rack. */
     static final int MAX_WITHOUT_SECOND_PROBE = 2;
 
@@ -27,7 +27,7 @@
     private final Map<BackendServerId, Long> peerReports = new HashMap<>();
 
     /** Records that another process has seen a server fail. */
-    public void seenElsewhere(BackendServerId id, long nowMillis) {
+    public void reportedByPeer(BackendServerId id, long nowMillis) {
         peerReports.put(id, nowMillis);
     }
 
@@ -38,7 +38,7 @@
      * @param runningLate whether this process was delayed at the time
      * @return whether the fault is more likely in this process than in the server
      */
-    public boolean isOwnFault(BackendServerId id, boolean runningLate, long nowMillis) {
+    public boolean isLikelyLocalFault(BackendServerId id, boolean runningLate, long nowMillis) {
         silent.values().removeIf(at -> nowMillis - at > WINDOW_MILLIS);
         peerReports.values().removeIf(at -> nowMillis - at > WINDOW_MILLIS);
         boolean probedAgain = silent.putIfAbsent(id, nowMillis) != null;
--- a/core/src/main/java/org/cornelramp/core/health/FleetHealth.java
+++ b/core/src/main/java/org/cornelramp/core/health/FleetHealth.java
@@ -39,12 +39,12 @@
      *
      * @param group identifies the agents that can replace each other, such as a service and layer range
      */
-    public void joined(Incarnation agent, String group, Instant now) {
+    public void add(Incarnation agent, String group, Instant now) {
         agents.computeIfAbsent(agent, a -> new AgentHealth(group, settings, now));
     }
 
     /** Removes an agent that has left. */
-    public void left(Incarnation agent) {
+    public void remove(Incarnation agent) {
         agents.remove(agent);
     }
 
@@ -54,7 +54,7 @@
      * @param observed time that it took
      * @param expected time that was predicted when the agent was chosen
      */
-    public void succeeded(Incarnation agent, Duration observed, Duration expected, Instant now) {
+    public void recordSuccess(Incarnation agent, Duration observed, Duration expected, Instant now) {
         AgentHealth h = agents.get(agent);
         if (h != null) {
             h.recordSuccess(observed.toNanos() / (double) Math.max(1, expected.toNanos()), now);
@@ -62,15 +62,15 @@
     }
 
     /** Records a failure of the agent or its backend server; refusals and faulty requests do not count. */
-    public void failed(Incarnation agent, Instant now) {
+    public void recordFailure(Incarnation agent, Instant now) {
         AgentHealth h = agents.get(agent);
         if (h != null) {
             h.recordFailure(now);
         }
     }
 
-    /** Records that a request was sent to the ejected agent that {@link #probe} returned. */
-    public void probeSent(Incarnation agent, Instant now) {
+    /** Records that a request was sent to the ejected agent that {@link #dueProbe} returned. */
+    public void recordProbe(Incarnation agent, Instant now) {
         AgentHealth h = agents.get(agent);
         if (h != null) {
             h.recordProbe(now);
@@ -81,7 +81,7 @@
      * The ejected agent of a group that is due for a probe, if any. The next request that may safely be retried goes
      * there, with all its retries left.
      */
-    public Optional<Incarnation> probe(String group, Instant now) {
+    public Optional<Incarnation> dueProbe(String group, Instant now) {
         return agents.entrySet().stream()
                 .filter(e -> e.getValue().group.equals(group) && e.getValue().probeDue(now))
                 .map(Map.Entry::getKey)
--- a/core/src/main/java/org/cornelramp/core/key/IdempotencyKey.java
+++ b/core/src/main/java/org/cornelramp/core/key/IdempotencyKey.java
@@ -9,7 +9,7 @@
 import org.cornelramp.core.model.ProblemKind;
 
 /** An idempotency key that carries its creation time. Implementations are immutable and safe for use by any thread. */
-public sealed interface IdempotencyKey permits Ticket, OwnKey {
+public sealed interface IdempotencyKey permits Ticket, UuidKey {
     /** Maximum time by which a caller's clock may be ahead of the entry's clock. */
     Duration CLOCK_SKEW = Duration.ofMinutes(1);
 
@@ -38,7 +38,7 @@
 
     private static Either<Problem, IdempotencyKey> parse(String text) {
         try {
-            return Either.right(Ticket.isTicket(text) ? Ticket.parse(text) : OwnKey.parse(text));
+            return Either.right(Ticket.isTicket(text) ? Ticket.parse(text) : UuidKey.parse(text));
         } catch (IllegalArgumentException e) {
             return Either.left(
                     Problem.notRun(ProblemKind.KEY_MALFORMED, "The key is neither a minted ticket nor a UUIDv7."));
--- a/core/src/main/java/org/cornelramp/core/key/KeyIndex.java
+++ b/core/src/main/java/org/cornelramp/core/key/KeyIndex.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.cornelramp.core.call.AgentWord;
+import org.cornelramp.core.call.AgentReply;
 import org.cornelramp.core.model.Incarnation;
 import org.cornelramp.core.model.OrganisationId;
 import org.cornelramp.core.model.Problem;
@@ -28,7 +28,7 @@
     private final Map<OrganisationKey, Binding> bindings = new HashMap<>();
     private final Map<Incarnation, Settlement> settlements = new HashMap<>();
     private final Deque<ExpiryEntry> byAge = new ArrayDeque<>();
-    private long next;
+    private long nextOffset;
 
     /**
      * The binding of a key.
@@ -51,28 +51,28 @@
     }
 
     /** Offset of the next record to apply. */
-    public long next() {
-        return next;
+    public long nextOffset() {
+        return nextOffset;
     }
 
     /** Skips to an offset because the log no longer holds the records before it; never moves back. */
     public void skipTo(long offset) {
-        next = Math.max(next, offset);
+        nextOffset = Math.max(nextOffset, offset);
     }
 
     /**
-     * Applies the record at offset {@link #next}.
+     * Applies the record at offset {@link #nextOffset}.
      *
      * @param at when the log accepted the record
      * @param record the record; empty if it is in no known form, in which case it is skipped
      * @throws IllegalArgumentException if the offset is not the next one
      */
     public void apply(long offset, Instant at, Optional<KeyRecord> record) {
-        if (offset != next) {
+        if (offset != nextOffset) {
             throw new IllegalArgumentException(
-                    "Records must be applied in order; expected=" + next + " offset=" + offset);
+                    "Records must be applied in order; expected=" + nextOffset + " offset=" + offset);
         }
-        next++;
+        nextOffset++;
         if (record.isPresent() && record.get() instanceof KeyRecord.Bind bind) {
             bind(bind, at);
         } else if (record.isPresent() && record.get() instanceof KeyRecord.Settled settled) {
@@ -92,11 +92,11 @@
     }
 
     /** The final result of a key of an incarnation that stopped as planned; empty if it has not settled its keys. */
-    public Optional<AgentWord> settled(Incarnation incarnation, String key) {
+    public Optional<AgentReply> settledReply(Incarnation incarnation, String key) {
         if (!isSettled(incarnation)) {
             return Optional.empty();
         }
-        AgentWord reply = settlements.get(incarnation).results.get(key);
+        AgentReply reply = settlements.get(incarnation).results.get(key);
         return Optional.of(reply != null ? reply : notRun());
     }
 
@@ -131,13 +131,13 @@
     }
 
     /** The result of a key that a complete settlement does not list. */
-    private static AgentWord notRun() {
-        return AgentWord.of(Problem.notRun(
+    private static AgentReply notRun() {
+        return AgentReply.of(Problem.notRun(
                 ProblemKind.KEY_SPENT, "The backend server that the key was bound to stopped and never ran it."));
     }
 
     private static final class Settlement {
-        final Map<String, AgentWord> results = new HashMap<>();
+        final Map<String, AgentReply> results = new HashMap<>();
         private final Set<Integer> partsRead = new HashSet<>();
         private int parts = Integer.MAX_VALUE;
 
--- a/core/src/main/java/org/cornelramp/core/key/KeyRecord.java
+++ b/core/src/main/java/org/cornelramp/core/key/KeyRecord.java
@@ -1,7 +1,7 @@
 package org.cornelramp.core.key;
 
 import java.util.Map;
-import org.cornelramp.core.call.AgentWord;
+import org.cornelramp.core.call.AgentReply;
 import org.cornelramp.core.model.Incarnation;
 import org.cornelramp.core.model.OrganisationId;
 
@@ -27,7 +27,7 @@
      * @param parts number of parts
      * @param results the final result of each key in this part
      */
-    record Settled(Incarnation incarnation, int part, int parts, Map<String, AgentWord> results) implements KeyRecord {
+    record Settled(Incarnation incarnation, int part, int parts, Map<String, AgentReply> results) implements KeyRecord {
 
         public Settled {
             results = Map.copyOf(results);
--- a/core/src/main/java/org/cornelramp/core/key/KeyRecordCodec.java
+++ b/core/src/main/java/org/cornelramp/core/key/KeyRecordCodec.java
@@ -8,7 +8,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
-import org.cornelramp.core.call.AgentWord;
+import org.cornelramp.core.call.AgentReply;
 import org.cornelramp.core.call.CallResult;
 import org.cornelramp.core.model.Incarnation;
 import org.cornelramp.core.model.OrganisationId;
@@ -66,7 +66,7 @@
     }
 
     private static KeyRecord readSettled(JsonNode node) throws IOException {
-        Map<String, AgentWord> results = new HashMap<>();
+        Map<String, AgentReply> results = new HashMap<>();
         for (JsonNode result : node.path("results")) {
             results.put(text(result, KEY), readReply(result));
         }
@@ -78,19 +78,19 @@
                 Incarnation.parse(text(node, INCARNATION)), node.path("part").asInt(), parts, results);
     }
 
-    private static AgentWord readReply(JsonNode result) throws IOException {
+    private static AgentReply readReply(JsonNode result) throws IOException {
         Outcome outcome = outcome(text(result, "outcome"));
         if (outcome == Outcome.ANSWERED) {
             JsonNode body = result.path("body");
             byte[] bytes = body.isMissingNode() || body.isNull() ? new byte[0] : body.binaryValue();
-            return AgentWord.of(new CallResult(
+            return AgentReply.of(new CallResult(
                     result.path("status").asInt(), result.path("contentType").asText(""), bytes));
         }
         ProblemKind kind = result.hasNonNull("kind")
                 ? ProblemKind.parse(text(result, "kind"))
                 : outcome == Outcome.NOT_RUN ? ProblemKind.KEY_SPENT : ProblemKind.BACKEND_LOST;
         String detail = result.path("detail").asText("The backend server settled the key when it stopped.");
-        return AgentWord.of(new Problem(kind, outcome, detail, Duration.ZERO));
+        return AgentReply.of(new Problem(kind, outcome, detail, Duration.ZERO));
     }
 
     private static Outcome outcome(String text) {
--- a/core/src/main/java/org/cornelramp/core/key/OwnKey.java
+++ b/core/src/main/java/org/cornelramp/core/key/UuidKey.java
@@ -9,12 +9,12 @@
  *
  * <p>Invariant: the version is 7. Immutable, safe for use by any thread.
  */
-public record OwnKey(UUID uuid) implements IdempotencyKey {
+public record UuidKey(UUID uuid) implements IdempotencyKey {
     private static final int VERSION = 7;
     private static final int TIME_SHIFT = 16;
     private static final int LENGTH = 36;
 
-    public OwnKey {
+    public UuidKey {
         if (uuid.version() != VERSION) {
             throw new IllegalArgumentException("A caller-generated key must be a UUIDv7");
         }
@@ -25,11 +25,11 @@
      *
      * @throws IllegalArgumentException if the text is no UUIDv7
      */
-    public static OwnKey parse(String text) {
+    public static UuidKey parse(String text) {
         if (text.length() != LENGTH) {
             throw new IllegalArgumentException("A UUID has " + LENGTH + " characters");
         }
-        return new OwnKey(UUID.fromString(text.toLowerCase(Locale.ROOT)));
+        return new UuidKey(UUID.fromString(text.toLowerCase(Locale.ROOT)));
     }
 
     @Override
--- a/core/src/main/java/org/cornelramp/core/ledger/SettledRecords.java
+++ b/core/src/main/java/org/cornelramp/core/ledger/SettledRecords.java
@@ -76,7 +76,7 @@
     }
 
     /** The part number of a record; empty if it is not a settled record of the incarnation. */
-    public static OptionalInt partOf(JsonNode record, Incarnation incarnation) {
+    public static OptionalInt partNumber(JsonNode record, Incarnation incarnation) {
         boolean own = record.path("type").asText().equals(TYPE)
                 && record.path("incarnation").asText().equals(incarnation.toString());
         return own ? OptionalInt.of(record.path("part").asInt()) : OptionalInt.empty();
--- a/core/src/main/java/org/cornelramp/core/limit/Limiter.java
+++ b/core/src/main/java/org/cornelramp/core/limit/Limiter.java
@@ -20,7 +20,7 @@
  * Enforces one entry's part of each row's limits on requests per second, concurrent requests and tokens per second.
  *
  * <p>Entries share no store. Each reports its demand to the agents in its heartbeats ({@link #demand}), and each agent
- * reports back the sum over its entries ({@link #told}). The part of an entry is its demand divided by that sum. Owned
+ * reports back the sum over its entries ({@link #recordReport}). The part of an entry is its demand divided by that sum. Owned
  * by one thread, which passes the current time in. Memory is bounded: rows without demand are dropped after a minute.
  *
  * <p>Invariant: while reports arrive, the requests that all entries admit over a time t exceed the limit × t by at most a
@@ -81,7 +81,7 @@
      * @param permit the permit that {@link #admit} returned
      * @param tokensUsed tokens that were generated; tokens charged beyond them are refunded
      */
-    public void finished(Permit permit, int tokensUsed, Instant now) {
+    public void release(Permit permit, int tokensUsed, Instant now) {
         RowState state = rows.get(permit.row());
         if (state == null || !permit.counted()) {
             return;
@@ -108,13 +108,13 @@
      * @param entryDemand demand of all entries linked to the agent, by row, in requests per second
      * @param linkedEntries number of entries linked to the agent
      */
-    public void told(Incarnation agent, Map<String, Double> entryDemand, int linkedEntries, Instant now) {
+    public void recordReport(Incarnation agent, Map<String, Double> entryDemand, int linkedEntries, Instant now) {
         reports.put(agent, new Report(Map.copyOf(entryDemand), linkedEntries, now));
         reports.values().removeIf(r -> r.receivedAt.plus(reportTimeout).isBefore(now));
     }
 
     /** Drops the report of an agent whose link is lost. */
-    public void lost(Incarnation agent) {
+    public void removeReport(Incarnation agent) {
         reports.remove(agent);
     }
 
--- a/core/src/main/java/org/cornelramp/core/limit/Permit.java
+++ b/core/src/main/java/org/cornelramp/core/limit/Permit.java
@@ -3,7 +3,7 @@
 import org.cornelramp.core.table.RowKey;
 
 /**
- * Permission for one request under the limits of its row, to be returned once with {@link Limiter#finished}. Immutable,
+ * Permission for one request under the limits of its row, to be returned once with {@link Limiter#release}. Immutable,
  * safe for use by any thread.
  *
  * @param row the row whose limits were charged
--- a/core/src/main/java/org/cornelramp/core/member/Lives.java
+++ b/core/src/main/java/org/cornelramp/core/member/IncarnationHistory.java
@@ -16,12 +16,12 @@
  *
  * <p>While the log cannot be read, this entry cannot tell to which agent another entry may have bound a key. The agents
  * can: if every incarnation that may have run the key denies it and records that it never will, the key did not run.
- * That proof needs all of them, so {@link #holders} returns them only if none can be missing.
+ * That proof needs all of them, so {@link #possibleHolders} returns them only if none can be missing.
  *
  * <p>Confined to one thread. Bounded: incarnations without a link are dropped after twice the window in which keys are
  * accepted.
  */
-public final class Lives {
+public final class IncarnationHistory {
     private final Duration window;
     private final Duration clockSkew;
     private final Map<Incarnation, Observation> observations = new HashMap<>();
@@ -40,7 +40,7 @@
      * @param window age at which keys are refused
      * @param clockSkew maximum time by which the clock that dated a key may be ahead of this entry's clock
      */
-    public Lives(Duration window, Duration clockSkew) {
+    public IncarnationHistory(Duration window, Duration clockSkew) {
         this.window = window;
         this.clockSkew = clockSkew;
     }
@@ -54,7 +54,7 @@
     }
 
     /** Records that the link to an agent is lost. */
-    public void unlinked(Incarnation agent) {
+    public void linkLost(Incarnation agent) {
         observations.computeIfPresent(
                 agent,
                 (key, observation) ->
@@ -67,7 +67,7 @@
      * @param askedAt when the read began
      * @param agents the agents in the list
      */
-    public void listed(Instant askedAt, Set<BackendServerId> agents, Instant now) {
+    public void updateList(Instant askedAt, Set<BackendServerId> agents, Instant now) {
         listedServers = Set.copyOf(agents);
         listReadStartedAt = askedAt;
         if (watchingSince.equals(Instant.MAX)) {
@@ -95,7 +95,7 @@
      * @param createdAt when the key was created, by the clock of its creator
      * @param askedAt when the request arrived
      */
-    public Optional<Set<Incarnation>> holders(ServiceName service, Instant createdAt, Instant askedAt) {
+    public Optional<Set<Incarnation>> possibleHolders(ServiceName service, Instant createdAt, Instant askedAt) {
         Instant from = createdAt.minus(clockSkew);
         if (watchingSince.isAfter(from) || !isListReadSince(askedAt)) {
             return Optional.empty();
--- a/core/src/main/java/org/cornelramp/core/member/Listed.java
+++ b/core/src/main/java/org/cornelramp/core/member/ListedAgent.java
@@ -9,4 +9,4 @@
  * @param address where its agent accepts links, as host:port
  * @param leaving whether the VM is about to be removed
  */
-public record Listed(BackendServerId server, String address, boolean leaving) {}
+public record ListedAgent(BackendServerId server, String address, boolean leaving) {}
--- a/core/src/main/java/org/cornelramp/core/member/Membership.java
+++ b/core/src/main/java/org/cornelramp/core/member/Membership.java
@@ -34,7 +34,7 @@
     static final Duration SILENCE_TIMEOUT = Duration.ofSeconds(3);
 
     private final Map<BackendServerId, Member> members = new HashMap<>();
-    private final Map<BackendServerId, Listed> listedAgents = new HashMap<>();
+    private final Map<BackendServerId, ListedAgent> listedAgents = new HashMap<>();
     private final Set<Incarnation> ended = new HashSet<>();
 
     /**
@@ -46,8 +46,8 @@
     public record LinkChange(Set<String> keep, Set<String> forget) {}
 
     /** Applies a new VM list. */
-    public LinkChange listed(Collection<Listed> agents) {
-        Map<BackendServerId, Listed> before = new HashMap<>(listedAgents);
+    public LinkChange updateList(Collection<ListedAgent> agents) {
+        Map<BackendServerId, ListedAgent> before = new HashMap<>(listedAgents);
         listedAgents.clear();
         agents.forEach(agent -> listedAgents.put(agent.server(), agent));
         Set<String> keep = new HashSet<>();
@@ -69,7 +69,7 @@
      *
      * @return the previous incarnation, if the agent has restarted
      */
-    public Optional<Incarnation> opened(
+    public Optional<Incarnation> linkOpened(
             Incarnation incarnation, DataCentre dataCentre, String address, Optional<Offer> offer, Instant now) {
         if (ended.contains(incarnation)) {
             return Optional.empty();
@@ -90,7 +90,8 @@
     }
 
     /** Records a heartbeat. */
-    public void heard(Incarnation incarnation, AgentState state, AgentLoad load, Optional<Offer> offer, Instant now) {
+    public void recordHeartbeat(
+            Incarnation incarnation, AgentState state, AgentLoad load, Optional<Offer> offer, Instant now) {
         members.computeIfPresent(
                 incarnation.server(),
                 (server, member) -> member.incarnation().equals(incarnation)
@@ -99,7 +100,7 @@
     }
 
     /** Records that the last link to an agent is lost. */
-    public void lost(Incarnation incarnation) {
+    public void linkLost(Incarnation incarnation) {
         members.computeIfPresent(
                 incarnation.server(),
                 (server, member) -> member.incarnation().equals(incarnation) ? member.withLinked(false) : member);
@@ -117,7 +118,7 @@
      *
      * @param seenAt when the incarnation was last known to run, by the clock of any process
      */
-    public boolean isGone(Incarnation incarnation, Instant seenAt, Instant now) {
+    public boolean hasEnded(Incarnation incarnation, Instant seenAt, Instant now) {
         if (ended.contains(incarnation)) {
             return true;
         }
@@ -145,11 +146,11 @@
     }
 
     private boolean isListedLeaving(BackendServerId server) {
-        Listed agent = listedAgents.get(server);
+        ListedAgent agent = listedAgents.get(server);
         return agent != null && agent.leaving();
     }
 
-    private boolean isLinked(Listed agent) {
+    private boolean isLinked(ListedAgent agent) {
         Member member = members.get(agent.server());
         return member != null && member.linked();
     }
--- a/core/src/test/java/org/cornelramp/core/admission/FairQueueProperties.java
+++ b/core/src/test/java/org/cornelramp/core/admission/FairQueueProperties.java
@@ -31,7 +31,7 @@
                 assertTrue(held.remove(r.waiting().id()));
                 assertTrue(r.waiting().latestStart().isBefore(late));
             });
-            Waiting<Integer> w = request(id, random, now);
+            QueuedRequest<Integer> w = request(id, random, now);
             queue.offer(w, now).peek(evicted -> {
                 held.add(w.id());
                 evicted.forEach(r -> assertTrue(held.remove(r.waiting().id())));
@@ -64,7 +64,7 @@
         }
         double total = 0;
         for (int i = 0; i < 1_200; i++) {
-            Waiting<Integer> w = queue.poll(now).orElseThrow();
+            QueuedRequest<Integer> w = queue.poll(now).orElseThrow();
             served[w.work()] += w.cost();
             total += w.cost();
         }
@@ -96,19 +96,19 @@
             queue.offer(request(id, 0, 1, random.nextInt(10), now.plusSeconds(9)), now);
         }
         int before = 0;
-        for (Optional<Waiting<Integer>> w = queue.poll(now); w.isPresent(); w = queue.poll(now)) {
+        for (Optional<QueuedRequest<Integer>> w = queue.poll(now); w.isPresent(); w = queue.poll(now)) {
             assertTrue(w.get().priority() >= before);
             before = w.get().priority();
         }
     }
 
-    private static Waiting<Integer> request(long id, Random random, Instant now) {
+    private static QueuedRequest<Integer> request(long id, Random random, Instant now) {
         int o = random.nextInt(WEIGHTS.length);
         return request(id, o, 1 + random.nextInt(5), random.nextInt(10), now.plusMillis(50 + random.nextInt(2_000)));
     }
 
-    private static Waiting<Integer> request(long id, int o, double cost, int priority, Instant deadline) {
+    private static QueuedRequest<Integer> request(long id, int o, double cost, int priority, Instant deadline) {
         OrganisationId organisation = new OrganisationId("o" + o);
-        return new Waiting<>(id, organisation, WEIGHTS[o], priority, cost, deadline, Duration.ofMillis(20), o);
+        return new QueuedRequest<>(id, organisation, WEIGHTS[o], priority, cost, deadline, Duration.ofMillis(20), o);
     }
 }
--- a/core/src/test/java/org/cornelramp/core/admission/FairQueueTest.java
+++ b/core/src/test/java/org/cornelramp/core/admission/FairQueueTest.java
@@ -88,12 +88,12 @@
         assertEquals(late, 10);
     }
 
-    private static Waiting<String> request(long id, String organisation, Duration budget) {
+    private static QueuedRequest<String> request(long id, String organisation, Duration budget) {
         return request(id, organisation, 0, budget);
     }
 
-    private static Waiting<String> request(long id, String organisation, int priority, Duration budget) {
+    private static QueuedRequest<String> request(long id, String organisation, int priority, Duration budget) {
         OrganisationId o = new OrganisationId(organisation);
-        return new Waiting<>(id, o, 1, priority, 1, NOW.plus(budget), Duration.ofMillis(20), "work");
+        return new QueuedRequest<>(id, o, 1, priority, 1, NOW.plus(budget), Duration.ofMillis(20), "work");
     }
 }
--- a/core/src/test/java/org/cornelramp/core/admission/QueuedServer.java
+++ b/core/src/test/java/org/cornelramp/core/admission/QueuedServer.java
@@ -54,7 +54,7 @@
     }
 
     private void send(int organisation) {
-        Waiting<Integer> w = new Waiting<>(
+        QueuedRequest<Integer> w = new QueuedRequest<>(
                 nextId++,
                 new OrganisationId("o" + organisation),
                 weights[organisation],
@@ -68,7 +68,7 @@
 
     private void start() {
         while (running.size() < SLOTS) {
-            Waiting<Integer> w = queue.poll(now).orElse(null);
+            QueuedRequest<Integer> w = queue.poll(now).orElse(null);
             if (w == null) {
                 return;
             }
@@ -87,5 +87,5 @@
         }
     }
 
-    private record Running(Waiting<Integer> waiting, Instant end) {}
+    private record Running(QueuedRequest<Integer> waiting, Instant end) {}
 }
--- a/core/src/test/java/org/cornelramp/core/call/PlainCallProperties.java
+++ b/core/src/test/java/org/cornelramp/core/call/PlainCallProperties.java
@@ -138,27 +138,28 @@
             sends++;
             messages.add(() -> {
                 if (cancelled) {
-                    apply(call.said(AgentWord.of(Problem.notRun(ProblemKind.BACKEND_FAILED, "cancelled")), now));
+                    apply(call.replyReceived(
+                            AgentReply.of(Problem.notRun(ProblemKind.BACKEND_FAILED, "cancelled")), now));
                     return;
                 }
                 ran = true;
                 if (random.nextInt(3) > 0) {
-                    apply(call.said(answer(), now));
+                    apply(call.replyReceived(answer(), now));
                 }
             });
         }
 
         private void settle() {
             if (ran) {
-                apply(call.said(answer(), now));
+                apply(call.replyReceived(answer(), now));
             } else {
                 cancelled = true;
-                apply(call.said(AgentWord.of(Problem.notRun(ProblemKind.BACKEND_FAILED, "cancelled")), now));
+                apply(call.replyReceived(AgentReply.of(Problem.notRun(ProblemKind.BACKEND_FAILED, "cancelled")), now));
             }
         }
 
-        private static AgentWord answer() {
-            return AgentWord.of(new CallResult(200, "", new byte[0]));
+        private static AgentReply answer() {
+            return AgentReply.of(new CallResult(200, "", new byte[0]));
         }
     }
 }
--- a/core/src/test/java/org/cornelramp/core/call/UnboundCallRefusalProperties.java
+++ b/core/src/test/java/org/cornelramp/core/call/UnboundCallRefusalProperties.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.cornelramp.core.member.Lives;
+import org.cornelramp.core.member.IncarnationHistory;
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.model.Incarnation;
 import org.cornelramp.core.model.Outcome;
@@ -34,7 +34,7 @@
 
     private static final class Simulation {
         private final Random random;
-        private final Lives history = new Lives(Duration.ofHours(1), SKEW);
+        private final IncarnationHistory history = new IncarnationHistory(Duration.ofHours(1), SKEW);
         private final List<BackendServerId> servers = new ArrayList<>();
         private final List<Incarnation> alive = new ArrayList<>();
         private final Set<Incarnation> linked = new HashSet<>();
@@ -63,11 +63,12 @@
             }
             passTime(random.nextInt(300));
             Instant askedAt = now;
-            Denial refusal = new Denial(Problem.notRun(ProblemKind.LOG_UNAVAILABLE, "out"), askedAt.plusMillis(500));
+            UnboundCallRefusal refusal =
+                    new UnboundCallRefusal(Problem.notRun(ProblemKind.LOG_UNAVAILABLE, "out"), askedAt.plusMillis(500));
             if (random.nextInt(8) > 0) {
                 read(now);
             }
-            Optional<Set<Incarnation>> holders = history.holders(SERVICE, createdAt, askedAt);
+            Optional<Set<Incarnation>> holders = history.possibleHolders(SERVICE, createdAt, askedAt);
             Optional<Outcome> reported = outcome(refusal, refusal.ask(holders));
             boolean mayRunLater = alive.stream().anyMatch(agent -> !tombstoned.contains(agent));
             return !reported.equals(Optional.of(Outcome.NOT_RUN)) || (ran.isEmpty() && !mayRunLater);
@@ -117,20 +118,20 @@
 
         private void unlink(Incarnation agent) {
             if (linked.remove(agent)) {
-                history.unlinked(agent);
+                history.linkLost(agent);
             }
         }
 
         private void read(Instant askedAt) {
-            history.listed(askedAt, new HashSet<>(servers), now);
+            history.updateList(askedAt, new HashSet<>(servers), now);
         }
 
-        private Optional<Outcome> outcome(Denial refusal, List<CallAction> first) {
+        private Optional<Outcome> outcome(UnboundCallRefusal refusal, List<CallAction> first) {
             List<CallAction> actions = new ArrayList<>(first);
             while (!actions.isEmpty()) {
                 CallAction action = actions.remove(0);
                 if (action instanceof CallAction.Ask ask) {
-                    actions.addAll(refusal.said(ask.agent(), reply(ask.agent())));
+                    actions.addAll(refusal.replyReceived(ask.agent(), reply(ask.agent())));
                 } else if (action instanceof CallAction.Fail fail) {
                     return Optional.of(fail.problem().outcome());
                 } else if (action instanceof CallAction.Answer) {
@@ -140,12 +141,12 @@
             return Optional.empty();
         }
 
-        private AgentWord reply(Incarnation agent) {
+        private AgentReply reply(Incarnation agent) {
             if (ran.equals(Optional.of(agent))) {
-                return AgentWord.of(new CallResult(200, "", new byte[0]));
+                return AgentReply.of(new CallResult(200, "", new byte[0]));
             }
             tombstoned.add(agent);
-            return AgentWord.of(Problem.notRun(ProblemKind.BACKEND_LOST, "cancelled"));
+            return AgentReply.of(Problem.notRun(ProblemKind.BACKEND_LOST, "cancelled"));
         }
     }
 }
--- a/core/src/test/java/org/cornelramp/core/fence/TermGuardProperties.java
+++ b/core/src/test/java/org/cornelramp/core/fence/TermGuardProperties.java
@@ -33,7 +33,7 @@
             long term = choice / 4;
             switch (choice % 4) {
                 case 0 -> guard = new TermGuard();
-                case 1 -> guard.heard(Math.min(term, onLog));
+                case 1 -> guard.observe(Math.min(term, onLog));
                 case 2 -> guard.learned(onLog);
                 default -> {
                     onLog = Math.max(onLog, term);
--- a/core/src/test/java/org/cornelramp/core/fleet/RestoredStoreProperties.java
+++ b/core/src/test/java/org/cornelramp/core/fleet/RestoredStoreProperties.java
@@ -103,13 +103,13 @@
     void anOlderCopyDoesNotUndoObservedChanges(@ForAll long seed) {
         Simulation simulation = new Simulation(seed);
         ServerRegistry registry = new ServerRegistry();
-        registry.storeAnswers(true, 0);
+        registry.setStoreAvailable(true, 0);
         long now = 100_000;
         for (int i = 0; i < CHANGES; i++) {
             simulation.change();
             registry.apply(simulation.log.get(simulation.log.size() - 1), now++);
         }
-        registry.storeAnswers(false, now);
+        registry.setStoreAvailable(false, now);
         Set<BackendServerId> seenToLeave = Set.copyOf(simulation.left);
         int kept = simulation.log.size() - simulation.random.nextInt(CHANGES / 2);
         simulation.log.subList(kept, simulation.log.size()).clear();
@@ -119,7 +119,7 @@
         }
         now += OUTAGE_MILLIS;
         registry.restore(simulation.newest(), simulation.log.size(), CONFIRM_MILLIS, now);
-        registry.storeAnswers(true, now);
+        registry.setStoreAvailable(true, now);
         checkNoLeftServerTakesWork(seenToLeave, registry);
         for (BackendServer server : simulation.running.values()) {
             check(!server.state().takesWork() || registry.server(server.id()).isPresent(), "missing: " + server.id());
@@ -130,7 +130,7 @@
             registry.apply(record, now + 500);
             checkNoLeftServerTakesWork(seenToLeave, registry);
         }
-        registry.expire(now + CONFIRM_MILLIS + ServerRegistry.RETURN_MILLIS);
+        registry.expire(now + CONFIRM_MILLIS + ServerRegistry.REGISTRATION_GRACE_MILLIS);
         check(
                 Set.copyOf(registry.servers()).equals(Set.copyOf(simulation.running.values())),
                 registry.servers() + " is not " + simulation.running.values());
--- a/core/src/test/java/org/cornelramp/core/fleet/RestoredStoreTest.java
+++ b/core/src/test/java/org/cornelramp/core/fleet/RestoredStoreTest.java
@@ -22,7 +22,7 @@
 
     private static ServerRegistry connected(ServerRegistry.Registration... records) {
         ServerRegistry registry = new ServerRegistry();
-        registry.storeAnswers(true, 0);
+        registry.setStoreAvailable(true, 0);
         for (ServerRegistry.Registration record : records) {
             registry.apply(record, 1_000);
         }
@@ -77,7 +77,7 @@
         registry.expire(40_000);
         assertTrue(registry.server(ID).isPresent());
         registry.restore(List.of(), 100, CONFIRM_MILLIS, 50_000);
-        registry.expire(50_000 + ServerRegistry.RETURN_MILLIS);
+        registry.expire(50_000 + ServerRegistry.REGISTRATION_GRACE_MILLIS);
         assertFalse(registry.server(ID).isPresent());
     }
 }
--- a/core/src/test/java/org/cornelramp/core/fleet/ServerIncarnationsProperties.java
+++ b/core/src/test/java/org/cornelramp/core/fleet/ServerIncarnationsProperties.java
@@ -7,7 +7,7 @@
 import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.cornelramp.core.fleet.Suspicions.Evidence;
+import org.cornelramp.core.fleet.SuspectedServers.Evidence;
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.path.EngineFixtures;
 import org.cornelramp.core.path.EngineLoads;
@@ -50,7 +50,7 @@
             }
         }
         ServerRegistry registry = new ServerRegistry();
-        registry.storeAnswers(true, 0);
+        registry.setStoreAvailable(true, 0);
         long now = 10_000;
         List<ServerRegistry.Registration> arrivals = new ArrayList<>(written);
         arrivals.addAll(written);
@@ -79,11 +79,11 @@
     @Property(tries = 1)
     void aNewIncarnationStartsWithACleanState() {
         ServerRegistry registry = new ServerRegistry();
-        Suspicions suspects = new Suspicions();
+        SuspectedServers suspects = new SuspectedServers();
         EngineLoads loads = new EngineLoads();
         BackendServer old = incarnation(START_TIMES[0], true);
         BackendServer next = incarnation(START_TIMES[1], false);
-        registry.storeAnswers(true, 0);
+        registry.setStoreAvailable(true, 0);
         registry.apply(new ServerRegistry.Registration(1, NAME, Optional.of(old)), 10_000);
         suspects.suspect(old.id(), Evidence.LOST, 10_000);
         loads.setSlowdown(old.id(), 8, 10_000);
--- a/core/src/test/java/org/cornelramp/core/fleet/ServerRegistryTest.java
+++ b/core/src/test/java/org/cornelramp/core/fleet/ServerRegistryTest.java
@@ -21,7 +21,7 @@
 
     private static ServerRegistry connected() {
         ServerRegistry registry = new ServerRegistry();
-        registry.storeAnswers(true, 0);
+        registry.setStoreAvailable(true, 0);
         registry.apply(record(1, SERVER), 0);
         return registry;
     }
@@ -51,20 +51,20 @@
     @Test
     public void aRegistrationThatExpiredDuringAnOutageHasAGracePeriod() {
         ServerRegistry registry = connected();
-        registry.storeAnswers(false, 1_000);
-        registry.storeAnswers(true, 9_000);
+        registry.setStoreAvailable(false, 1_000);
+        registry.setStoreAvailable(true, 9_000);
         registry.apply(record(8, null), 9_100);
         registry.expire(9_500);
         assertTrue(registry.server(ID).isPresent());
-        registry.expire(9_000 + ServerRegistry.RETURN_MILLIS);
+        registry.expire(9_000 + ServerRegistry.REGISTRATION_GRACE_MILLIS);
         assertEquals(registry.server(ID), Optional.empty());
     }
 
     @Test
     public void aServerThatRegistersAgainWithinTheGracePeriodStays() {
         ServerRegistry registry = connected();
-        registry.storeAnswers(false, 1_000);
-        registry.storeAnswers(true, 9_000);
+        registry.setStoreAvailable(false, 1_000);
+        registry.setStoreAvailable(true, 9_000);
         registry.apply(record(8, null), 9_100);
         registry.apply(record(9, SERVER), 10_000);
         registry.expire(20_000);
--- a/core/src/test/java/org/cornelramp/core/fleet/SuspectedServersTest.java
+++ b/core/src/test/java/org/cornelramp/core/fleet/SuspectedServersTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertTrue;
 
 import java.util.List;
-import org.cornelramp.core.fleet.Suspicions.Evidence;
+import org.cornelramp.core.fleet.SuspectedServers.Evidence;
 import org.cornelramp.core.model.BackendServerId;
 import org.testng.annotations.Test;
 
@@ -15,7 +15,7 @@
 
     @Test
     public void aBusyServerIsExcludedOnlyBriefly() {
-        Suspicions suspects = new Suspicions();
+        SuspectedServers suspects = new SuspectedServers();
         suspects.suspect(ID, Evidence.BUSY, 0);
         assertTrue(suspects.isSuspect(ID, 200));
         assertFalse(suspects.isLost(ID, 200));
@@ -25,7 +25,7 @@
     /** Forty requests fail at the same dead server: this is one failure, and the exclusion time does not double forty times. */
     @Test
     public void manyReportsOfOneFailureCountOnce() {
-        Suspicions suspects = new Suspicions();
+        SuspectedServers suspects = new SuspectedServers();
         assertTrue(suspects.suspect(ID, Evidence.LOST, 0));
         for (int i = 1; i < 40; i++) {
             assertFalse(suspects.suspect(ID, Evidence.LOST, i));
@@ -35,7 +35,7 @@
 
     @Test
     public void evidenceOfLossOverridesEvidenceOfLoad() {
-        Suspicions suspects = new Suspicions();
+        SuspectedServers suspects = new SuspectedServers();
         suspects.suspect(ID, Evidence.BUSY, 0);
         assertTrue(suspects.suspect(ID, Evidence.LOST, 10));
         assertTrue(suspects.isLost(ID, 1_000));
@@ -46,11 +46,11 @@
     /** Guards against running engines that get no work for seconds because a probe to them was lost. */
     @Test
     public void aSignOfLifeEndsASuspicionRaisedBySilence() {
-        Suspicions suspects = new Suspicions();
+        SuspectedServers suspects = new SuspectedServers();
         suspects.suspect(ID, Evidence.SILENT, 100);
         assertTrue(suspects.isLost(ID, 150));
-        assertFalse(suspects.seenAlive(ID, 100, 200), "sign of life from before the silence");
-        assertTrue(suspects.seenAlive(ID, 101, 200));
+        assertFalse(suspects.recordSignOfLife(ID, 100, 200), "sign of life from before the silence");
+        assertTrue(suspects.recordSignOfLife(ID, 101, 200));
         assertFalse(suspects.isSuspect(ID, 200));
         assertTrue(suspects.suspect(ID, Evidence.SILENT, 300));
         assertTrue(suspects.isLost(ID, 300 + 3_999), "second consecutive failure");
@@ -59,21 +59,21 @@
     /** Guards against streams that return to an engine that answers probes but that another engine cannot reach. */
     @Test
     public void aSignOfLifeDoesNotEndASuspicionOfStalledWork() {
-        Suspicions suspects = new Suspicions();
+        SuspectedServers suspects = new SuspectedServers();
         suspects.suspect(ID, Evidence.LOST, 100);
-        assertFalse(suspects.seenAlive(ID, 150, 200));
+        assertFalse(suspects.recordSignOfLife(ID, 150, 200));
         assertTrue(suspects.isLost(ID, 200));
     }
 
     /** A dead server keeps its registration for seconds; each failed probe doubles the time until the next one. */
     @Test
     public void aFailedProbeDoublesTheExclusionTime() {
-        Suspicions suspects = new Suspicions();
+        SuspectedServers suspects = new SuspectedServers();
         suspects.suspect(ID, Evidence.LOST, 0);
-        assertEquals(suspects.dueForTrial(1_000), List.of());
-        assertEquals(suspects.dueForTrial(1_800), List.of(ID));
-        assertEquals(suspects.dueForTrial(1_850), List.of());
-        suspects.trialFailed(ID, 1_900);
+        assertEquals(suspects.dueForProbe(1_000), List.of());
+        assertEquals(suspects.dueForProbe(1_800), List.of(ID));
+        assertEquals(suspects.dueForProbe(1_850), List.of());
+        suspects.probeFailed(ID, 1_900);
         assertTrue(suspects.isLost(ID, 1_900 + 3_900));
         assertFalse(suspects.isLost(ID, 1_900 + 4_100));
     }
--- a/core/src/test/java/org/cornelramp/core/fleet/UnansweredProbesTest.java
+++ b/core/src/test/java/org/cornelramp/core/fleet/UnansweredProbesTest.java
@@ -19,21 +19,21 @@
      */
     @Test
     public void manySilentServersAtOnceAreProbedAgain() {
-        UnansweredQuestions probes = new UnansweredQuestions();
-        assertFalse(probes.isOwnFault(server(0), false, 1_000));
-        assertFalse(probes.isOwnFault(server(1), false, 1_010));
+        UnansweredProbes probes = new UnansweredProbes();
+        assertFalse(probes.isLikelyLocalFault(server(0), false, 1_000));
+        assertFalse(probes.isLikelyLocalFault(server(1), false, 1_010));
         for (int i = 2; i < 20; i++) {
-            assertTrue(probes.isOwnFault(server(i), false, 1_010 + i));
+            assertTrue(probes.isLikelyLocalFault(server(i), false, 1_010 + i));
         }
-        assertFalse(probes.isOwnFault(server(7), false, 1_400));
+        assertFalse(probes.isLikelyLocalFault(server(7), false, 1_400));
     }
 
     /** Engines that die one after the other are each declared dead at once. */
     @Test
     public void singleFailuresAreAcceptedAtOnce() {
-        UnansweredQuestions probes = new UnansweredQuestions();
+        UnansweredProbes probes = new UnansweredProbes();
         for (int i = 0; i < 10; i++) {
-            assertFalse(probes.isOwnFault(server(i), false, 1_000 + i * UnansweredQuestions.WINDOW_MILLIS));
+            assertFalse(probes.isLikelyLocalFault(server(i), false, 1_000 + i * UnansweredProbes.WINDOW_MILLIS));
         }
     }
 
@@ -44,20 +44,20 @@
      */
     @Test
     public void aDelayedProcessIgnoresAFirstSilence() {
-        UnansweredQuestions probes = new UnansweredQuestions();
+        UnansweredProbes probes = new UnansweredProbes();
         for (int i = 0; i < 27; i++) {
-            assertTrue(probes.isOwnFault(server(i), true, 1_000 + i * UnansweredQuestions.WINDOW_MILLIS));
+            assertTrue(probes.isLikelyLocalFault(server(i), true, 1_000 + i * UnansweredProbes.WINDOW_MILLIS));
         }
     }
 
     /** An engine that dies while a gateway runs late is found by a second silence, or by a peer that has seen it fail. */
     @Test
     public void aDelayedProcessStillDetectsFailures() {
-        UnansweredQuestions probes = new UnansweredQuestions();
-        assertTrue(probes.isOwnFault(server(1), true, 1_000));
-        assertFalse(probes.isOwnFault(server(1), true, 1_400));
-        probes.seenElsewhere(server(2), 1_300);
-        assertFalse(probes.isOwnFault(server(2), true, 1_450));
-        assertTrue(probes.isOwnFault(server(2), true, 9_000), "the report of a peer has expired");
+        UnansweredProbes probes = new UnansweredProbes();
+        assertTrue(probes.isLikelyLocalFault(server(1), true, 1_000));
+        assertFalse(probes.isLikelyLocalFault(server(1), true, 1_400));
+        probes.reportedByPeer(server(2), 1_300);
+        assertFalse(probes.isLikelyLocalFault(server(2), true, 1_450));
+        assertTrue(probes.isLikelyLocalFault(server(2), true, 9_000), "the report of a peer has expired");
     }
 }
--- a/core/src/test/java/org/cornelramp/core/health/FleetHealthTest.java
+++ b/core/src/test/java/org/cornelramp/core/health/FleetHealthTest.java
@@ -22,7 +22,7 @@
         List<Incarnation> fleet = FleetHealthProperties.fleet(health, 4, START);
         for (int i = 0; i < 50; i++) {
             for (int a = 0; a < 4; a++) {
-                health.succeeded(fleet.get(a), EXPECTED.multipliedBy(a == 0 ? 12 : 1), EXPECTED, LATER);
+                health.recordSuccess(fleet.get(a), EXPECTED.multipliedBy(a == 0 ? 12 : 1), EXPECTED, LATER);
             }
         }
         Map<Incarnation, Double> shares = health.shares(LATER);
@@ -35,7 +35,7 @@
         FleetHealth health = new FleetHealth(HealthSettings.DEFAULTS);
         List<Incarnation> fleet = FleetHealthProperties.fleet(health, 4, START);
         for (int i = 0; i < 50; i++) {
-            fleet.forEach(a -> health.succeeded(a, EXPECTED.multipliedBy(9), EXPECTED, LATER));
+            fleet.forEach(a -> health.recordSuccess(a, EXPECTED.multipliedBy(9), EXPECTED, LATER));
         }
         health.shares(LATER).values().forEach(s -> assertEquals(s, 1.0));
     }
@@ -45,8 +45,8 @@
         FleetHealth health = new FleetHealth(HealthSettings.DEFAULTS);
         Incarnation flaky = FleetHealthProperties.fleet(health, 4, START).get(0);
         for (int i = 0; i < 50; i++) {
-            health.failed(flaky, LATER);
-            health.succeeded(flaky, EXPECTED, EXPECTED, LATER);
+            health.recordFailure(flaky, LATER);
+            health.recordSuccess(flaky, EXPECTED, EXPECTED, LATER);
         }
         double share = health.shares(LATER).get(flaky);
         assertTrue(share > 0.1 && share < 0.5, "share " + share);
--- a/core/src/test/java/org/cornelramp/core/key/KeyIndexProperties.java
+++ b/core/src/test/java/org/cornelramp/core/key/KeyIndexProperties.java
@@ -13,7 +13,7 @@
 import java.util.UUID;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.cornelramp.core.call.AgentWord;
+import org.cornelramp.core.call.AgentReply;
 import org.cornelramp.core.call.CallResult;
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.model.Incarnation;
@@ -62,14 +62,15 @@
         for (int offset = 0; offset < 12; offset++) {
             int part = random.nextInt(parts);
             partsRead.add(part);
-            Map<String, AgentWord> results =
-                    Map.of("k" + part, AgentWord.of(new CallResult(200, "", new byte[] {(byte) part})));
+            Map<String, AgentReply> results =
+                    Map.of("k" + part, AgentReply.of(new CallResult(200, "", new byte[] {(byte) part})));
             index.apply(
                     offset,
                     Instant.ofEpochMilli(offset),
                     Optional.of(new KeyRecord.Settled(agent, part, parts, results)));
             boolean complete = partsRead.size() == parts;
-            if (index.isSettled(agent) != complete || index.settled(agent, "k0").isPresent() != complete) {
+            if (index.isSettled(agent) != complete
+                    || index.settledReply(agent, "k0").isPresent() != complete) {
                 return false;
             }
         }
@@ -79,9 +80,10 @@
     private static boolean isCorrect(KeyIndex index, Incarnation agent, int parts) {
         boolean listed = true;
         for (int part = 0; part < parts; part++) {
-            listed &= index.settled(agent, "k" + part).orElseThrow().result().isPresent();
+            listed &=
+                    index.settledReply(agent, "k" + part).orElseThrow().result().isPresent();
         }
-        AgentWord unlisted = index.settled(agent, "other").orElseThrow();
+        AgentReply unlisted = index.settledReply(agent, "other").orElseThrow();
         return listed && unlisted.problem().orElseThrow().outcome() == Outcome.NOT_RUN;
     }
 
--- a/core/src/test/java/org/cornelramp/core/limit/LimitedFleet.java
+++ b/core/src/test/java/org/cornelramp/core/limit/LimitedFleet.java
@@ -48,7 +48,7 @@
         for (int i = 0; i < size; i++) {
             entries.add(new Limiter(Duration.ofSeconds(2)));
         }
-        entries.forEach(e -> e.told(AGENT, Map.of(), size, now));
+        entries.forEach(e -> e.recordReport(AGENT, Map.of(), size, now));
     }
 
     static RowValues limits(double requests, int concurrency, double tokens) {
@@ -99,7 +99,7 @@
             int used = 1 + random.nextInt(Math.max(1, tokensEach));
             tokens += used;
             Instant end = now.plus(serviceTime);
-            completions.add(new Completion(end, () -> limiter.finished(permit, used, end)));
+            completions.add(new Completion(end, () -> limiter.release(permit, used, end)));
         });
     }
 
@@ -107,7 +107,7 @@
     private void heartbeat() {
         Map<String, Double> sum = new HashMap<>();
         entries.forEach(e -> e.demand(now).forEach((key, value) -> sum.merge(key, value, Double::sum)));
-        pendingReports.add(() -> entries.forEach(e -> e.told(AGENT, sum, entries.size(), now)));
+        pendingReports.add(() -> entries.forEach(e -> e.recordReport(AGENT, sum, entries.size(), now)));
         if (pendingReports.size() > delayHeartbeats) {
             pendingReports.poll().run();
         }
--- a/core/src/test/java/org/cornelramp/core/member/MembershipProperties.java
+++ b/core/src/test/java/org/cornelramp/core/member/MembershipProperties.java
@@ -31,20 +31,20 @@
         Set<Incarnation> replaced = new HashSet<>();
         boolean listedLeaving = false;
         Incarnation present = incarnation(0);
-        membership.opened(present, new DataCentre("dc"), "h:1", OFFER, Instant.EPOCH);
+        membership.linkOpened(present, new DataCentre("dc"), "h:1", OFFER, Instant.EPOCH);
         for (int i = 0; i < 40; i++) {
             Instant now = Instant.EPOCH.plusMillis(i);
             switch (random.nextInt(5)) {
                 case 0 -> {
                     listedLeaving = random.nextBoolean();
-                    membership.listed(List.of(new Listed(SERVER, "h:1", listedLeaving)));
+                    membership.updateList(List.of(new ListedAgent(SERVER, "h:1", listedLeaving)));
                 }
                 case 1 -> {
                     AgentState state = STATES.get(random.nextInt(STATES.size()));
                     if (state == AgentState.LEAVING) {
                         reportedLeaving.add(present);
                     }
-                    membership.heard(present, state, AgentLoad.IDLE, OFFER, now);
+                    membership.recordHeartbeat(present, state, AgentLoad.IDLE, OFFER, now);
                 }
                 case 2 -> {
                     Incarnation next = incarnation(random.nextInt(6));
@@ -54,11 +54,12 @@
                         }
                         present = next;
                     }
-                    membership.opened(next, new DataCentre("dc"), "h:1", OFFER, now);
+                    membership.linkOpened(next, new DataCentre("dc"), "h:1", OFFER, now);
                 }
-                case 3 -> membership.lost(present);
+                case 3 -> membership.linkLost(present);
                 default ->
-                    membership.heard(incarnation(random.nextInt(6)), AgentState.STARTING, AgentLoad.IDLE, OFFER, now);
+                    membership.recordHeartbeat(
+                            incarnation(random.nextInt(6)), AgentState.STARTING, AgentLoad.IDLE, OFFER, now);
             }
             Member member = membership.members().get(0);
             boolean mustNotTakeWork = listedLeaving
