--- a/gateway/src/main/java/org/cornelramp/gateway/follow/ServerFollower.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/ServerFollower.java
@@ -33,12 +33,12 @@
     /** Only what the router's ring took counts as read. */
     @Override
     boolean take(MetadataStore.Page page, boolean whole) {
-        return router.offer(new RouterEvent.Registered(decode(page), whole, page.next(), page.era()));
+        return router.offer(new RouterEvent.RegistrationsRead(decode(page), whole, page.next(), page.era()));
     }
 
     @Override
     void storeAnswers(boolean answers) {
-        router.offer(new RouterEvent.StoreAnswers(answers));
+        router.offer(new RouterEvent.StoreStatus(answers));
     }
 
     @Override
--- a/gateway/src/main/java/org/cornelramp/gateway/place/PlacementDuty.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/place/PlacementDuty.java
@@ -124,7 +124,7 @@
         FleetView view = fleet.get();
         Optional<RoutingConfig> version = config.current();
         // Without the store no gateway learns of new layers, this one included: moved engines would be moved again.
-        if (term.equals(LeaderLease.NONE) || version.isEmpty() || !view.known() || !view.storeAnswers()) {
+        if (term.equals(LeaderLease.NONE) || version.isEmpty() || !view.known() || !view.storeAvailable()) {
             return;
         }
         for (ServiceSpec service : version.get().services()) {
--- a/gateway/src/main/java/org/cornelramp/gateway/route/EngineDesk.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/EngineDesk.java
@@ -14,43 +14,50 @@
 import org.cornelramp.platform.EngineControl;
 
 /**
- * Asks engines and gives them orders on threads of its own, so that a silent engine holds up no decision. Safe for
- * use by any thread; what finds no place in its bounded queue is refused.
+ * Calls engines on its own threads, so that an engine that does not answer never blocks the router's thread. Calls that
+ * do not fit into the bounded queue are refused. Safe for use by any thread, except where a method says otherwise.
  */
 public final class EngineDesk {
-    /** A rack that dies is asked about at once, with two questions for each engine. */
+    /** Enough to probe all engines of a failed rack at the same time, with two calls for each engine. */
     private static final int THREADS = 8;
 
-    private static final int QUEUE = 256;
+    private static final int QUEUE_CAPACITY = 256;
 
-    /** Some twenty times an engine's usual time to answer, and little against the pause that a client notices. */
-    private static final long QUICK_TIMEOUT_MILLIS = 60;
+    /** About 20 times an engine's usual time to answer, and short compared to the pause that a client notices. */
+    private static final long PROBE_TIMEOUT_MILLIS = 60;
 
-    private static final long QUICK_PAUSE_MILLIS = 250;
+    private static final long PROBE_PAUSE_MILLIS = 250;
 
     /**
-     * Time in which an engine that has answered is not asked quickly again. When an engine dies, all others of its streams'
-     * paths are asked too; asked four times a second, they were most of the questions of a day with deaths.
+     * Time for which an engine that has answered is not probed again. When an engine dies, all other engines on the
+     * paths of its streams are probed too; probed four times a second, they took most of the probes in a run with
+     * engine failures.
      */
     private static final long ANSWERED_PAUSE_MILLIS = 1_000;
 
-    /** Time after which an engine that was asked too soon may be asked again: what it had passed on has arrived by then. */
-    private static final long TOO_SOON_MILLIS = 40;
+    /**
+     * Time after which an engine that was probed too early may be probed again: the events that it had forwarded have
+     * arrived by then.
+     */
+    private static final long INCONCLUSIVE_PAUSE_MILLIS = 40;
 
-    /** Time after which an engine that has not answered is asked a second time: ten times its usual one. */
-    private static final long SECOND_MILLIS = 25;
+    /**
+     * Time without an answer after which the second call of a probe is sent: ten times an engine's usual time to
+     * answer.
+     */
+    private static final long SECOND_CALL_MILLIS = 25;
 
-    /** A question takes two turns of a late process: one to send it, one to read the answer. */
+    /** A call is delayed twice by a late process: when it is sent and when the answer is read. */
     private static final long LAG_FACTOR = 2;
 
     private final EngineControl control;
     private final ThreadPoolExecutor threads;
-    private final Map<BackendServerId, Long> nextQuickMillis = new HashMap<>();
+    private final Map<BackendServerId, Long> nextProbeMillis = new HashMap<>();
 
     public EngineDesk(EngineControl control) {
         this.control = control;
-        this.threads =
-                new ThreadPoolExecutor(THREADS, THREADS, 5, TimeUnit.SECONDS, new ArrayBlockingQueue<>(QUEUE), task -> {
+        this.threads = new ThreadPoolExecutor(
+                THREADS, THREADS, 5, TimeUnit.SECONDS, new ArrayBlockingQueue<>(QUEUE_CAPACITY), task -> {
                     Thread thread = new Thread(task, "engines");
                     thread.setDaemon(true);
                     return thread;
@@ -59,52 +66,56 @@
     }
 
     /**
-     * Asks an engine that may be dead, and takes a short silence for death: an engine answers within some
-     * milliseconds, and the streams that wait for a dead one can still go on elsewhere unnoticed. It is asked twice, as
-     * one in twenty questions over a link that loses packets gets no answer in time, and a living engine would be
-     * avoided for seconds; the second question goes out while the first still waits, so that it costs a part of the time
-     * only. Asked at most once in a while; called by the router's duty only.
+     * Probes an engine that may be dead, with a short timeout: a living engine answers within some milliseconds, and
+     * the streams of a dead one can then continue elsewhere before their clients notice. A probe consists of two calls,
+     * since one call in 20 over a link that loses packets gets no answer in time, and a living engine would be avoided
+     * for seconds. The second call is sent while the first is still pending, so that it adds only a part of the
+     * timeout. Repeated probes of one engine within a short time are skipped. Called by the router's thread only.
      *
-     * @param lagMillis how late this process itself ran just now; an answer that came in time would be read so much later
+     * @param lagMillis recent scheduling delay of this process, by which an answer may be read later
      */
-    void askQuickly(BackendServer engine, Consumer<RouterEvent> router, long lagMillis, long now) {
-        nextQuickMillis.values().removeIf(next -> now >= next);
-        long timeout = QUICK_TIMEOUT_MILLIS + LAG_FACTOR * lagMillis;
-        if (nextQuickMillis.putIfAbsent(engine.id(), now + QUICK_PAUSE_MILLIS) == null) {
-            TwoQuestions both = new TwoQuestions(report -> router.accept(new RouterEvent.Reported(engine, report)));
-            submit(() -> both.ended(control.report(engine, timeout)));
+    void probe(BackendServer engine, Consumer<RouterEvent> router, long lagMillis, long now) {
+        nextProbeMillis.values().removeIf(next -> now >= next);
+        long timeout = PROBE_TIMEOUT_MILLIS + LAG_FACTOR * lagMillis;
+        if (nextProbeMillis.putIfAbsent(engine.id(), now + PROBE_PAUSE_MILLIS) == null) {
+            ProbePair probe =
+                    new ProbePair(report -> router.accept(new RouterEvent.EngineReportResult(engine, report)));
+            submit(() -> probe.handleCallEnd(control.report(engine, timeout)));
             submit(() -> {
-                if (!both.isSettledWithin(SECOND_MILLIS)) {
-                    both.ended(control.report(engine, timeout));
+                if (!probe.awaitResult(SECOND_CALL_MILLIS)) {
+                    probe.handleCallEnd(control.report(engine, timeout));
                 }
             });
         }
     }
 
-    /** Notes that an engine has answered: streams that stay silent wait for another one. Called by the router's duty only. */
-    void answered(BackendServerId engine, long now) {
-        nextQuickMillis.put(engine, now + ANSWERED_PAUSE_MILLIS);
+    /**
+     * Records that an engine has answered, so it is not the cause of streams that stay silent. Called by the router's
+     * thread only.
+     */
+    void recordAnswer(BackendServerId engine, long now) {
+        nextProbeMillis.put(engine, now + ANSWERED_PAUSE_MILLIS);
     }
 
     /**
-     * Notes that a question was asked before the events of a dead engine had run out, so that its silence said nothing.
-     * It may be asked again at once; with the usual pause all its streams here would wait for that. Called by the router's
-     * duty only.
+     * Records that a probe failed while events forwarded by the engine were still arriving, so its result is not
+     * conclusive. The engine may be probed again soon; with the usual pause all its streams here would wait that long.
+     * Called by the router's thread only.
      */
-    void askedTooSoon(BackendServer engine, long now) {
-        nextQuickMillis.put(engine.id(), now + TOO_SOON_MILLIS);
+    void recordInconclusiveProbe(BackendServer engine, long now) {
+        nextProbeMillis.put(engine.id(), now + INCONCLUSIVE_PAUSE_MILLIS);
     }
 
-    /** Asks an engine for its report; false if too many calls wait. */
-    boolean ask(BackendServer engine, Consumer<RouterEvent> router) {
-        return submit(() -> router.accept(new RouterEvent.Reported(engine, control.report(engine))));
+    /** Reads the report of an engine; false if too many calls are queued. */
+    boolean requestReport(BackendServer engine, Consumer<RouterEvent> router) {
+        return submit(() -> router.accept(new RouterEvent.EngineReportResult(engine, control.report(engine))));
     }
 
-    /** Orders an engine to move a running request; false if too many calls wait. */
+    /** Orders an engine to move a running request; false if too many calls are queued. */
     boolean move(Attempt attempt, StagePath path, Consumer<RouterEvent> router) {
         String id = attempt.exchange().call().id();
-        return submit(
-                () -> router.accept(new RouterEvent.Moved(attempt, path, control.repath(attempt.server(), id, path))));
+        return submit(() ->
+                router.accept(new RouterEvent.MoveResult(attempt, path, control.repath(attempt.server(), id, path))));
     }
 
     private boolean submit(Runnable call) {
@@ -112,7 +123,7 @@
             threads.execute(call);
             return true;
         } catch (RejectedExecutionException e) {
-            return false; // the caller tries again at its next tick
+            return false; // the caller retries at its next tick
         }
     }
 }
--- /dev/null
+++ b/gateway/src/test/java/org/cornelramp/gateway/route/PeerNewsHandlerTest.java
@@ -0,0 +1,63 @@
+package org.cornelramp.gateway.route;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertTrue;
+
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+import org.cornelramp.core.model.DataCentre;
+import org.cornelramp.core.retry.RepeatNews;
+import org.cornelramp.core.settings.GatewaySettings;
+import org.cornelramp.gateway.peer.PeerNews;
+import org.cornelramp.gateway.peer.PeerTurns;
+import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.Test;
+
+/** Which peers count as gone. */
+public class PeerNewsHandlerTest {
+    private static final DataCentre HERE = new DataCentre("dc1");
+    private static final long RECEIVED_MILLIS = 10_000;
+
+    /** Longer than a peer may be silent. */
+    private static final long SILENCE_MILLIS = PeerTurns.silenceMillis(1) + 500;
+
+    private FleetState fleet;
+    private SharedRetries sharedRetries;
+    private PeerNewsHandler peerNewsHandler;
+
+    @BeforeMethod
+    public void start() {
+        fleet = new FleetState(1_200);
+        sharedRetries = new SharedRetries("g1", new GatewaySettings.Retries(0.2, 100, 10_000), new SplittableRandom(1));
+        peerNewsHandler = new PeerNewsHandler("g1", HERE, fleet, sharedRetries, server -> {});
+    }
+
+    private void receiveNews(long now) {
+        PeerNews.Sender peer = new PeerNews.Sender("g2", 1, HERE);
+        peerNewsHandler.handleNews(PeerNews.of(peer, 1, false, Map.of(), 0, Map.of(), Set.of(), RepeatNews.NONE), now);
+        peerNewsHandler.updateNews(now);
+        assertEquals(sharedRetries.peers(), 1);
+    }
+
+    /** Guards against callers refused for want of a retry because a late process considered all its peers gone. */
+    @Test
+    public void stalledProcessKeepsItsPeers() {
+        receiveNews(RECEIVED_MILLIS);
+        long now = RECEIVED_MILLIS + SILENCE_MILLIS;
+        fleet.recordTickDelay(SILENCE_MILLIS, now);
+        peerNewsHandler.updateNews(now);
+        assertEquals(sharedRetries.peers(), 1);
+        assertTrue(peerNewsHandler.hasStayingPeer());
+    }
+
+    /** A peer whose news stops counts as gone if this process runs on time. */
+    @Test
+    public void silentPeerIsGone() {
+        receiveNews(RECEIVED_MILLIS);
+        peerNewsHandler.updateNews(RECEIVED_MILLIS + SILENCE_MILLIS);
+        assertEquals(sharedRetries.peers(), 0);
+        assertFalse(peerNewsHandler.hasStayingPeer());
+    }
+}
