--- a/gateway/src/main/java/org/cornelramp/gateway/follow/Follower.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/Follower.java
@@ -11,58 +11,58 @@
 import org.cornelramp.platform.StoreFault;
 
 /**
- * A thread that follows one topic of the platform's store: through the gateway that reads for all, else by itself, and
- * more rarely while the store does not answer. {@link #start} and {@link #stop} are called by one thread.
+ * A thread that continuously reads one topic of the platform's store: from the gateway that reads for all, or else from
+ * the store, and less often while the store does not answer. {@link #start} and {@link #stop} are called by one thread.
  */
 public abstract class Follower {
     /** First pause after a fault, in milliseconds; doubled up to the longest. */
-    private static final long FIRST_PAUSE = 150;
+    private static final long FIRST_PAUSE_MILLIS = 150;
 
-    /** Longest pause after a fault: what the store knows must be here within two seconds of its return. */
-    private static final long LONGEST_PAUSE = 700;
+    /** Longest pause after a fault: the store's records must be known here within two seconds of its return. */
+    private static final long MAX_PAUSE_MILLIS = 700;
 
     /**
-     * Pause between two tries while the store is away, in milliseconds: it may refuse renewals and serve readings, and a
-     * change must be in force within two seconds more.
+     * Least time between two reads while the store is unavailable, in milliseconds. It may refuse renewals of the lease
+     * but serve reads, and a change must be in force within two more seconds.
      */
-    private static final long AWAY_PAUSE = 2_000;
+    private static final long UNAVAILABLE_PAUSE_MILLIS = 2_000;
 
     /**
-     * How long the store holds a call back until something changes. A connection may go silent for good; it is
-     * noticed after this time and the call's own timeout, within the two seconds in which a change must be in force.
+     * Longest duration of a long poll. A dead connection is detected after this time plus the timeout of the call,
+     * within the two seconds in which a change must be in force.
      */
     static final long LONG_POLL_MILLIS = 1_000;
 
-    /** Pause before it is looked again whether the reading gateway has something new. */
-    private static final long LOOK_MILLIS = 30;
+    /** Interval of the checks whether the reading gateway has newer records, and whether the store has returned. */
+    private static final long CHECK_INTERVAL_MILLIS = 30;
 
     private final MetadataStore.Topic topic;
     private final Parts parts;
     private final Thread thread;
     private volatile boolean running = true;
-    private long faultPause = FIRST_PAUSE;
-    private long triedMillis;
-    private long faultMillis = Long.MIN_VALUE;
-    private long next = -1;
+    private long faultPauseMillis = FIRST_PAUSE_MILLIS;
+    private long lastAttemptMillis;
+    private long lastFaultMillis = Long.MIN_VALUE;
+    private long nextOffset = -1;
 
-    /** Era of the store in which the next offset holds. */
+    /** Era of the store for which the next offset is valid. */
     private long era;
 
     /**
-     * What every follower works with. Immutable.
+     * Collaborators that all followers share. Immutable.
      *
      * @param store the platform's store
-     * @param access whether it answers this process
-     * @param share who reads it for whom
-     * @param leads whether this process leads, and so reads for all
+     * @param storeAvailability whether the store answers this process
+     * @param readCoordinator decides from where a topic is read
+     * @param isLeader whether this process is the leader, and so reads for all
      * @param cache keeps the records for peers
      * @param peers reads records from peers
      */
     public record Parts(
             MetadataStore store,
-            StoreAccess access,
-            ReadingShare share,
-            BooleanSupplier leads,
+            StoreAccess storeAvailability,
+            ReadingShare readCoordinator,
+            BooleanSupplier isLeader,
             RecordCache cache,
             PeerRecords peers,
             SteadyClock clock,
@@ -81,22 +81,22 @@
         thread.start();
     }
 
-    /** Tells the thread to end; a call under way is not waited for. */
+    /** Tells the thread to end, without waiting for a call in progress. */
     public final void stop() {
         running = false;
         thread.interrupt();
     }
 
     /**
-     * Takes records.
+     * Applies records.
      *
-     * @param whole whether no other keys exist
-     * @return whether they were taken; else they are read again
+     * @param complete whether the records contain every existing key
+     * @return whether the records were applied; if not, they are read again
      */
-    abstract boolean take(MetadataStore.Page page, boolean whole);
+    abstract boolean apply(MetadataStore.Page page, boolean complete);
 
-    /** Called after each step: whether the store is known to answer, by this process or by the one that reads for it. */
-    abstract void storeAnswers(boolean answers);
+    /** Called with each read: whether the store answers this process or the gateway that reads for it. */
+    abstract void onStoreStatus(boolean answers);
 
     /** Called before each step. */
     abstract void beforeStep(long nowMillis);
@@ -109,13 +109,13 @@
     /** Least pause between two steps that read, in milliseconds. */
     abstract long pauseMillis();
 
-    /** Logs with the name of the follower. */
+    /** Starts a log line under the name of the follower. */
     final EventLog.Line line(String event) {
         return parts.log().line(thread.getName(), event);
     }
 
-    /** Counts and logs a record that names nothing to use; sampled, as its writer may repeat it without end. */
-    final void unreadable(long offset, String fault) {
+    /** Counts and logs an unusable record; the log line is sampled, as the writer may repeat the record endlessly. */
+    final void recordUnreadable(long offset, String fault) {
         parts.meters().unreadable(thread.getName());
         parts.log()
                 .ordinary(thread.getName(), "unreadable")
@@ -125,96 +125,107 @@
     }
 
     /**
-     * Makes one step.
+     * Reads once, if there is something to read.
      *
-     * @return pause until the next in milliseconds; negative after a fault
+     * @return pause until the next step in milliseconds; negative after a fault
      */
     private long step() {
         long now = parts.clock().millis();
         beforeStep(now);
-        return switch (parts.share().source(topic, era, next, parts.leads().getAsBoolean(), now)) {
-            case STORE -> parts.access().isAway() && now - triedMillis < AWAY_PAUSE ? away() : readStore();
+        return switch (parts.readCoordinator()
+                .source(topic, era, nextOffset, parts.isLeader().getAsBoolean(), now)) {
+            case STORE ->
+                parts.storeAvailability().isUnavailable() && now - lastAttemptMillis < UNAVAILABLE_PAUSE_MILLIS
+                        ? fallBackToPeers()
+                        : readStore();
             case READER -> readPeer();
-            case NOWHERE -> {
-                storeAnswers(true);
-                yield LOOK_MILLIS;
+            case UP_TO_DATE -> {
+                onStoreStatus(true);
+                yield CHECK_INTERVAL_MILLIS;
             }
         };
     }
 
     private long readStore() {
-        triedMillis = parts.clock().millis();
-        boolean whole = next < 0;
+        lastAttemptMillis = parts.clock().millis();
+        boolean complete = nextOffset < 0;
         Either<StoreFault, MetadataStore.Page> read =
-                whole ? parts.store().newest(topic) : parts.store().read(topic, next, LONG_POLL_MILLIS);
+                complete ? parts.store().newest(topic) : parts.store().read(topic, nextOffset, LONG_POLL_MILLIS);
         if (read.isLeft()) {
-            return fault(read.getLeft());
+            return handleFault(read.getLeft());
         }
         parts.meters().storeCall(thread.getName(), "ok");
-        parts.access().answered(parts.clock().millis());
+        parts.storeAvailability().recordAnswer(parts.clock().millis());
         MetadataStore.Page page = read.get();
-        if (!whole && page.era() != era) {
-            return readAnew(page.era());
+        if (!complete && page.era() != era) {
+            return restartAfterRestore(page.era());
         }
         long now = parts.clock().millis();
-        parts.cache().take(topic, page, whole, now);
-        parts.share().read(topic, page.era(), page.next(), now);
-        storeAnswers(true);
-        taken(page, whole);
+        parts.cache().update(topic, page, complete, now);
+        parts.readCoordinator().recordRead(topic, page.era(), page.next(), now);
+        onStoreStatus(true);
+        applyAndAdvance(page, complete);
         return pauseMillis();
     }
 
-    /** The store was restored: records at offsets that were read before have given place to others. */
-    private long readAnew(long newEra) {
-        line("store restored").with("era", newEra).with("offset", next).write();
-        next = -1;
+    /**
+     * Starts over after the store was restored: records at offsets that were read before have been replaced by others.
+     */
+    private long restartAfterRestore(long newEra) {
+        line("store restored").with("era", newEra).with("offset", nextOffset).write();
+        nextOffset = -1;
         return 0;
     }
 
-    private void taken(MetadataStore.Page page, boolean whole) {
-        if (take(page, whole)) {
-            next = page.next();
+    private void applyAndAdvance(MetadataStore.Page page, boolean complete) {
+        if (apply(page, complete)) {
+            nextOffset = page.next();
             era = page.era();
         }
     }
 
     private long readPeer() {
-        Optional<RecordCache.Part> part =
-                parts.share().reader().flatMap(reader -> parts.peers().ask(reader, topic, era, next));
-        if (part.isEmpty() || !follows(part.get())) {
-            return readStore(); // its news come through, but it does not answer, or was not told of the restore
+        Optional<RecordCache.RecordSet> recordSet = parts.readCoordinator()
+                .readerAddress()
+                .flatMap(reader -> parts.peers().fetch(reader, topic, era, nextOffset));
+        if (recordSet.isEmpty() || !continuesFromHere(recordSet.get())) {
+            return readStore(); // its news is received, but it does not answer, or does not know of the restore yet
         }
         parts.meters().storeCall(thread.getName(), "peer");
-        MetadataStore.Page page = part.get().page();
-        parts.cache().take(topic, page, part.get().whole(), parts.clock().millis());
-        storeAnswers(true);
-        taken(page, part.get().whole());
+        MetadataStore.Page page = recordSet.get().page();
+        parts.cache()
+                .update(topic, page, recordSet.get().complete(), parts.clock().millis());
+        onStoreStatus(true);
+        applyAndAdvance(page, recordSet.get().complete());
         return pauseMillis();
     }
 
-    /** Whether records of a peer go on from what is known here: only a whole reading leads into a later era. */
-    private boolean follows(RecordCache.Part part) {
-        long theirs = part.page().era();
-        return theirs == era || (theirs > era && part.whole());
+    /**
+     * Whether a peer's records continue those known here: a later era can be entered only with a complete set of
+     * records.
+     */
+    private boolean continuesFromHere(RecordCache.RecordSet recordSet) {
+        long theirs = recordSet.page().era();
+        return theirs == era || (theirs > era && recordSet.complete());
     }
 
-    private long fault(StoreFault fault) {
+    private long handleFault(StoreFault fault) {
         if (fault.kind() == StoreFault.Kind.GONE) {
-            next = -1;
+            nextOffset = -1;
             return 0;
         }
         parts.meters().storeCall(thread.getName(), fault.kind().name());
-        parts.access().failed();
+        parts.storeAvailability().recordFailure();
         line("not read").with("fault", fault).write();
-        return away();
+        return fallBackToPeers();
     }
 
-    /** Goes by what peers know, as the store may turn away this process alone. */
-    private long away() {
-        faultMillis = parts.clock().millis();
-        parts.share().notRead(topic);
-        storeAnswers(false);
-        parts.peers().read(topic).ifPresent(part -> take(part.page(), part.whole()));
+    /** Falls back to the peers' records, as the store may refuse this process only. */
+    private long fallBackToPeers() {
+        lastFaultMillis = parts.clock().millis();
+        parts.readCoordinator().recordFailure(topic);
+        onStoreStatus(false);
+        parts.peers().fetchFromAnyPeer(topic).ifPresent(recordSet -> apply(recordSet.page(), recordSet.complete()));
         return -1;
     }
 
@@ -225,24 +236,26 @@
                 pause = step();
             } catch (RuntimeException e) {
                 line("follower failed").with("fault", e).write();
-                faultMillis = parts.clock().millis();
+                lastFaultMillis = parts.clock().millis();
                 pause = -1;
             }
             if (pause < 0) {
                 pauseAfterFault();
             } else {
-                faultPause = FIRST_PAUSE;
+                faultPauseMillis = FIRST_PAUSE_MILLIS;
                 pause(pause);
             }
         }
     }
 
-    /** Waits longer after each fault, and no longer than until the store has answered another thread. */
+    /** Waits longer after each fault, but at most until the store has answered another thread. */
     private void pauseAfterFault() {
-        for (long left = faultPause; left > 0 && !parts.access().hasReturnedSince(faultMillis); left -= LOOK_MILLIS) {
-            pause(LOOK_MILLIS);
+        for (long left = faultPauseMillis;
+                left > 0 && !parts.storeAvailability().hasRecoveredSince(lastFaultMillis);
+                left -= CHECK_INTERVAL_MILLIS) {
+            pause(CHECK_INTERVAL_MILLIS);
         }
-        faultPause = Math.min(LONGEST_PAUSE, faultPause * 2);
+        faultPauseMillis = Math.min(MAX_PAUSE_MILLIS, faultPauseMillis * 2);
     }
 
     private void pause(long millis) {
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/PeerVersions.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/PeerVersions.java
@@ -4,23 +4,27 @@
 import java.util.function.LongSupplier;
 
 /**
- * Finds a peer that has a newer configuration in force than this process. Safe for use by any thread; the present time is
- * passed in.
+ * Finds a peer that has a newer configuration in force than this process. Safe for use by any thread; the current time
+ * is passed in.
  *
- * <p>A process that starts reads what the store has. That may be nothing while the store is away, and an older version
- * after it was restored from a copy; served from that one, an accepted change would slip back for its callers.
+ * <p>A starting process reads the configuration from the store. That may be none while the store is unavailable, or an
+ * older version after the store was restored from a copy; with the older version in force, an accepted change would be
+ * reverted for the callers of this process.
  */
 public final class PeerVersions {
-    /** Version of a process that has none. */
+    /** The version of a process without a configuration. */
     public static final long NONE = -1;
 
-    /** How long a peer is ahead before it is asked: a new version usually comes from the store within a fifth of it. */
-    static final long AHEAD_MILLIS = 500;
+    /**
+     * How long a peer must be ahead before it is asked; a new version usually arrives from the store within a fifth of
+     * this time.
+     */
+    static final long FETCH_DELAY_MILLIS = 500;
 
     private final LongSupplier own;
     private String host = "";
     private long version = NONE;
-    private long askMillis;
+    private long nextAskMillis;
 
     /** @param own the version in force in this process; {@link #NONE} if there is none */
     public PeerVersions(LongSupplier own) {
@@ -32,23 +36,26 @@
         return own.getAsLong();
     }
 
-    /** Takes which version a peer has in force. */
+    /** Records the version that a peer has in force. */
     public synchronized void heard(String peer, long theirs, long nowMillis) {
         if (theirs > version) {
             version = theirs;
-            askMillis = nowMillis + (own() == NONE ? 0 : AHEAD_MILLIS);
+            nextAskMillis = nowMillis + (own() == NONE ? 0 : FETCH_DELAY_MILLIS);
         }
         if (theirs == version) {
-            host = peer; // the last that was heard is the most likely to answer
+            host = peer; // the peer that sent the latest news is the most likely to answer
         }
     }
 
-    /** Host of a peer to ask now for its newer version; it is named again only after a while. */
-    synchronized Optional<String> toAsk(long nowMillis) {
-        if (version <= own() || nowMillis < askMillis) {
+    /**
+     * Host of a peer to ask now for its newer version; empty if there is none, or for {@link #FETCH_DELAY_MILLIS} after
+     * it was returned.
+     */
+    synchronized Optional<String> peerToAsk(long nowMillis) {
+        if (version <= own() || nowMillis < nextAskMillis) {
             return Optional.empty();
         }
-        askMillis = nowMillis + AHEAD_MILLIS;
+        nextAskMillis = nowMillis + FETCH_DELAY_MILLIS;
         return Optional.of(host);
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/ReadingShare.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/ReadingShare.java
@@ -7,33 +7,36 @@
 import org.cornelramp.platform.MetadataStore.Topic;
 
 /**
- * Decides who reads the store's topics: one gateway for all, and each one for itself while nobody does.
+ * Decides where a topic of the store is read: from the store or from the gateway that reads it for all.
  *
- * <p>Every call to the store is paid for, and a change wakes every caller that waits for one: in a deployment of 28
- * gateways the reads cost 0.048 of a day's worth, more than any other price. So the gateway that leads reads for all and
- * tells in its news how far it has read; the others fetch from it what is new. Whoever has not heard of a fresh reading
- * for {@link #HEARD_MILLIS} reads by itself, so a reader that dies, stands still or is cut off delays news by that time
- * and no more. Safe for use by any thread; the present time is passed in.
+ * <p>Each call to the store is billed, and a change ends all long polls that wait for one: in a deployment of 28
+ * gateways the reads cost 0.048 of the total value of a day, more than any other cost. So the leading gateway reads for
+ * all and announces in its news how far it has read; the others fetch new records from it. A gateway that has received
+ * no recent announcement for {@link #POSITION_VALID_MILLIS} reads from the store itself, so a reader that dies, stalls
+ * or is unreachable delays records by that time at most. Safe for use by any thread; the current time is passed in.
  */
 public final class ReadingShare {
-    /** Age up to which a reading counts as told just now: five rounds of news, or two of them lost. */
-    static final long HEARD_MILLIS = 600;
+    /** Age up to which an announced position is used: five rounds of news, so that two lost rounds are tolerated. */
+    static final long POSITION_VALID_MILLIS = 600;
 
-    /** Age of the store's last answer up to which a reading is told: a call that waits for a change, and the way back. */
-    static final long FRESH_MILLIS = Follower.LONG_POLL_MILLIS + 400;
+    /**
+     * Age of the store's last answer up to which the own position is announced: the duration of a long poll and of its
+     * transfer.
+     */
+    static final long ANSWER_VALID_MILLIS = Follower.LONG_POLL_MILLIS + 400;
 
     private final HostPort records;
-    private final Map<Topic, Read> reads = new EnumMap<>(Topic.class);
-    private Optional<Reading> heard = Optional.empty();
-    private long heardMillis;
+    private final Map<Topic, Read> ownReads = new EnumMap<>(Topic.class);
+    private Optional<Reading> receivedPosition = Optional.empty();
+    private long receivedMillis;
 
     /**
-     * How far a gateway has read. Immutable, safe for use by any thread.
+     * How far a gateway has read the topics. Immutable, safe for use by any thread.
      *
-     * @param records where it gives its records to its peers
-     * @param configEnd offset behind the newest record of the operators' topic
-     * @param serversEnd offset behind the newest record of the registrations
-     * @param era era of the store in which the offsets hold
+     * @param records address at which it serves its records to its peers
+     * @param configEnd offset after the newest record of the operators' topic
+     * @param serversEnd offset after the newest record of the registrations
+     * @param era era of the store for which the offsets are valid
      */
     public record Reading(HostPort records, long configEnd, long serversEnd, long era) {
         long end(Topic topic) {
@@ -44,71 +47,77 @@
     /** How far a topic has been read, in which era of the store, and when. */
     private record Read(long era, long end, long millis) {}
 
-    /** Where a topic is to be read now. */
+    /** The place from which a topic is to be read now. */
     enum Source {
         /** The store itself. */
         STORE,
-        /** The gateway whose reading was heard: it has something new. */
+        /** The gateway that has announced its position: it has newer records. */
         READER,
-        /** Nowhere: the reader has nothing new. */
-        NOWHERE
+        /** None: the reading gateway has no newer records. */
+        UP_TO_DATE
     }
 
-    /** @param records where this gateway gives its records to its peers */
+    /** @param records address at which this gateway serves its records to its peers */
     public ReadingShare(HostPort records) {
         this.records = records;
     }
 
-    /** Notes that the store has answered, and how far the topic has been read. */
-    synchronized void read(Topic topic, long era, long end, long nowMillis) {
-        reads.put(topic, new Read(era, end, nowMillis));
+    /** Records that the store has answered, and how far the topic has been read. */
+    synchronized void recordRead(Topic topic, long era, long end, long nowMillis) {
+        ownReads.put(topic, new Read(era, end, nowMillis));
     }
 
-    /** Notes that the store has not answered: what was read before is told no more. */
-    synchronized void notRead(Topic topic) {
-        reads.remove(topic);
+    /** Records that the store has not answered; the earlier position is no longer announced. */
+    synchronized void recordFailure(Topic topic) {
+        ownReads.remove(topic);
     }
 
-    /** What to tell the peers; empty unless this gateway leads and the store has just answered. */
+    /**
+     * The position to announce to the peers; empty unless this gateway is the leader and the store has answered
+     * recently for all topics, in one era.
+     */
     public synchronized Optional<Reading> own(boolean leads, long nowMillis) {
         for (Topic topic : Topic.values()) {
-            Read read = reads.get(topic);
-            if (!leads || read == null || nowMillis - read.millis() > FRESH_MILLIS) {
+            Read read = ownReads.get(topic);
+            if (!leads || read == null || nowMillis - read.millis() > ANSWER_VALID_MILLIS) {
                 return Optional.empty();
             }
         }
-        Read config = reads.get(Topic.OPERATORS);
-        Read servers = reads.get(Topic.SERVERS);
+        Read config = ownReads.get(Topic.OPERATORS);
+        Read servers = ownReads.get(Topic.SERVERS);
         return config.era() == servers.era()
                 ? Optional.of(new Reading(records, config.end(), servers.end(), servers.era()))
-                : Optional.empty(); // one of the two has yet to be read anew
+                : Optional.empty(); // one of the two topics has not been read since the restore
     }
 
-    /** Takes what a peer tells. */
+    /** Stores the position that a peer has announced. */
     public synchronized void heard(Reading reading, long nowMillis) {
-        heard = Optional.of(reading);
-        heardMillis = nowMillis;
+        receivedPosition = Optional.of(reading);
+        receivedMillis = nowMillis;
     }
 
     /**
-     * Where to read the topic from an offset on; negative for all of it.
+     * Where to read the topic from an offset on.
      *
-     * <p>A reading of another era says nothing about the offset: the store's offsets went back when it was restored, so a
-     * reader whose end lies below may well have something new.
+     * <p>A position of a later era cannot be compared with the offset: the store's offsets went back when it was
+     * restored, so a reader with a lower end may have newer records.
      *
-     * @param era era of the store in which the offset holds
+     * @param era era of the store for which the offset is valid
+     * @param next offset from which on records are needed; negative for all
+     * @param leads whether this process is the leader
      */
     synchronized Source source(Topic topic, long era, long next, boolean leads, long nowMillis) {
-        boolean fresh = heard.isPresent() && nowMillis - heardMillis <= HEARD_MILLIS;
-        if (leads || !fresh || heard.get().era() < era) {
+        boolean fresh = receivedPosition.isPresent() && nowMillis - receivedMillis <= POSITION_VALID_MILLIS;
+        if (leads || !fresh || receivedPosition.get().era() < era) {
             return Source.STORE;
         }
-        boolean newer = heard.get().era() > era || heard.get().end(topic) > next;
-        return newer ? Source.READER : Source.NOWHERE;
+        boolean newer =
+                receivedPosition.get().era() > era || receivedPosition.get().end(topic) > next;
+        return newer ? Source.READER : Source.UP_TO_DATE;
     }
 
-    /** Who has told the last reading. */
-    synchronized Optional<HostPort> reader() {
-        return heard.map(Reading::records);
+    /** The address of the gateway that announced the last position. */
+    synchronized Optional<HostPort> readerAddress() {
+        return receivedPosition.map(Reading::records);
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/StoreAccess.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/StoreAccess.java
@@ -1,46 +1,47 @@
 package org.cornelramp.gateway.follow;
 
 /**
- * Whether the platform's store answers this process, as all its threads have seen together. Safe for use by any thread; the
- * present time is passed in.
+ * Whether the platform's store answers this process, as observed by all its threads. Safe for use by any thread; the
+ * current time is passed in.
  *
- * <p>Each thread that calls the store would find out by itself that it is away and that it is back, and each such call is
- * paid for. So while it is away the renewal of the lease alone asks, and its first answer lets the others call at once.
+ * <p>Each call to the store is billed, also the calls by which each thread would find out by itself that the store is
+ * unavailable or has returned. So while the store is unavailable, mainly the renewal of the lease calls it, and its
+ * first answer lets the other threads call again at once.
  */
 public final class StoreAccess {
-    /** Faults without an answer between them from which on the store counts as away: one alone may be a lost answer. */
-    static final int FAULTS_AWAY = 2;
+    /** Consecutive faults from which on the store counts as unavailable; a single one may be a lost answer. */
+    static final int UNAVAILABLE_FAULTS = 2;
 
     private boolean everAnswered;
     private int faults;
-    private long returnedMillis = Long.MIN_VALUE;
+    private long recoveredMillis = Long.MIN_VALUE;
 
-    /** Notes that the store has answered. */
-    public synchronized void answered(long nowMillis) {
-        if (faults >= FAULTS_AWAY) {
-            returnedMillis = nowMillis;
+    /** Records that the store has answered. */
+    public synchronized void recordAnswer(long nowMillis) {
+        if (faults >= UNAVAILABLE_FAULTS) {
+            recoveredMillis = nowMillis;
         }
         faults = 0;
         everAnswered = true;
     }
 
-    /** Notes that a call was refused or not answered. */
-    public synchronized void failed() {
+    /** Records that a call was refused or not answered. */
+    public synchronized void recordFailure() {
         faults++;
     }
 
-    /** Whether the store has answered this process at all, so that it knows something to go by. */
+    /** Whether the store has ever answered this process. */
     public synchronized boolean hasEverAnswered() {
         return everAnswered;
     }
 
-    /** Whether the store answers nobody in this process now. */
-    public synchronized boolean isAway() {
-        return faults >= FAULTS_AWAY;
+    /** Whether the store currently answers no thread of this process. */
+    public synchronized boolean isUnavailable() {
+        return faults >= UNAVAILABLE_FAULTS;
     }
 
-    /** Whether the store has come back at or after a moment. */
-    synchronized boolean hasReturnedSince(long millis) {
-        return returnedMillis >= millis;
+    /** Whether the store has become available again at or after the given time. */
+    synchronized boolean hasRecoveredSince(long millis) {
+        return recoveredMillis >= millis;
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/place/LeaderLease.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/place/LeaderLease.java
@@ -144,7 +144,7 @@
             join(now);
             nextJoinMillis = now + (access.hasEverAnswered() ? JOIN_INTERVAL_MILLIS : FIRST_JOIN_INTERVAL_MILLIS);
         }
-        if (now >= nextMembersMillis && !access.isAway()) {
+        if (now >= nextMembersMillis && !access.isUnavailable()) {
             readMembers(now);
         }
     }
@@ -153,11 +153,11 @@
         Either<StoreFault, MetadataStore.Membership> joined = store.join(GROUP, member, GROUP, TTL_MILLIS, generation);
         meters.storeCall("join", joined.fold(fault -> fault.kind().name(), any -> "ok"));
         if (joined.isLeft()) {
-            access.failed();
+            access.recordFailure();
             log.line("lease", "not joined").with("fault", joined.getLeft()).write();
             return;
         }
-        access.answered(clock.millis());
+        access.recordAnswer(clock.millis());
         State old = state;
         long era = joined.get().era();
         boolean restored = old.era() != NO_ERA && era != old.era();
--- a/gateway/src/test/java/org/cornelramp/gateway/follow/PeerVersionsTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/follow/PeerVersionsTest.java
@@ -13,34 +13,37 @@
     private final AtomicLong own = new AtomicLong();
     private final PeerVersions versions = new PeerVersions(own::get);
 
-    /** Guards against callers who wait for the store although a peer could tell the process that has just started. */
+    /**
+     * Guards against callers who wait for the store although a peer has the configuration that the starting process
+     * needs.
+     */
     @Test
-    public void whoHasNoneAsksAtOnce() {
+    public void processWithoutConfigurationAsksAtOnce() {
         PeerVersions started = new PeerVersions(() -> PeerVersions.NONE);
         started.heard("10.0.0.2", 7, NOW);
-        assertEquals(started.toAsk(NOW), Optional.of("10.0.0.2"));
-        assertEquals(started.toAsk(NOW + 1), Optional.empty());
-        assertEquals(started.toAsk(NOW + PeerVersions.AHEAD_MILLIS), Optional.of("10.0.0.2"));
+        assertEquals(started.peerToAsk(NOW), Optional.of("10.0.0.2"));
+        assertEquals(started.peerToAsk(NOW + 1), Optional.empty());
+        assertEquals(started.peerToAsk(NOW + PeerVersions.FETCH_DELAY_MILLIS), Optional.of("10.0.0.2"));
     }
 
-    /** Guards against a process that asks a peer which has died again and again, while others have the version too. */
+    /** Guards against a process that keeps asking a dead peer while other peers have the same version. */
     @Test
-    public void theLastPeerThatToldOfTheVersionIsAsked() {
+    public void latestPeerWithNewestVersionIsAsked() {
         PeerVersions started = new PeerVersions(() -> PeerVersions.NONE);
         started.heard("10.0.0.2", 7, NOW);
         started.heard("10.0.0.3", 7, NOW);
         started.heard("10.0.0.4", 6, NOW);
-        assertEquals(started.toAsk(NOW), Optional.of("10.0.0.3"));
+        assertEquals(started.peerToAsk(NOW), Optional.of("10.0.0.3"));
     }
 
-    /** Guards against a version that slips back, and against a fetch from peers at each ordinary change. */
+    /** Guards against a version that goes back, and against a fetch from peers at each ordinary change. */
     @Test
-    public void whoHasAnOlderOneWaitsForTheStoreFirst() {
+    public void processWithOlderVersionWaitsForStoreFirst() {
         own.set(6);
         versions.heard("10.0.0.2", 7, NOW);
-        assertEquals(versions.toAsk(NOW + PeerVersions.AHEAD_MILLIS - 1), Optional.empty());
-        assertEquals(versions.toAsk(NOW + PeerVersions.AHEAD_MILLIS), Optional.of("10.0.0.2"));
+        assertEquals(versions.peerToAsk(NOW + PeerVersions.FETCH_DELAY_MILLIS - 1), Optional.empty());
+        assertEquals(versions.peerToAsk(NOW + PeerVersions.FETCH_DELAY_MILLIS), Optional.of("10.0.0.2"));
         own.set(7);
-        assertEquals(versions.toAsk(NOW + 9_000), Optional.empty());
+        assertEquals(versions.peerToAsk(NOW + 9_000), Optional.empty());
     }
 }
--- a/gateway/src/test/java/org/cornelramp/gateway/follow/StoreAccessTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/follow/StoreAccessTest.java
@@ -5,32 +5,34 @@
 
 import org.testng.annotations.Test;
 
-/** When the store counts as away, and when as back. */
+/** When the store counts as unavailable, and when as available again. */
 public class StoreAccessTest {
-    /** Guards against a gateway that stops reading for one lost answer. */
+    /** Guards against a gateway that stops reading because of one lost answer. */
     @Test
-    public void oneFaultIsNoOutage() {
+    public void singleFaultIsNoOutage() {
         StoreAccess access = new StoreAccess();
-        access.failed();
-        assertFalse(access.isAway());
-        access.answered(10);
-        access.failed();
-        assertFalse(access.isAway());
-        assertFalse(access.hasReturnedSince(0));
+        access.recordFailure();
+        assertFalse(access.isUnavailable());
+        access.recordAnswer(10);
+        access.recordFailure();
+        assertFalse(access.isUnavailable());
+        assertFalse(access.hasRecoveredSince(0));
     }
 
-    /** Guards against threads that wait for their own pause although the store has answered another one. */
+    /**
+     * Guards against threads that wait for the end of their own pause although the store has answered another thread.
+     */
     @Test
-    public void theFirstAnswerEndsTheOutageForAll() {
+    public void firstAnswerEndsOutageForAllThreads() {
         StoreAccess access = new StoreAccess();
-        access.failed();
-        access.failed();
-        assertTrue(access.isAway());
+        access.recordFailure();
+        access.recordFailure();
+        assertTrue(access.isUnavailable());
         assertFalse(access.hasEverAnswered());
-        access.answered(5_000);
+        access.recordAnswer(5_000);
         assertTrue(access.hasEverAnswered());
-        assertFalse(access.isAway());
-        assertTrue(access.hasReturnedSince(4_800));
-        assertFalse(access.hasReturnedSince(5_001));
+        assertFalse(access.isUnavailable());
+        assertTrue(access.hasRecoveredSince(4_800));
+        assertFalse(access.hasRecoveredSince(5_001));
     }
 }
