--- a/gateway/src/main/java/org/cornelramp/gateway/follow/Follower.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/Follower.java
@@ -189,7 +189,7 @@
                 .readerAddress()
                 .flatMap(reader -> parts.peers().fetch(reader, topic, era, nextOffset));
         if (recordSet.isEmpty() || !continuesFromHere(recordSet.get())) {
-            return readStore(); // its news is received, but it does not answer, or does not know of the restore yet
+            return readStore(); // its updates arrive, but it does not answer, or does not know of the restore yet
         }
         parts.meters().storeCall(thread.getName(), "peer");
         MetadataStore.Page page = recordSet.get().page();
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/PeerVersions.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/PeerVersions.java
@@ -43,7 +43,7 @@
             nextAskMillis = nowMillis + (own() == NONE ? 0 : FETCH_DELAY_MILLIS);
         }
         if (theirs == version) {
-            host = peer; // the peer that sent the latest news is the most likely to answer
+            host = peer; // the peer that sent the latest update is the most likely to answer
         }
     }
 
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/ReadingShare.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/ReadingShare.java
@@ -11,12 +11,13 @@
  *
  * <p>Each call to the store is billed, and a change ends all long polls that wait for one: in a deployment of 28
  * gateways the reads cost 0.048 of the total value of a day, more than any other cost. So the leading gateway reads for
- * all and announces in its news how far it has read; the others fetch new records from it. A gateway that has received
- * no recent announcement for {@link #POSITION_VALID_MILLIS} reads from the store itself, so a reader that dies, stalls
- * or is unreachable delays records by that time at most. Safe for use by any thread; the current time is passed in.
+ * all and announces in its updates how far it has read; the others fetch new records from it. A gateway that has
+ * received no recent announcement for {@link #POSITION_VALID_MILLIS} reads from the store itself, so a reader that
+ * dies, stalls or is unreachable delays records by that time at most. Safe for use by any thread; the current time is
+ * passed in.
  */
 public final class ReadingShare {
-    /** Age up to which an announced position is used: five rounds of news, so that two lost rounds are tolerated. */
+    /** Age up to which an announced position is used: five rounds of updates, so that two lost rounds are tolerated. */
     static final long POSITION_VALID_MILLIS = 600;
 
     /**
--- a/gateway/src/main/java/org/cornelramp/gateway/place/LeaderLease.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/place/LeaderLease.java
@@ -49,7 +49,7 @@
 
     /**
      * Interval at which the members are read; each read is billed. A new gateway reads the members at its start and
-     * sends them its news, and they pass its address on to the others, so later reads only make up for lost datagrams.
+     * sends them an update, and they pass its address on to the others, so later reads only make up for lost datagrams.
      */
     private static final long MEMBERS_INTERVAL_MILLIS = 15_000;
 
@@ -83,7 +83,7 @@
 
     /**
      * @param name name of this process
-     * @param address address on which it receives its peers' news
+     * @param address address on which it receives its peers' updates
      * @param onPeers receives the addresses of all members
      * @param access records whether the store answers
      */
@@ -196,7 +196,7 @@
         try {
             return Optional.of(HostPort.parse(member.substring(member.indexOf(MEMBER_SEPARATOR) + 1)));
         } catch (IllegalArgumentException e) {
-            return Optional.empty(); // a member of another version, which receives no news
+            return Optional.empty(); // a member of another version, which receives no updates
         }
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/route/FailureDetector.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/FailureDetector.java
@@ -22,8 +22,8 @@
  * <p>Invariant: a server is considered dead only on evidence that this process has observed itself.
  */
 final class FailureDetector {
-    /** Relative change of an engine's pace from which on the change is logged. */
-    private static final double LOGGED_PACE_CHANGE = 0.3;
+    /** Relative change of an engine's slowdown factor from which on the change is logged. */
+    private static final double LOGGED_SLOWDOWN_CHANGE = 0.3;
 
     /** Lowest HTTP status that means a failure of the backend server. */
     private static final int SERVER_ERROR = 500;
@@ -148,7 +148,7 @@
     }
 
     /**
-     * Handles a peer's news that a server has failed by probing the engine. A plain server has no report; its failure
+     * Handles a peer's report that a server has failed by probing the engine. A plain server has no report; its failure
      * shows at the next request.
      */
     void handlePeerSuspicion(BackendServer server, long now) {
@@ -187,13 +187,13 @@
         engineControl.recordAnswer(engine.id(), now);
         recordAlive(engine.id(), now, "it answers", now);
         double before = fleet.loads().pace(engine.id());
-        double pace = report.get().pace();
-        fleet.loads().setPace(engine.id(), pace, now);
-        if (Math.abs(pace - before) > LOGGED_PACE_CHANGE * before) {
+        double slowdown = report.get().pace();
+        fleet.loads().setPace(engine.id(), slowdown, now);
+        if (Math.abs(slowdown - before) > LOGGED_SLOWDOWN_CHANGE * before) {
             log.line("fleet", "pace")
                     .with("server", engine.id())
                     .with("before", before)
-                    .with("now", pace)
+                    .with("now", slowdown)
                     .write();
         }
         for (EngineReport.Stalled stalled : report.get().stalled()) {
--- a/gateway/src/main/java/org/cornelramp/gateway/route/FleetState.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/FleetState.java
@@ -51,7 +51,7 @@
         return suspicions;
     }
 
-    /** Load and pace of each engine. */
+    /** Load and slowdown of each engine. */
     public EngineLoads loads() {
         return loads;
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/route/PeerNewsHandler.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/PeerUpdateHandler.java
@@ -15,21 +15,21 @@
 import org.cornelramp.gateway.peer.PeerTurns;
 
 /**
- * Prepares the news that this gateway sends to its peers, and applies the news of its peers. Confined to the router's
- * thread.
+ * Prepares the updates that this gateway sends to its peers, and applies the updates of its peers. Confined to the
+ * router's thread.
  */
-final class PeerNewsHandler {
+final class PeerUpdateHandler {
     /**
-     * Age that is assigned to a pace from a peer's news, so that two gateways do not keep an outdated pace alive by
-     * sending it to each other.
+     * Age that is assigned to a slowdown factor from a peer's update, so that two gateways do not keep an outdated one
+     * alive by sending it to each other.
      */
-    private static final long PACE_AGE_MILLIS = 2_500;
+    private static final long SLOWDOWN_AGE_MILLIS = 2_500;
 
     /**
-     * How long a failure that this process has observed stays in its news, since datagrams may be lost. Shorter than a
-     * suspicion lasts; otherwise a server that has just recovered would be suspected again.
+     * How long a failure that this process has observed stays in its updates, since datagrams may be lost. Shorter than
+     * a suspicion lasts; otherwise a server that has just recovered would be suspected again.
      */
-    private static final long FAILURE_NEWS_MILLIS = 1_000;
+    private static final long FAILURE_REPORT_MILLIS = 1_000;
 
     private final PeerNews.Sender sender;
     private final FleetState fleet;
@@ -39,10 +39,10 @@
     private final Map<String, Long> stayingPeers = new ConcurrentHashMap<>();
     private volatile boolean leaving;
     private long number;
-    private volatile PeerNews news;
+    private volatile PeerNews currentUpdate;
 
     /** @param probe probes a server that a peer has seen fail */
-    PeerNewsHandler(
+    PeerUpdateHandler(
             String name,
             DataCentre dataCentre,
             FleetState fleet,
@@ -52,15 +52,15 @@
         this.fleet = fleet;
         this.sharedRetries = sharedRetries;
         this.probe = probe;
-        this.news = PeerNews.of(sender, 0, false, Map.of(), 0, Map.of(), Set.of(), RepeatNews.NONE);
+        this.currentUpdate = PeerNews.of(sender, 0, false, Map.of(), 0, Map.of(), Set.of(), RepeatNews.NONE);
     }
 
-    /** The news to send now; may be called by any thread. */
-    PeerNews news() {
-        return news;
+    /** The update to send now; may be called by any thread. */
+    PeerNews currentUpdate() {
+        return currentUpdate;
     }
 
-    /** Marks this process as stopping in its news; may be called by any thread. */
+    /** Marks this process as stopping in its updates; may be called by any thread. */
     void announceStop() {
         leaving = true;
     }
@@ -71,24 +71,24 @@
     }
 
     /**
-     * Records that this process itself has seen a server fail. Failures from peers' news are not forwarded, or they
+     * Records that this process itself has seen a server fail. Failures from peers' updates are not forwarded, or they
      * would circulate without end.
      */
     void recordFailure(BackendServerId id, long nowMillis) {
         failuresSeen.put(id, nowMillis);
     }
 
-    /** Builds the current news and drops expired entries. */
-    void updateNews(long nowMillis) {
+    /** Builds the current update and drops expired entries. */
+    void refreshUpdate(long nowMillis) {
         EngineLoads loads = fleet.loads();
         loads.forgetPaces(nowMillis);
-        // News may have been waiting unread for as long as this process is late.
+        // Updates may have been waiting unread for as long as this process is late.
         long silence = PeerTurns.silenceMillis(loads.peerCount()) + fleet.lagMillis();
         loads.forgetSilent(silence, nowMillis);
         sharedRetries.setPeers(loads.peerCount(), nowMillis);
         stayingPeers.values().removeIf(at -> nowMillis - at > silence);
-        failuresSeen.values().removeIf(at -> nowMillis - at > FAILURE_NEWS_MILLIS);
-        news = PeerNews.of(
+        failuresSeen.values().removeIf(at -> nowMillis - at > FAILURE_REPORT_MILLIS);
+        currentUpdate = PeerNews.of(
                 sender,
                 ++number,
                 leaving,
@@ -96,11 +96,11 @@
                 loads.ownCrossings(),
                 loads.unusualPaces(),
                 failuresSeen.keySet(),
-                sharedRetries.news(nowMillis));
+                sharedRetries.loanUpdate(nowMillis));
     }
 
-    /** Applies a peer's news. */
-    void handleNews(PeerNews theirs, long nowMillis) {
+    /** Applies a peer's update. */
+    void handleUpdate(PeerNews theirs, long nowMillis) {
         if (theirs.leaving()) {
             stayingPeers.remove(theirs.name());
         } else {
@@ -111,14 +111,14 @@
                 .ifPresentOrElse(
                         peerLoads -> loads.peer(theirs.name(), peerLoads, theirs.crossings(), nowMillis),
                         () -> loads.heard(theirs.name(), theirs.crossings(), nowMillis));
-        sharedRetries.applyPeerNews(theirs.name(), theirs.repeats(), nowMillis);
-        theirs.paces().forEach((id, pace) -> {
+        sharedRetries.applyPeerUpdate(theirs.name(), theirs.repeats(), nowMillis);
+        theirs.paces().forEach((id, slowdown) -> {
             if (loads.pace(id) == 1) {
-                loads.setPace(id, pace, nowMillis - PACE_AGE_MILLIS);
+                loads.setPace(id, slowdown, nowMillis - SLOWDOWN_AGE_MILLIS);
             }
         });
         // A gateway whose own link or processor is overloaded gets no answers and considers every server dead, so its
-        // news is a reason to probe and no proof: taken as proof, it made gateways give up 52 of 80 layers of a data
+        // update is a reason to probe and no proof: taken as proof, it made gateways give up 52 of 80 layers of a data
         // centre.
         for (BackendServerId id : theirs.suspects()) {
             if (!fleet.isSuspect(id, nowMillis)) {
--- a/gateway/src/main/java/org/cornelramp/gateway/route/RetryDispatcher.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/RetryDispatcher.java
@@ -32,7 +32,7 @@
     private static final int CRASH_THRESHOLD = 3;
 
     /**
-     * Longest wait of a request that has not started, in milliseconds. Peers lend within two rounds of news, and an
+     * Longest wait of a request that has not started, in milliseconds. Peers lend within two rounds of updates, and an
      * engine that was full is tried again after 250 ms. A client that is refused after this time can still retry by
      * itself.
      */
--- a/gateway/src/main/java/org/cornelramp/gateway/route/Router.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Router.java
@@ -51,7 +51,7 @@
     private final SharedRetries sharedRetries;
     private final FailureDetector failureDetector;
     private final OverdueAttempts overdueAttempts;
-    private final PeerNewsHandler peerNewsHandler;
+    private final PeerUpdateHandler peerUpdateHandler;
     private final AtomicInteger underWay = new AtomicInteger();
     private final Duty<RouterEvent> duty;
     private final Dispatcher dispatcher;
@@ -84,13 +84,13 @@
         this.sharedRetries = new SharedRetries(settings.name(), settings.retries(), new SplittableRandom());
         this.failureDetector =
                 new FailureDetector(fleet, engineControl, settings.timing().stallMillis(), log, meters, this::offer);
-        this.peerNewsHandler = new PeerNewsHandler(
+        this.peerUpdateHandler = new PeerUpdateHandler(
                 settings.name(),
                 settings.dataCentre(),
                 fleet,
                 sharedRetries,
                 server -> failureDetector.handlePeerSuspicion(server, clock.millis()));
-        failureDetector.setOnLost(peerNewsHandler::recordFailure);
+        failureDetector.setOnLost(peerUpdateHandler::recordFailure);
         this.dispatcher = new Dispatcher(settings, clients, config, fleet, clock, log, this::offerAttemptEnd);
         this.retryDispatcher = new RetryDispatcher(sharedRetries, dispatcher, fleet, routingLog);
         this.overdueAttempts = new OverdueAttempts(sharedRetries, dispatcher);
@@ -123,24 +123,24 @@
         return view;
     }
 
-    /** The news that this process sends to its peers. */
+    /** The update that this process sends to its peers. */
     public PeerNews news() {
-        return peerNewsHandler.news();
+        return peerUpdateHandler.currentUpdate();
     }
 
-    /** Marks this process as stopping in the news for its peers. */
+    /** Marks this process as stopping in the updates to its peers. */
     public void leave() {
-        peerNewsHandler.announceStop();
+        peerUpdateHandler.announceStop();
     }
 
     /** Whether there is a peer that is not stopping. */
     public boolean hasStayingPeer() {
-        return peerNewsHandler.hasStayingPeer();
+        return peerUpdateHandler.hasStayingPeer();
     }
 
-    /** Queues a peer's news for the router's thread; dropped if the ring buffer is full. */
+    /** Queues a peer's update for the router's thread; dropped if the ring buffer is full. */
     public void peerTold(PeerNews told) {
-        offer(new RouterEvent.PeerNewsReceived(told));
+        offer(new RouterEvent.PeerUpdateReceived(told));
     }
 
     private void handle(RouterEvent event) {
@@ -151,8 +151,8 @@
             handleAttemptEnd(ended.attempt(), ended.end(), now);
         } else if (event instanceof RouterEvent.RegistrationsRead registered) {
             handleRegistrations(registered, now);
-        } else if (event instanceof RouterEvent.PeerNewsReceived told) {
-            peerNewsHandler.handleNews(told.news(), now);
+        } else if (event instanceof RouterEvent.PeerUpdateReceived told) {
+            peerUpdateHandler.handleUpdate(told.update(), now);
         } else if (event instanceof RouterEvent.StoreStatus answers) {
             storeAvailable(answers.available(), now);
         } else if (event instanceof RouterEvent.EngineReportResult reported) {
@@ -398,7 +398,7 @@
         if (fleet.registry().expire(now)) {
             fleet.removeUnregistered();
         }
-        peerNewsHandler.updateNews(now);
+        peerUpdateHandler.refreshUpdate(now);
         view = fleet.view(now);
     }
 
--- a/gateway/src/main/java/org/cornelramp/gateway/route/RouterEvent.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/RouterEvent.java
@@ -36,8 +36,8 @@
         }
     }
 
-    /** News of a peer has been received. */
-    record PeerNewsReceived(PeerNews news) implements RouterEvent {}
+    /** An update from a peer has been received. */
+    record PeerUpdateReceived(PeerNews update) implements RouterEvent {}
 
     /** Whether the store answers. */
     record StoreStatus(boolean available) implements RouterEvent {}
--- a/gateway/src/main/java/org/cornelramp/gateway/route/SharedRetries.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/SharedRetries.java
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Sets the number of peers whose news is received. A peer that falls silent keeps its part of the reserve for a
+     * Sets the number of peers whose updates are received. A peer that falls silent keeps its part of the reserve for a
      * whole window: its past retries count for that long, and it may merely be unreachable from here.
      */
     void setPeers(int count, long nowMillis) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Number of peers whose news is received. */
+    /** Number of peers whose updates are received. */
     int peers() {
         return peers;
     }
@@ -104,7 +104,7 @@
     }
 
     /** The loans and the requests for loans to send to the peers. */
-    RepeatNews news(long nowMillis) {
+    RepeatNews loanUpdate(long nowMillis) {
         Map<ServiceName, RepeatNews.Ask> asks = new HashMap<>();
         Map<ServiceName, List<RepeatNews.Loan>> loans = new HashMap<>();
         accounts.forEach((service, account) -> {
@@ -117,8 +117,8 @@
         return new RepeatNews(asks, loans);
     }
 
-    /** Applies a peer's news: its loans to this process, and its requests for loans. */
-    void applyPeerNews(String peer, RepeatNews theirs, long nowMillis) {
+    /** Applies a peer's update: its loans to this process, and its requests for loans. */
+    void applyPeerUpdate(String peer, RepeatNews theirs, long nowMillis) {
         theirs.loans().forEach((service, loans) -> loans.stream()
                 .filter(loan -> loan.to().equals(name))
                 .forEach(loan -> account(service).borrow(peer, loan, nowMillis)));
--- a/gateway/src/test/java/org/cornelramp/gateway/follow/ReadingShareTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/follow/ReadingShareTest.java
@@ -40,7 +40,7 @@
 
     /**
      * Guards against a change of the configuration that is not in force everywhere within two seconds because the
-     * reader was killed at that moment. Its news stops, so after 600 ms each of the others reads from the store.
+     * reader was killed at that moment. Its updates stop, so after 600 ms each of the others reads from the store.
      */
     @Test
     public void gatewayWithoutRecentPositionReadsStore() {
--- a/gateway/src/test/java/org/cornelramp/gateway/route/PeerNewsHandlerTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/route/PeerUpdateHandlerTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.Test;
 
 /** Which peers count as gone. */
-public class PeerNewsHandlerTest {
+public class PeerUpdateHandlerTest {
     private static final DataCentre HERE = new DataCentre("dc1");
     private static final long RECEIVED_MILLIS = 10_000;
 
@@ -25,39 +25,40 @@
 
     private FleetState fleet;
     private SharedRetries sharedRetries;
-    private PeerNewsHandler peerNewsHandler;
+    private PeerUpdateHandler peerUpdateHandler;
 
     @BeforeMethod
     public void start() {
         fleet = new FleetState(1_200);
         sharedRetries = new SharedRetries("g1", new GatewaySettings.Retries(0.2, 100, 10_000), new SplittableRandom(1));
-        peerNewsHandler = new PeerNewsHandler("g1", HERE, fleet, sharedRetries, server -> {});
+        peerUpdateHandler = new PeerUpdateHandler("g1", HERE, fleet, sharedRetries, server -> {});
     }
 
-    private void receiveNews(long now) {
+    private void receiveUpdate(long now) {
         PeerNews.Sender peer = new PeerNews.Sender("g2", 1, HERE);
-        peerNewsHandler.handleNews(PeerNews.of(peer, 1, false, Map.of(), 0, Map.of(), Set.of(), RepeatNews.NONE), now);
-        peerNewsHandler.updateNews(now);
+        peerUpdateHandler.handleUpdate(
+                PeerNews.of(peer, 1, false, Map.of(), 0, Map.of(), Set.of(), RepeatNews.NONE), now);
+        peerUpdateHandler.refreshUpdate(now);
         assertEquals(sharedRetries.peers(), 1);
     }
 
     /** Guards against callers refused for want of a retry because a late process considered all its peers gone. */
     @Test
     public void stalledProcessKeepsItsPeers() {
-        receiveNews(RECEIVED_MILLIS);
+        receiveUpdate(RECEIVED_MILLIS);
         long now = RECEIVED_MILLIS + SILENCE_MILLIS;
         fleet.recordTickDelay(SILENCE_MILLIS, now);
-        peerNewsHandler.updateNews(now);
+        peerUpdateHandler.refreshUpdate(now);
         assertEquals(sharedRetries.peers(), 1);
-        assertTrue(peerNewsHandler.hasStayingPeer());
+        assertTrue(peerUpdateHandler.hasStayingPeer());
     }
 
-    /** A peer whose news stops counts as gone if this process runs on time. */
+    /** A peer whose updates stop counts as gone if this process runs on time. */
     @Test
     public void silentPeerIsGone() {
-        receiveNews(RECEIVED_MILLIS);
-        peerNewsHandler.updateNews(RECEIVED_MILLIS + SILENCE_MILLIS);
+        receiveUpdate(RECEIVED_MILLIS);
+        peerUpdateHandler.refreshUpdate(RECEIVED_MILLIS + SILENCE_MILLIS);
         assertEquals(sharedRetries.peers(), 0);
-        assertFalse(peerNewsHandler.hasStayingPeer());
+        assertFalse(peerUpdateHandler.hasStayingPeer());
     }
 }
