--- a/gateway/src/main/java/org/cornelramp/gateway/peer/NewsUrgency.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/NewsUrgency.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import org.cornelramp.core.model.BackendServerId;
-import org.cornelramp.core.retry.RepeatNews;
+import org.cornelramp.core.retry.RetryLoanUpdate;
 import org.cornelramp.gateway.follow.ReadingShare;
 
 /**
@@ -24,7 +24,7 @@
      * are lacking: begun streams wait for those, and the peers of one turn may have none to lend.
      */
     boolean isUrgent(PeerNews news) {
-        Set<Long> asks = asks(news.repeats().asks().values());
+        Set<Long> asks = asks(news.repeats().loanRequests().values());
         boolean readMore = news.reading().isPresent() && !news.reading().equals(toldReading);
         boolean urgent = !toldSuspects.containsAll(news.suspects())
                 || !toldAsks.containsAll(asks)
@@ -37,7 +37,7 @@
         return urgent;
     }
 
-    private static Set<Long> asks(Collection<RepeatNews.Ask> asks) {
-        return asks.stream().map(RepeatNews.Ask::id).collect(Collectors.toSet());
+    private static Set<Long> asks(Collection<RetryLoanUpdate.LoanRequest> asks) {
+        return asks.stream().map(RetryLoanUpdate.LoanRequest::id).collect(Collectors.toSet());
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerLink.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerLink.java
@@ -223,7 +223,7 @@
             book.heard(sender, clock.millis());
             places.heard(sender, news.sender().dataCentre());
             versions.heard(sender.getHostString(), news.configVersion(), clock.millis());
-            if (!news.repeats().asks().isEmpty()) {
+            if (!news.repeats().loanRequests().isEmpty()) {
                 askers.add(sender);
             }
         }
--- a/gateway/src/main/java/org/cornelramp/gateway/route/Dispatcher.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Dispatcher.java
@@ -9,7 +9,7 @@
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.path.PathFinder;
 import org.cornelramp.core.path.StagePath;
-import org.cornelramp.core.retry.RunLimit;
+import org.cornelramp.core.retry.RequestServerLimit;
 import org.cornelramp.core.routing.EngineSpec;
 import org.cornelramp.core.routing.ServiceSpec;
 import org.cornelramp.core.settings.GatewaySettings;
@@ -95,7 +95,7 @@
         int prompt = request.exchange().call().head().promptTokens();
         addLoad(request, stagePath);
         request.setUnreadPromptTokens(prompt);
-        fleet.loads().reading(stagePath, prompt);
+        fleet.loads().addPendingPromptTokens(stagePath, prompt);
     }
 
     /**
@@ -120,7 +120,7 @@
     }
 
     private Set<BackendServerId> allowedFirstEngines(ActiveRequest request) {
-        return RunLimit.allowed(
+        return RequestServerLimit.allowedServers(
                 request.usedFirstEngines(),
                 id -> fleet.registry().server(id).isPresent(),
                 request.route().maxAttempts());
@@ -136,7 +136,7 @@
     /** Records that the engines have read the prompt. */
     void recordPromptRead(ActiveRequest request) {
         if (request.unreadPromptTokens() != 0) {
-            fleet.loads().reading(request.loadedPath(), -request.unreadPromptTokens());
+            fleet.loads().addPendingPromptTokens(request.loadedPath(), -request.unreadPromptTokens());
             request.setUnreadPromptTokens(0);
         }
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/route/FailureDetector.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/FailureDetector.java
@@ -76,9 +76,9 @@
             boolean good = end.kind() == AttemptEnd.Kind.ANSWERED && end.status() < SERVER_ERROR;
             fleet.plainServers().ended(attempt.server().id(), good, now - attempt.startMillis());
         } else if (end.kind() == AttemptEnd.Kind.RELAYED) {
-            fleet.loads().ended(attempt.server().id(), false);
+            fleet.loads().recordOutcome(attempt.server().id(), false);
         } else if (isOwnFailure(attempt, end)) {
-            fleet.loads().ended(attempt.server().id(), true);
+            fleet.loads().recordOutcome(attempt.server().id(), true);
         }
     }
 
@@ -186,9 +186,9 @@
         }
         engineControl.recordAnswer(engine.id(), now);
         recordAlive(engine.id(), now, "it answers", now);
-        double before = fleet.loads().pace(engine.id());
+        double before = fleet.loads().slowdown(engine.id());
         double slowdown = report.get().pace();
-        fleet.loads().setPace(engine.id(), slowdown, now);
+        fleet.loads().setSlowdown(engine.id(), slowdown, now);
         if (Math.abs(slowdown - before) > LOGGED_SLOWDOWN_CHANGE * before) {
             log.line("fleet", "pace")
                     .with("server", engine.id())
--- a/gateway/src/main/java/org/cornelramp/gateway/route/OverdueAttempts.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/OverdueAttempts.java
@@ -1,7 +1,7 @@
 package org.cornelramp.gateway.route;
 
 import java.util.Optional;
-import org.cornelramp.core.path.FirstEvents;
+import org.cornelramp.core.path.LostAnswerDetector;
 import org.cornelramp.core.routing.RouteKind;
 import org.cornelramp.gateway.request.Attempt;
 
@@ -21,7 +21,7 @@
 
     private final SharedRetries sharedRetries;
     private final Dispatcher dispatcher;
-    private final FirstEvents firstEvents = new FirstEvents();
+    private final LostAnswerDetector firstEvents = new LostAnswerDetector();
 
     OverdueAttempts(SharedRetries sharedRetries, Dispatcher dispatcher) {
         this.sharedRetries = sharedRetries;
@@ -36,7 +36,8 @@
     /** Records that events of the attempt have arrived; further calls for the same attempt have no effect. */
     void recordFirstEvent(ActiveRequest request, Attempt attempt, long now) {
         if (request.markFirstEvent()) {
-            attempt.path().ifPresent(path -> firstEvents.begun(path.first().id(), attempt.startMillis(), now));
+            attempt.path()
+                    .ifPresent(path -> firstEvents.recordBegun(path.first().id(), attempt.startMillis(), now));
         }
     }
 
--- a/gateway/src/main/java/org/cornelramp/gateway/route/PeerUpdateHandler.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/PeerUpdateHandler.java
@@ -9,7 +9,7 @@
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.model.DataCentre;
 import org.cornelramp.core.path.EngineLoads;
-import org.cornelramp.core.retry.RepeatNews;
+import org.cornelramp.core.retry.RetryLoanUpdate;
 import org.cornelramp.gateway.peer.PeerLink;
 import org.cornelramp.gateway.peer.PeerNews;
 import org.cornelramp.gateway.peer.PeerTurns;
@@ -52,7 +52,7 @@
         this.fleet = fleet;
         this.sharedRetries = sharedRetries;
         this.probe = probe;
-        this.currentUpdate = PeerNews.of(sender, 0, false, Map.of(), 0, Map.of(), Set.of(), RepeatNews.NONE);
+        this.currentUpdate = PeerNews.of(sender, 0, false, Map.of(), 0, Map.of(), Set.of(), RetryLoanUpdate.NONE);
     }
 
     /** The update to send now; may be called by any thread. */
@@ -81,10 +81,10 @@
     /** Builds the current update and drops expired entries. */
     void refreshUpdate(long nowMillis) {
         EngineLoads loads = fleet.loads();
-        loads.forgetPaces(nowMillis);
+        loads.removeExpiredSlowdowns(nowMillis);
         // Updates may have been waiting unread for as long as this process is late.
         long silence = PeerTurns.silenceMillis(loads.peerCount()) + fleet.lagMillis();
-        loads.forgetSilent(silence, nowMillis);
+        loads.removeSilentPeers(silence, nowMillis);
         sharedRetries.setPeers(loads.peerCount(), nowMillis);
         stayingPeers.values().removeIf(at -> nowMillis - at > silence);
         failuresSeen.values().removeIf(at -> nowMillis - at > FAILURE_REPORT_MILLIS);
@@ -92,9 +92,9 @@
                 sender,
                 ++number,
                 leaving,
-                loads.own(),
+                loads.ownLoads(),
                 loads.ownCrossings(),
-                loads.unusualPaces(),
+                loads.slowdownFactors(),
                 failuresSeen.keySet(),
                 sharedRetries.loanUpdate(nowMillis));
     }
@@ -109,12 +109,12 @@
         EngineLoads loads = fleet.loads();
         theirs.loads()
                 .ifPresentOrElse(
-                        peerLoads -> loads.peer(theirs.name(), peerLoads, theirs.crossings(), nowMillis),
-                        () -> loads.heard(theirs.name(), theirs.crossings(), nowMillis));
+                        peerLoads -> loads.updatePeer(theirs.name(), peerLoads, theirs.crossings(), nowMillis),
+                        () -> loads.keepPeer(theirs.name(), theirs.crossings(), nowMillis));
         sharedRetries.applyPeerUpdate(theirs.name(), theirs.repeats(), nowMillis);
         theirs.paces().forEach((id, slowdown) -> {
-            if (loads.pace(id) == 1) {
-                loads.setPace(id, slowdown, nowMillis - SLOWDOWN_AGE_MILLIS);
+            if (loads.slowdown(id) == 1) {
+                loads.setSlowdown(id, slowdown, nowMillis - SLOWDOWN_AGE_MILLIS);
             }
         });
         // A gateway whose own link or processor is overloaded gets no answers and considers every server dead, so its
--- a/gateway/src/main/java/org/cornelramp/gateway/route/RetryDispatcher.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/RetryDispatcher.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 import org.cornelramp.core.model.ServiceName;
-import org.cornelramp.core.retry.RepeatQueue;
+import org.cornelramp.core.retry.RetryQueue;
 import org.cornelramp.gateway.request.Attempt;
 import org.cornelramp.gateway.request.AttemptEnd;
 
@@ -52,7 +52,7 @@
     private final Dispatcher dispatcher;
     private final FleetState fleet;
     private final RoutingLog routingLog;
-    private final RepeatQueue<ActiveRequest> waiting = new RepeatQueue<>();
+    private final RetryQueue<ActiveRequest> waiting = new RetryQueue<>();
 
     RetryDispatcher(SharedRetries sharedRetries, Dispatcher dispatcher, FleetState fleet, RoutingLog routingLog) {
         this.sharedRetries = sharedRetries;
@@ -109,7 +109,7 @@
 
     /** Removes and returns the requests that have not started and have waited for the longest permitted time. */
     List<ActiveRequest> removeExpired(long now) {
-        return waiting.takeOverdue(now);
+        return waiting.removeOverdue(now);
     }
 
     /** Whether a request is in the queue. */
@@ -191,8 +191,8 @@
         return request.exchange().isCommitted() || peersMayLend || serverMayReturn;
     }
 
-    private static RepeatQueue.Waiting queueEntry(ActiveRequest request, long now) {
-        return new RepeatQueue.Waiting(
+    private static RetryQueue.WaitState queueEntry(ActiveRequest request, long now) {
+        return new RetryQueue.WaitState(
                 request.exchange().isCommitted(),
                 request.exchange().call().deadlineMillis(),
                 now + MAX_UNSTARTED_WAIT_MILLIS);
--- a/gateway/src/main/java/org/cornelramp/gateway/route/SharedRetries.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/SharedRetries.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.random.RandomGenerator;
 import org.cornelramp.core.model.ServiceName;
-import org.cornelramp.core.retry.RepeatAccount;
-import org.cornelramp.core.retry.RepeatNews;
+import org.cornelramp.core.retry.RetryLoanUpdate;
+import org.cornelramp.core.retry.ServiceRetryBudget;
 import org.cornelramp.core.settings.GatewaySettings;
 import org.cornelramp.gateway.peer.PeerTurns;
 
@@ -33,7 +33,7 @@
     private final String name;
     private final GatewaySettings.Retries bounds;
     private final RandomGenerator ids;
-    private final Map<ServiceName, RepeatAccount> accounts = new HashMap<>();
+    private final Map<ServiceName, ServiceRetryBudget> accounts = new HashMap<>();
     private int peers;
     private int maxPeers;
     private long maxPeersMillis;
@@ -71,22 +71,22 @@
 
     /** Counts a client's request. */
     void countRequest(ServiceName service, long nowMillis) {
-        account(service).request(nowMillis);
+        account(service).recordRequest(nowMillis);
     }
 
     /** Consumes one retry, for a started answer or a request that has not started; false if none is left now. */
     boolean tryConsume(ServiceName service, boolean started, long nowMillis) {
-        return account(service).tryRepeat(reservePerProcess(), started, nowMillis);
+        return account(service).tryRetry(reservePerProcess(), started, nowMillis);
     }
 
     /** Whether {@link #tryConsume} would succeed now. */
     boolean isAvailable(ServiceName service, boolean started, long nowMillis) {
-        return account(service).hasRepeat(reservePerProcess(), started, nowMillis);
+        return account(service).hasRetry(reservePerProcess(), started, nowMillis);
     }
 
     /** Retries left now, rounded down. */
     long remaining(ServiceName service, long nowMillis) {
-        return (long) Math.floor(account(service).left(reservePerProcess(), nowMillis));
+        return (long) Math.floor(account(service).remaining(reservePerProcess(), nowMillis));
     }
 
     /**
@@ -99,33 +99,35 @@
         accounts.forEach((service, account) -> {
             int wanted = lacking.getOrDefault(service, 0) + account.shortage(reservePerProcess(), nowMillis);
             int each = (wanted + peersAsked - 1) / peersAsked;
-            account.ask(Math.min(MAX_REQUESTED, each), nowMillis);
+            account.requestLoan(Math.min(MAX_REQUESTED, each), nowMillis);
         });
     }
 
     /** The loans and the requests for loans to send to the peers. */
-    RepeatNews loanUpdate(long nowMillis) {
-        Map<ServiceName, RepeatNews.Ask> asks = new HashMap<>();
-        Map<ServiceName, List<RepeatNews.Loan>> loans = new HashMap<>();
+    RetryLoanUpdate loanUpdate(long nowMillis) {
+        Map<ServiceName, RetryLoanUpdate.LoanRequest> asks = new HashMap<>();
+        Map<ServiceName, List<RetryLoanUpdate.Loan>> loans = new HashMap<>();
         accounts.forEach((service, account) -> {
-            account.asks().ifPresent(ask -> asks.put(service, ask));
-            List<RepeatNews.Loan> lent = account.loans(nowMillis);
+            account.loanRequest().ifPresent(ask -> asks.put(service, ask));
+            List<RetryLoanUpdate.Loan> lent = account.loansToSend(nowMillis);
             if (!lent.isEmpty()) {
                 loans.put(service, lent);
             }
         });
-        return new RepeatNews(asks, loans);
+        return new RetryLoanUpdate(asks, loans);
     }
 
     /** Applies a peer's update: its loans to this process, and its requests for loans. */
-    void applyPeerUpdate(String peer, RepeatNews theirs, long nowMillis) {
+    void applyPeerUpdate(String peer, RetryLoanUpdate theirs, long nowMillis) {
         theirs.loans().forEach((service, loans) -> loans.stream()
-                .filter(loan -> loan.to().equals(name))
-                .forEach(loan -> account(service).borrow(peer, loan, nowMillis)));
-        theirs.asks().forEach((service, ask) -> account(service).lend(peer, ask, reservePerProcess(), nowMillis));
+                .filter(loan -> loan.borrower().equals(name))
+                .forEach(loan -> account(service).acceptLoan(peer, loan, nowMillis)));
+        theirs.loanRequests()
+                .forEach((service, ask) -> account(service).lend(peer, ask, reservePerProcess(), nowMillis));
     }
 
-    private RepeatAccount account(ServiceName service) {
-        return accounts.computeIfAbsent(service, any -> new RepeatAccount(bounds.ratio(), bounds.windowMillis(), ids));
+    private ServiceRetryBudget account(ServiceName service) {
+        return accounts.computeIfAbsent(
+                service, any -> new ServiceRetryBudget(bounds.ratio(), bounds.windowMillis(), ids));
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/route/StreamMonitor.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/StreamMonitor.java
@@ -11,7 +11,7 @@
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.path.Hop;
 import org.cornelramp.core.path.PathFinder;
-import org.cornelramp.core.path.SilentEngines;
+import org.cornelramp.core.path.SilentEngineDetector;
 import org.cornelramp.core.path.StagePath;
 import org.cornelramp.core.routing.RoutingConfig;
 import org.cornelramp.core.routing.ServiceSpec;
@@ -79,7 +79,7 @@
             }
             check(request, attempt, attempt.path().get(), config, now);
         }
-        List<SilentEngines.Stream> streams = streams(activeRequests);
+        List<SilentEngineDetector.StreamActivity> streams = streams(activeRequests);
         trustForwardingEngines(streams, now);
         probeSilentEngines(streams, now);
     }
@@ -88,13 +88,13 @@
      * Clears the suspicion of silent engines that have forwarded events since. Skipped while this process is late,
      * because the events that it reads now may have been sent before the engine fell silent.
      */
-    private void trustForwardingEngines(List<SilentEngines.Stream> streams, long now) {
+    private void trustForwardingEngines(List<SilentEngineDetector.StreamActivity> streams, long now) {
         if (fleet.isLate(now) || !fleet.suspicions().hasSilent(now)) {
             return;
         }
-        streams.stream().filter(SilentEngines.Stream::begun).forEach(stream -> stream.engines()
+        streams.stream().filter(SilentEngineDetector.StreamActivity::begun).forEach(stream -> stream.engines()
                 .forEach(id -> failureDetector.recordForwardedEvents(
-                        id, stream.lastMillis() - SilentEngines.AFTER_DEATH_MILLIS, now)));
+                        id, stream.lastEventMillis() - SilentEngineDetector.MAX_DELAY_AFTER_DEATH_MILLIS, now)));
     }
 
     private static List<BackendServerId> engines(StagePath path) {
@@ -102,8 +102,8 @@
     }
 
     /** Probes the engines that may be dead, so that their streams continue elsewhere before the clients notice. */
-    private void probeSilentEngines(List<SilentEngines.Stream> streams, long now) {
-        for (BackendServerId id : SilentEngines.find(streams, fleet.isLate(now), now)) {
+    private void probeSilentEngines(List<SilentEngineDetector.StreamActivity> streams, long now) {
+        for (BackendServerId id : SilentEngineDetector.findSuspects(streams, fleet.isLate(now), now)) {
             if (!fleet.suspicions().isLost(id, now)) {
                 fleet.registry()
                         .server(id)
@@ -112,8 +112,8 @@
         }
     }
 
-    private static List<SilentEngines.Stream> streams(Collection<ActiveRequest> activeRequests) {
-        List<SilentEngines.Stream> streams = new ArrayList<>();
+    private static List<SilentEngineDetector.StreamActivity> streams(Collection<ActiveRequest> activeRequests) {
+        List<SilentEngineDetector.StreamActivity> streams = new ArrayList<>();
         for (ActiveRequest request : activeRequests) {
             if (request.attempt() != null && request.attempt().path().isPresent() && !request.isMoving()) {
                 streams.add(stream(
@@ -127,12 +127,12 @@
      * Whether streams through an engine deliver events now, which shows that it is alive although it did not answer.
      */
     boolean isForwarding(Collection<ActiveRequest> activeRequests, BackendServerId engine, long now) {
-        return SilentEngines.isPassed(streams(activeRequests), engine, now);
+        return SilentEngineDetector.hasRecentEvents(streams(activeRequests), engine, now);
     }
 
-    private static SilentEngines.Stream stream(ActiveRequest request, Attempt attempt, StagePath path) {
+    private static SilentEngineDetector.StreamActivity stream(ActiveRequest request, Attempt attempt, StagePath path) {
         long lastEvent = request.exchange().lastEventMillis();
-        return new SilentEngines.Stream(
+        return new SilentEngineDetector.StreamActivity(
                 engines(path),
                 Math.max(attempt.startMillis(), lastEvent),
                 lastEvent > attempt.startMillis(),
@@ -170,7 +170,7 @@
     /** Whether an engine of the path is considered lost and no recent event contradicts it, read or still unread. */
     private boolean hasStalled(ActiveRequest request, Attempt attempt, StagePath path, long now) {
         return containsEngine(path, id -> fleet.isLost(id, now))
-                && !stream(request, attempt, path).isFlowing(now)
+                && !stream(request, attempt, path).isActive(now)
                 && !attempt.hasUnread();
     }
 
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/LentRepeatTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/LentRepeatTest.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.cornelramp.core.model.ServiceName;
-import org.cornelramp.core.retry.RepeatNews;
+import org.cornelramp.core.retry.RetryLoanUpdate;
 import org.cornelramp.core.settings.HostPort;
 import org.cornelramp.gateway.GatewayFixture;
 import org.cornelramp.platform.standin.StandInConfig;
@@ -34,7 +34,7 @@
     private final AtomicInteger told = new AtomicInteger();
     private volatile boolean lends;
     private volatile boolean running = true;
-    private volatile Optional<RepeatNews.Ask> asked = Optional.empty();
+    private volatile Optional<RetryLoanUpdate.LoanRequest> asked = Optional.empty();
 
     @BeforeMethod
     public void start() throws Exception {
@@ -67,7 +67,8 @@
                 socket.receive(packet);
                 told.incrementAndGet();
                 PeerNewsCodec.read(buffer, packet.getLength())
-                        .forEach(news -> news.repeats().asks().values().forEach(ask -> asked = Optional.of(ask)));
+                        .forEach(news ->
+                                news.repeats().loanRequests().values().forEach(ask -> asked = Optional.of(ask)));
             } catch (SocketTimeoutException e) {
                 // the gateway tells only in its own rounds
             } catch (Exception e) {
@@ -77,9 +78,9 @@
     }
 
     private void tell(long number) throws Exception {
-        Map<ServiceName, List<RepeatNews.Loan>> loans = asked.filter(any -> lends)
-                .map(ask ->
-                        Map.of(new ServiceName(StandInConfig.ENGINES), List.of(new RepeatNews.Loan("g1", ask.id(), 1))))
+        Map<ServiceName, List<RetryLoanUpdate.Loan>> loans = asked.filter(any -> lends)
+                .map(ask -> Map.of(
+                        new ServiceName(StandInConfig.ENGINES), List.of(new RetryLoanUpdate.Loan("g1", ask.id(), 1))))
                 .orElse(Map.of());
         PeerNews news = PeerNews.of(
                 new PeerNews.Sender(PEER, 1, fixture.settings.dataCentre()),
@@ -89,7 +90,7 @@
                 0,
                 Map.of(),
                 Set.of(),
-                new RepeatNews(Map.of(), loans));
+                new RetryLoanUpdate(Map.of(), loans));
         byte[] bytes = PeerNewsCodec.write(news);
         HostPort to = fixture.settings.peers();
         socket.send(new DatagramPacket(bytes, bytes.length, InetAddress.getLoopbackAddress(), to.port()));
--- a/gateway/src/test/java/org/cornelramp/gateway/route/PeerUpdateHandlerTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/route/PeerUpdateHandlerTest.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import org.cornelramp.core.model.DataCentre;
-import org.cornelramp.core.retry.RepeatNews;
+import org.cornelramp.core.retry.RetryLoanUpdate;
 import org.cornelramp.core.settings.GatewaySettings;
 import org.cornelramp.gateway.peer.PeerNews;
 import org.cornelramp.gateway.peer.PeerTurns;
@@ -37,7 +37,7 @@
     private void receiveUpdate(long now) {
         PeerNews.Sender peer = new PeerNews.Sender("g2", 1, HERE);
         peerUpdateHandler.handleUpdate(
-                PeerNews.of(peer, 1, false, Map.of(), 0, Map.of(), Set.of(), RepeatNews.NONE), now);
+                PeerNews.of(peer, 1, false, Map.of(), 0, Map.of(), Set.of(), RetryLoanUpdate.NONE), now);
         peerUpdateHandler.refreshUpdate(now);
         assertEquals(sharedRetries.peers(), 1);
     }
