--- a/gateway/src/main/java/org/cornelramp/gateway/route/Dispatcher.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Dispatcher.java
@@ -79,7 +79,7 @@
                             settings.dataCentre())
                     .map(server -> new Target(server, Optional.empty()));
         }
-        request.setDefaultTokens(engine.get().usualTokens());
+        request.setDefaultTokens(engine.get().meanRequestTokens());
         return findPath(request, engine.get(), now)
                 .map(stagePath -> new Target(stagePath.first(), Optional.of(stagePath)));
     }
