--- a/gateway/src/main/java/org/cornelramp/gateway/route/Dispatcher.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Dispatcher.java
@@ -87,7 +87,7 @@
     /** Sends the request to a server that {@link #chooseTarget} has just returned. */
     void send(ActiveRequest request, Target target, long now) {
         target.path().ifPresentOrElse(stagePath -> addLoadWithPrompt(request, stagePath), () -> fleet.plainServers()
-                .sent(target.server().id()));
+                .requestSent(target.server().id()));
         startAttempt(request, target.server(), target.path(), now);
     }
 
--- a/gateway/src/main/java/org/cornelramp/gateway/route/FailureDetector.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/FailureDetector.java
@@ -5,8 +5,8 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import org.cornelramp.core.fleet.BackendServer;
-import org.cornelramp.core.fleet.Suspicions.Evidence;
-import org.cornelramp.core.fleet.UnansweredQuestions;
+import org.cornelramp.core.fleet.SuspectedServers.Evidence;
+import org.cornelramp.core.fleet.UnansweredProbes;
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.gateway.log.EventLog;
 import org.cornelramp.gateway.metrics.Meters;
@@ -34,7 +34,7 @@
     private final EventLog log;
     private final Meters meters;
     private final Consumer<RouterEvent> router;
-    private final UnansweredQuestions unanswered = new UnansweredQuestions();
+    private final UnansweredProbes unanswered = new UnansweredProbes();
     private BiConsumer<BackendServerId, Long> onLost = (id, nowMillis) -> {};
     private boolean newlyLost;
 
@@ -74,7 +74,7 @@
     void recordOutcome(Attempt attempt, AttemptEnd end, long now) {
         if (attempt.path().isEmpty()) {
             boolean good = end.kind() == AttemptEnd.Kind.ANSWERED && end.status() < SERVER_ERROR;
-            fleet.plainServers().ended(attempt.server().id(), good, now - attempt.startMillis());
+            fleet.plainServers().requestEnded(attempt.server().id(), good, now - attempt.startMillis());
         } else if (end.kind() == AttemptEnd.Kind.RELAYED) {
             fleet.loads().recordOutcome(attempt.server().id(), false);
         } else if (isOwnFailure(attempt, end)) {
@@ -153,7 +153,7 @@
      */
     void handlePeerSuspicion(BackendServer server, long now) {
         if (!server.card().isEmpty()) {
-            unanswered.seenElsewhere(server.id(), now);
+            unanswered.reportedByPeer(server.id(), now);
             engineControl.probe(server, router, fleet.lagMillis(), now);
         }
     }
@@ -173,7 +173,7 @@
     }
 
     private void recordAlive(BackendServerId id, long seenMillis, String why, long now) {
-        if (fleet.suspicions().seenAlive(id, seenMillis, now)) {
+        if (fleet.suspicions().recordSignOfLife(id, seenMillis, now)) {
             log.line("fleet", "trusted").with("server", id).with("why", why).write();
         }
     }
@@ -205,8 +205,8 @@
     private void handleMissingReport(BackendServer engine, StoreFault fault, long now) {
         boolean dead = fault.kind() == StoreFault.Kind.NOT_LISTENING;
         if (fleet.suspicions().isLost(engine.id(), now)) {
-            fleet.suspicions().trialFailed(engine.id(), now);
-        } else if (!dead && unanswered.isOwnFault(engine.id(), fleet.isLate(now), now)) {
+            fleet.suspicions().probeFailed(engine.id(), now);
+        } else if (!dead && unanswered.isLikelyLocalFault(engine.id(), fleet.isLate(now), now)) {
             engineControl.requestReport(engine, router); // with a timeout long enough for an overloaded process
         } else {
             suspect(engine, dead ? Evidence.LOST : Evidence.SILENT, "no report: " + fault, now);
--- a/gateway/src/main/java/org/cornelramp/gateway/route/FleetState.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/FleetState.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 import java.util.Set;
 import org.cornelramp.core.fleet.BackendServer;
-import org.cornelramp.core.fleet.PlainServers;
+import org.cornelramp.core.fleet.PlainServerSelector;
 import org.cornelramp.core.fleet.ServerRegistry;
-import org.cornelramp.core.fleet.Suspicions;
+import org.cornelramp.core.fleet.SuspectedServers;
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.model.ServiceName;
 import org.cornelramp.core.path.EngineLoads;
@@ -27,9 +27,9 @@
 
     private final long confirmMillis;
     private final ServerRegistry registry = new ServerRegistry();
-    private final Suspicions suspicions = new Suspicions();
+    private final SuspectedServers suspicions = new SuspectedServers();
     private final EngineLoads loads = new EngineLoads();
-    private final PlainServers plainServers = new PlainServers();
+    private final PlainServerSelector plainServers = new PlainServerSelector();
     private long lagMillis;
     private long lateUntilMillis = Long.MIN_VALUE;
     private boolean initialised;
@@ -38,7 +38,7 @@
 
     /** @param heartbeatMillis interval at which the servers renew their registrations */
     public FleetState(long heartbeatMillis) {
-        this.confirmMillis = MISSED_HEARTBEATS * heartbeatMillis + ServerRegistry.RETURN_MILLIS;
+        this.confirmMillis = MISSED_HEARTBEATS * heartbeatMillis + ServerRegistry.REGISTRATION_GRACE_MILLIS;
     }
 
     /** The registrations. */
@@ -47,7 +47,7 @@
     }
 
     /** Servers that have failed recently. */
-    public Suspicions suspicions() {
+    public SuspectedServers suspicions() {
         return suspicions;
     }
 
@@ -57,7 +57,7 @@
     }
 
     /** Recent results of the plain servers, which are not engines. */
-    public PlainServers plainServers() {
+    public PlainServerSelector plainServers() {
         return plainServers;
     }
 
@@ -153,7 +153,7 @@
     /** Records whether the store answers. */
     public void setStoreAvailable(boolean answers, long nowMillis) {
         storeAvailable = answers;
-        registry.storeAnswers(answers, nowMillis);
+        registry.setStoreAvailable(answers, nowMillis);
     }
 
     /** Whether the server is shutting down or is no longer registered. */
--- a/gateway/src/main/java/org/cornelramp/gateway/route/Router.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Router.java
@@ -388,7 +388,7 @@
             checkRequest(request, now);
         }
         retryWaiting(now);
-        for (BackendServerId id : fleet.suspicions().dueForTrial(now)) {
+        for (BackendServerId id : fleet.suspicions().dueForProbe(now)) {
             fleet.registry()
                     .server(id)
                     .filter(server -> !server.card().isEmpty())
--- a/gateway/src/main/java/org/cornelramp/gateway/route/StreamMonitor.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/StreamMonitor.java
@@ -89,7 +89,7 @@
      * because the events that it reads now may have been sent before the engine fell silent.
      */
     private void trustForwardingEngines(List<SilentEngineDetector.StreamActivity> streams, long now) {
-        if (fleet.isLate(now) || !fleet.suspicions().hasSilent(now)) {
+        if (fleet.isLate(now) || !fleet.suspicions().hasSilentSuspects(now)) {
             return;
         }
         streams.stream().filter(SilentEngineDetector.StreamActivity::begun).forEach(stream -> stream.engines()
