--- a/gateway/src/main/java/org/cornelramp/gateway/follow/ConfigFollower.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/ConfigFollower.java
@@ -10,17 +10,17 @@
 /**
  * Keeps the configuration in force up to date with the store. Confined to its own thread, except for start and stop.
  */
-public final class ConfigFollower extends Follower {
+public final class ConfigFollower extends TopicFollower {
     private static final String KEY = "config";
 
     /** Pause between two reads while there is no configuration yet. */
     private static final long NO_CONFIG_PAUSE_MILLIS = 50;
 
     private final ConfigHolder holder;
-    private final PeerVersions versions;
+    private final PeerConfigVersions versions;
 
     /** @param versions names the peer that has a newer version than this process has read */
-    public ConfigFollower(Parts parts, ConfigHolder holder, PeerVersions versions) {
+    public ConfigFollower(Dependencies parts, ConfigHolder holder, PeerConfigVersions versions) {
         super("config", MetadataStore.Topic.OPERATORS, parts);
         this.holder = holder;
         this.versions = versions;
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/PeerVersions.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/PeerConfigVersions.java
@@ -11,7 +11,7 @@
  * older version after the store was restored from a copy; with the older version in force, an accepted change would be
  * reverted for the callers of this process.
  */
-public final class PeerVersions {
+public final class PeerConfigVersions {
     /** The version of a process without a configuration. */
     public static final long NONE = -1;
 
@@ -21,26 +21,26 @@
      */
     static final long FETCH_DELAY_MILLIS = 500;
 
-    private final LongSupplier own;
+    private final LongSupplier ownVersion;
     private String host = "";
     private long version = NONE;
     private long nextAskMillis;
 
     /** @param own the version in force in this process; {@link #NONE} if there is none */
-    public PeerVersions(LongSupplier own) {
-        this.own = own;
+    public PeerConfigVersions(LongSupplier own) {
+        this.ownVersion = own;
     }
 
     /** The version in force in this process; {@link #NONE} if there is none. */
-    public long own() {
-        return own.getAsLong();
+    public long ownVersion() {
+        return ownVersion.getAsLong();
     }
 
     /** Records the version that a peer has in force. */
-    public synchronized void heard(String peer, long theirs, long nowMillis) {
+    public synchronized void recordVersion(String peer, long theirs, long nowMillis) {
         if (theirs > version) {
             version = theirs;
-            nextAskMillis = nowMillis + (own() == NONE ? 0 : FETCH_DELAY_MILLIS);
+            nextAskMillis = nowMillis + (ownVersion() == NONE ? 0 : FETCH_DELAY_MILLIS);
         }
         if (theirs == version) {
             host = peer; // the peer that sent the latest update is the most likely to answer
@@ -52,7 +52,7 @@
      * it was returned.
      */
     synchronized Optional<String> peerToAsk(long nowMillis) {
-        if (version <= own() || nowMillis < nextAskMillis) {
+        if (version <= ownVersion() || nowMillis < nextAskMillis) {
             return Optional.empty();
         }
         nextAskMillis = nowMillis + FETCH_DELAY_MILLIS;
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/PeerRecords.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/PeerRecordsClient.java
@@ -22,7 +22,7 @@
  * carry their offsets, so they never override newer records that came from the store itself. Safe for use by any
  * thread; calls block.
  */
-public final class PeerRecords {
+public final class PeerRecordsClient {
     private static final long TIMEOUT_MILLIS = 250;
     private static final int MAX_PEERS = 2;
     private static final int OK = 200;
@@ -32,7 +32,7 @@
     private final Supplier<List<HostPort>> peers;
 
     /** @param port port on which every gateway serves its peers */
-    public PeerRecords(HttpClient http, int port, Supplier<List<HostPort>> peers) {
+    public PeerRecordsClient(HttpClient http, int port, Supplier<List<HostPort>> peers) {
         this.http = http;
         this.port = port;
         this.peers = peers;
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/ReadingShare.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/ReadCoordinator.java
@@ -16,7 +16,7 @@
  * dies, stalls or is unreachable delays records by that time at most. Safe for use by any thread; the current time is
  * passed in.
  */
-public final class ReadingShare {
+public final class ReadCoordinator {
     /** Age up to which an announced position is used: five rounds of updates, so that two lost rounds are tolerated. */
     static final long POSITION_VALID_MILLIS = 600;
 
@@ -24,22 +24,22 @@
      * Age of the store's last answer up to which the own position is announced: the duration of a long poll and of its
      * transfer.
      */
-    static final long ANSWER_VALID_MILLIS = Follower.LONG_POLL_MILLIS + 400;
+    static final long ANSWER_VALID_MILLIS = TopicFollower.LONG_POLL_MILLIS + 400;
 
     private final HostPort records;
     private final Map<Topic, Read> ownReads = new EnumMap<>(Topic.class);
-    private Optional<Reading> receivedPosition = Optional.empty();
+    private Optional<ReadPosition> receivedPosition = Optional.empty();
     private long receivedMillis;
 
     /**
      * How far a gateway has read the topics. Immutable, safe for use by any thread.
      *
-     * @param records address at which it serves its records to its peers
+     * @param recordsAddress address at which it serves its records to its peers
      * @param configEnd offset after the newest record of the operators' topic
      * @param serversEnd offset after the newest record of the registrations
      * @param era era of the store for which the offsets are valid
      */
-    public record Reading(HostPort records, long configEnd, long serversEnd, long era) {
+    public record ReadPosition(HostPort recordsAddress, long configEnd, long serversEnd, long era) {
         long end(Topic topic) {
             return topic == Topic.OPERATORS ? configEnd : serversEnd;
         }
@@ -59,7 +59,7 @@
     }
 
     /** @param records address at which this gateway serves its records to its peers */
-    public ReadingShare(HostPort records) {
+    public ReadCoordinator(HostPort records) {
         this.records = records;
     }
 
@@ -77,7 +77,7 @@
      * The position to announce to the peers; empty unless this gateway is the leader and the store has answered
      * recently for all topics, in one era.
      */
-    public synchronized Optional<Reading> own(boolean leads, long nowMillis) {
+    public synchronized Optional<ReadPosition> ownPosition(boolean leads, long nowMillis) {
         for (Topic topic : Topic.values()) {
             Read read = ownReads.get(topic);
             if (!leads || read == null || nowMillis - read.millis() > ANSWER_VALID_MILLIS) {
@@ -87,12 +87,12 @@
         Read config = ownReads.get(Topic.OPERATORS);
         Read servers = ownReads.get(Topic.SERVERS);
         return config.era() == servers.era()
-                ? Optional.of(new Reading(records, config.end(), servers.end(), servers.era()))
+                ? Optional.of(new ReadPosition(records, config.end(), servers.end(), servers.era()))
                 : Optional.empty(); // one of the two topics has not been read since the restore
     }
 
     /** Stores the position that a peer has announced. */
-    public synchronized void heard(Reading reading, long nowMillis) {
+    public synchronized void receivePosition(ReadPosition reading, long nowMillis) {
         receivedPosition = Optional.of(reading);
         receivedMillis = nowMillis;
     }
@@ -119,6 +119,6 @@
 
     /** The address of the gateway that announced the last position. */
     synchronized Optional<HostPort> readerAddress() {
-        return receivedPosition.map(Reading::records);
+        return receivedPosition.map(ReadPosition::recordsAddress);
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/RecordCache.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/RecordCache.java
@@ -17,7 +17,7 @@
  */
 public final class RecordCache {
     /** Age of the store's last answer up to which records are served to peers: a long poll and one second. */
-    private static final long MAX_AGE_MILLIS = Follower.LONG_POLL_MILLIS + 1_000;
+    private static final long MAX_AGE_MILLIS = TopicFollower.LONG_POLL_MILLIS + 1_000;
 
     /** Most removed keys kept; a peer that lags further behind gets all keys. */
     private static final int MAX_REMOVED_KEYS = 256;
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/ServerFollower.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/ServerFollower.java
@@ -21,12 +21,12 @@
  * return while the servers are stable. A short pause after each read collects the records of many servers that change
  * together.
  */
-public final class ServerFollower extends Follower {
+public final class ServerFollower extends TopicFollower {
     private static final long PAUSE_MILLIS = 80;
 
     private final Router router;
 
-    public ServerFollower(Parts parts, Router router) {
+    public ServerFollower(Dependencies parts, Router router) {
         super("servers", MetadataStore.Topic.SERVERS, parts);
         this.router = router;
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/StoreAccess.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/StoreAvailability.java
@@ -8,7 +8,7 @@
  * unavailable or has returned. So while the store is unavailable, mainly the renewal of the lease calls it, and its
  * first answer lets the other threads call again at once.
  */
-public final class StoreAccess {
+public final class StoreAvailability {
     /** Consecutive faults from which on the store counts as unavailable; a single one may be a lost answer. */
     static final int UNAVAILABLE_FAULTS = 2;
 
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/Follower.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/TopicFollower.java
@@ -14,7 +14,7 @@
  * A thread that continuously reads one topic of the platform's store: from the gateway that reads for all, or else from
  * the store, and less often while the store does not answer. {@link #start} and {@link #stop} are called by one thread.
  */
-public abstract class Follower {
+public abstract class TopicFollower {
     /** First pause after a fault, in milliseconds; doubled up to the longest. */
     private static final long FIRST_PAUSE_MILLIS = 150;
 
@@ -37,7 +37,7 @@
     private static final long CHECK_INTERVAL_MILLIS = 30;
 
     private final MetadataStore.Topic topic;
-    private final Parts parts;
+    private final Dependencies parts;
     private final Thread thread;
     private volatile boolean running = true;
     private long faultPauseMillis = FIRST_PAUSE_MILLIS;
@@ -58,18 +58,18 @@
      * @param cache keeps the records for peers
      * @param peers reads records from peers
      */
-    public record Parts(
+    public record Dependencies(
             MetadataStore store,
-            StoreAccess storeAvailability,
-            ReadingShare readCoordinator,
+            StoreAvailability storeAvailability,
+            ReadCoordinator readCoordinator,
             BooleanSupplier isLeader,
             RecordCache cache,
-            PeerRecords peers,
+            PeerRecordsClient peers,
             SteadyClock clock,
             EventLog log,
             Meters meters) {}
 
-    Follower(String name, MetadataStore.Topic topic, Parts parts) {
+    TopicFollower(String name, MetadataStore.Topic topic, Dependencies parts) {
         this.topic = topic;
         this.parts = parts;
         this.thread = new Thread(this::run, name);
@@ -102,7 +102,7 @@
     abstract void beforeStep(long nowMillis);
 
     /** Reads records from peers. */
-    final PeerRecords peers() {
+    final PeerRecordsClient peers() {
         return parts.peers();
     }
 
--- a/gateway/src/main/java/org/cornelramp/gateway/place/PlacementDuty.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/place/LayerPlacer.java
@@ -34,7 +34,7 @@
  * states the number of orders that the engine has accepted before, and an engine that has accepted another one
  * meanwhile refuses it. All state is confined to the object's own thread; start and stop may be called by another one.
  */
-public final class PlacementDuty {
+public final class LayerPlacer {
     private static final long STEP_MILLIS = 150;
 
     /**
@@ -84,7 +84,7 @@
 
     private record Order(LayerRange layers, long untilMillis) {}
 
-    public PlacementDuty(
+    public LayerPlacer(
             LeaderLease lease,
             EngineControl engines,
             ConfigHolder config,
@@ -135,7 +135,7 @@
         Optional<RoutingConfig> version = config.current();
         // Without the store no gateway learns of new layers, this one included, so it would order engines to load again
         // and again.
-        if (term.equals(LeaderLease.NONE) || version.isEmpty() || !view.known() || !view.storeAvailable()) {
+        if (term.equals(LeaderLease.NONE) || version.isEmpty() || !view.initialised() || !view.storeAvailable()) {
             return;
         }
         for (ServiceSpec service : version.get().services()) {
--- a/gateway/src/main/java/org/cornelramp/gateway/place/LeaderLease.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/place/LeaderLease.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import org.cornelramp.core.settings.HostPort;
 import org.cornelramp.gateway.SteadyClock;
-import org.cornelramp.gateway.follow.StoreAccess;
+import org.cornelramp.gateway.follow.StoreAvailability;
 import org.cornelramp.gateway.log.EventLog;
 import org.cornelramp.gateway.metrics.Meters;
 import org.cornelramp.platform.MetadataStore;
@@ -59,7 +59,7 @@
     private final String member;
     private final Consumer<List<HostPort>> onPeers;
     private final MetadataStore store;
-    private final StoreAccess access;
+    private final StoreAvailability access;
     private final SteadyClock clock;
     private final EventLog log;
     private final Meters meters;
@@ -92,7 +92,7 @@
             HostPort address,
             Consumer<List<HostPort>> onPeers,
             MetadataStore store,
-            StoreAccess access,
+            StoreAvailability access,
             SteadyClock clock,
             EventLog log,
             Meters meters) {
--- a/gateway/src/main/java/org/cornelramp/gateway/route/EngineDesk.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/AsyncEngineControl.java
@@ -17,7 +17,7 @@
  * Calls engines on its own threads, so that an engine that does not answer never blocks the router's thread. Calls that
  * do not fit into the bounded queue are refused. Safe for use by any thread, except where a method says otherwise.
  */
-public final class EngineDesk {
+public final class AsyncEngineControl {
     /** Enough to probe all engines of a failed rack at the same time, with two calls for each engine. */
     private static final int THREADS = 8;
 
@@ -54,7 +54,7 @@
     private final ThreadPoolExecutor threads;
     private final Map<BackendServerId, Long> nextProbeMillis = new HashMap<>();
 
-    public EngineDesk(EngineControl control) {
+    public AsyncEngineControl(EngineControl control) {
         this.control = control;
         this.threads = new ThreadPoolExecutor(
                 THREADS, THREADS, 5, TimeUnit.SECONDS, new ArrayBlockingQueue<>(QUEUE_CAPACITY), task -> {
--- a/gateway/src/main/java/org/cornelramp/gateway/route/FailureDetector.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/FailureDetector.java
@@ -29,7 +29,7 @@
     private static final int SERVER_ERROR = 500;
 
     private final FleetState fleet;
-    private final EngineDesk engineControl;
+    private final AsyncEngineControl engineControl;
     private final long stallMillis;
     private final EventLog log;
     private final Meters meters;
@@ -45,7 +45,7 @@
      */
     FailureDetector(
             FleetState fleet,
-            EngineDesk engineControl,
+            AsyncEngineControl engineControl,
             long stallMillis,
             EventLog log,
             Meters meters,
--- a/gateway/src/main/java/org/cornelramp/gateway/route/FleetView.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/FleetView.java
@@ -11,10 +11,10 @@
  * @param servers the registered servers
  * @param suspects servers that have failed recently
  * @param storeAvailable whether the store answered the last call
- * @param known whether the registrations have been read at least once
+ * @param initialised whether the registrations have been read at least once
  */
 public record FleetView(
-        List<BackendServer> servers, Set<BackendServerId> suspects, boolean storeAvailable, boolean known) {
+        List<BackendServer> servers, Set<BackendServerId> suspects, boolean storeAvailable, boolean initialised) {
     /** The view before any registration has been read. */
     public static final FleetView EMPTY = new FleetView(List.of(), Set.of(), false, false);
 
--- a/gateway/src/main/java/org/cornelramp/gateway/route/Router.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Router.java
@@ -44,7 +44,7 @@
     private final SteadyClock clock;
     private final EventLog log;
     private final Meters meters;
-    private final EngineDesk engineControl;
+    private final AsyncEngineControl engineControl;
     private final RoutingLog routingLog;
     private final FleetState fleet;
     private final IdentityHashMap<Exchange, ActiveRequest> activeRequests = new IdentityHashMap<>();
@@ -52,7 +52,7 @@
     private final FailureDetector failureDetector;
     private final OverdueAttempts overdueAttempts;
     private final PeerUpdateHandler peerUpdateHandler;
-    private final AtomicInteger underWay = new AtomicInteger();
+    private final AtomicInteger activeRequestCount = new AtomicInteger();
     private final Duty<RouterEvent> duty;
     private final Dispatcher dispatcher;
     private final RetryDispatcher retryDispatcher;
@@ -72,7 +72,7 @@
             SteadyClock clock,
             EventLog log,
             Meters meters,
-            EngineDesk engineControl) {
+            AsyncEngineControl engineControl) {
         this.fleet = new FleetState(settings.timing().heartbeatMillis());
         this.config = config;
         this.clock = clock;
@@ -114,8 +114,8 @@
     }
 
     /** Number of requests in progress. */
-    public int underWay() {
-        return underWay.get();
+    public int activeRequestCount() {
+        return activeRequestCount.get();
     }
 
     /** The state of the backend servers as of the last tick. */
@@ -124,12 +124,12 @@
     }
 
     /** The update that this process sends to its peers. */
-    public PeerNews news() {
+    public PeerNews currentUpdate() {
         return peerUpdateHandler.currentUpdate();
     }
 
     /** Marks this process as stopping in the updates to its peers. */
-    public void leave() {
+    public void announceStop() {
         peerUpdateHandler.announceStop();
     }
 
@@ -139,13 +139,13 @@
     }
 
     /** Queues a peer's update for the router's thread; dropped if the ring buffer is full. */
-    public void peerTold(PeerNews told) {
+    public void receivePeerUpdate(PeerNews told) {
         offer(new RouterEvent.PeerUpdateReceived(told));
     }
 
     private void handle(RouterEvent event) {
         long now = clock.millis();
-        if (event instanceof RouterEvent.Arrived arrived) {
+        if (event instanceof RouterEvent.RequestReceived arrived) {
             handleRequest(arrived.exchange(), now);
         } else if (event instanceof RouterEvent.AttemptEnded ended) {
             handleAttemptEnd(ended.attempt(), ended.end(), now);
@@ -174,7 +174,7 @@
         ServiceName service = call.route().service(draw);
         ActiveRequest request = new ActiveRequest(exchange, service, expectedTokens(call.head()));
         activeRequests.put(exchange, request);
-        underWay.incrementAndGet();
+        activeRequestCount.incrementAndGet();
         sharedRetries.countRequest(service, now);
         if (exchange.hasClientLeft(now)) {
             abort(request, "client gone", request.exchange().clientSeen(), now); // while the request was held
@@ -316,7 +316,7 @@
         dispatcher.removeLoad(request);
         retryDispatcher.remove(request);
         activeRequests.remove(request.exchange());
-        underWay.decrementAndGet();
+        activeRequestCount.decrementAndGet();
         routingLog.ended(request, outcome, status, now);
     }
 
--- a/gateway/src/main/java/org/cornelramp/gateway/route/RouterEvent.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/RouterEvent.java
@@ -17,7 +17,7 @@
 public sealed interface RouterEvent {
 
     /** A client's request has been read completely. */
-    record Arrived(Exchange exchange) implements RouterEvent {}
+    record RequestReceived(Exchange exchange) implements RouterEvent {}
 
     /** An attempt at a request has ended. */
     record AttemptEnded(Attempt attempt, AttemptEnd end) implements RouterEvent {}
--- a/gateway/src/main/java/org/cornelramp/gateway/route/StreamMonitor.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/StreamMonitor.java
@@ -46,7 +46,7 @@
     private static final int MAX_MOVES = 4;
 
     private final FleetState fleet;
-    private final EngineDesk engineControl;
+    private final AsyncEngineControl engineControl;
     private final FailureDetector failureDetector;
     private final OverdueAttempts overdueAttempts;
     private final EventLog log;
@@ -57,7 +57,7 @@
      */
     StreamMonitor(
             FleetState fleet,
-            EngineDesk engineControl,
+            AsyncEngineControl engineControl,
             FailureDetector failureDetector,
             OverdueAttempts overdueAttempts,
             EventLog log,
--- a/gateway/src/test/java/org/cornelramp/gateway/follow/PeerVersionsTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/follow/PeerConfigVersionsTest.java
@@ -7,11 +7,11 @@
 import org.testng.annotations.Test;
 
 /** When a peer is asked for the configuration that it has in force. */
-public class PeerVersionsTest {
+public class PeerConfigVersionsTest {
     private static final long NOW = 5_000;
 
     private final AtomicLong own = new AtomicLong();
-    private final PeerVersions versions = new PeerVersions(own::get);
+    private final PeerConfigVersions versions = new PeerConfigVersions(own::get);
 
     /**
      * Guards against callers who wait for the store although a peer has the configuration that the starting process
@@ -19,20 +19,20 @@
      */
     @Test
     public void processWithoutConfigurationAsksAtOnce() {
-        PeerVersions started = new PeerVersions(() -> PeerVersions.NONE);
-        started.heard("10.0.0.2", 7, NOW);
+        PeerConfigVersions started = new PeerConfigVersions(() -> PeerConfigVersions.NONE);
+        started.recordVersion("10.0.0.2", 7, NOW);
         assertEquals(started.peerToAsk(NOW), Optional.of("10.0.0.2"));
         assertEquals(started.peerToAsk(NOW + 1), Optional.empty());
-        assertEquals(started.peerToAsk(NOW + PeerVersions.FETCH_DELAY_MILLIS), Optional.of("10.0.0.2"));
+        assertEquals(started.peerToAsk(NOW + PeerConfigVersions.FETCH_DELAY_MILLIS), Optional.of("10.0.0.2"));
     }
 
     /** Guards against a process that keeps asking a dead peer while other peers have the same version. */
     @Test
     public void latestPeerWithNewestVersionIsAsked() {
-        PeerVersions started = new PeerVersions(() -> PeerVersions.NONE);
-        started.heard("10.0.0.2", 7, NOW);
-        started.heard("10.0.0.3", 7, NOW);
-        started.heard("10.0.0.4", 6, NOW);
+        PeerConfigVersions started = new PeerConfigVersions(() -> PeerConfigVersions.NONE);
+        started.recordVersion("10.0.0.2", 7, NOW);
+        started.recordVersion("10.0.0.3", 7, NOW);
+        started.recordVersion("10.0.0.4", 6, NOW);
         assertEquals(started.peerToAsk(NOW), Optional.of("10.0.0.3"));
     }
 
@@ -40,9 +40,9 @@
     @Test
     public void processWithOlderVersionWaitsForStoreFirst() {
         own.set(6);
-        versions.heard("10.0.0.2", 7, NOW);
-        assertEquals(versions.peerToAsk(NOW + PeerVersions.FETCH_DELAY_MILLIS - 1), Optional.empty());
-        assertEquals(versions.peerToAsk(NOW + PeerVersions.FETCH_DELAY_MILLIS), Optional.of("10.0.0.2"));
+        versions.recordVersion("10.0.0.2", 7, NOW);
+        assertEquals(versions.peerToAsk(NOW + PeerConfigVersions.FETCH_DELAY_MILLIS - 1), Optional.empty());
+        assertEquals(versions.peerToAsk(NOW + PeerConfigVersions.FETCH_DELAY_MILLIS), Optional.of("10.0.0.2"));
         own.set(7);
         assertEquals(versions.peerToAsk(NOW + 9_000), Optional.empty());
     }
--- a/gateway/src/test/java/org/cornelramp/gateway/follow/ReadingShareTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/follow/ReadCoordinatorTest.java
@@ -4,20 +4,20 @@
 
 import java.util.Optional;
 import org.cornelramp.core.settings.HostPort;
-import org.cornelramp.gateway.follow.ReadingShare.Reading;
-import org.cornelramp.gateway.follow.ReadingShare.Source;
+import org.cornelramp.gateway.follow.ReadCoordinator.ReadPosition;
+import org.cornelramp.gateway.follow.ReadCoordinator.Source;
 import org.cornelramp.platform.MetadataStore.Topic;
 import org.testng.annotations.Test;
 
 /** From where a gateway reads the topics, in a deployment with many gateways and with a reader that fails. */
-public class ReadingShareTest {
+public class ReadCoordinatorTest {
     private static final HostPort READER = new HostPort("10.0.0.1", 7_000);
     private static final HostPort OTHER = new HostPort("10.0.0.2", 7_000);
     private static final long NOW = 50_000;
     private static final long ERA = 2;
 
-    private static ReadingShare leaderThatReadBoth(long configEnd, long serversEnd) {
-        ReadingShare share = new ReadingShare(READER);
+    private static ReadCoordinator leaderThatReadBoth(long configEnd, long serversEnd) {
+        ReadCoordinator share = new ReadCoordinator(READER);
         share.recordRead(Topic.OPERATORS, ERA, configEnd, NOW);
         share.recordRead(Topic.SERVERS, ERA, serversEnd, NOW);
         return share;
@@ -29,9 +29,10 @@
      */
     @Test
     public void leaderReadsForAll() {
-        Reading position = leaderThatReadBoth(4, 70).own(true, NOW + 100).orElseThrow();
-        ReadingShare other = new ReadingShare(OTHER);
-        other.heard(position, NOW + 150);
+        ReadPosition position =
+                leaderThatReadBoth(4, 70).ownPosition(true, NOW + 100).orElseThrow();
+        ReadCoordinator other = new ReadCoordinator(OTHER);
+        other.receivePosition(position, NOW + 150);
         assertEquals(other.source(Topic.SERVERS, ERA, 69, false, NOW + 200), Source.READER);
         assertEquals(other.source(Topic.SERVERS, ERA, 70, false, NOW + 200), Source.UP_TO_DATE);
         assertEquals(other.source(Topic.OPERATORS, ERA, -1, false, NOW + 200), Source.READER);
@@ -44,9 +45,9 @@
      */
     @Test
     public void gatewayWithoutRecentPositionReadsStore() {
-        ReadingShare other = new ReadingShare(OTHER);
+        ReadCoordinator other = new ReadCoordinator(OTHER);
         assertEquals(other.source(Topic.OPERATORS, ERA, 4, false, NOW), Source.STORE);
-        other.heard(new Reading(READER, 4, 70, ERA), NOW);
+        other.receivePosition(new ReadPosition(READER, 4, 70, ERA), NOW);
         assertEquals(other.source(Topic.OPERATORS, ERA, 4, false, NOW + 600), Source.UP_TO_DATE);
         assertEquals(other.source(Topic.OPERATORS, ERA, 4, false, NOW + 601), Source.STORE);
     }
@@ -57,10 +58,12 @@
      */
     @Test
     public void readerWithoutAnswersAnnouncesNothing() {
-        ReadingShare refused = leaderThatReadBoth(4, 70);
+        ReadCoordinator refused = leaderThatReadBoth(4, 70);
         refused.recordFailure(Topic.SERVERS);
-        assertEquals(refused.own(true, NOW + 1), Optional.empty());
-        assertEquals(leaderThatReadBoth(4, 70).own(true, NOW + ReadingShare.ANSWER_VALID_MILLIS + 1), Optional.empty());
+        assertEquals(refused.ownPosition(true, NOW + 1), Optional.empty());
+        assertEquals(
+                leaderThatReadBoth(4, 70).ownPosition(true, NOW + ReadCoordinator.ANSWER_VALID_MILLIS + 1),
+                Optional.empty());
     }
 
     /**
@@ -69,10 +72,10 @@
      */
     @Test
     public void leaderAlwaysReadsStore() {
-        ReadingShare share = leaderThatReadBoth(4, 70);
-        share.heard(new Reading(OTHER, 9, 99, ERA), NOW);
+        ReadCoordinator share = leaderThatReadBoth(4, 70);
+        share.receivePosition(new ReadPosition(OTHER, 9, 99, ERA), NOW);
         assertEquals(share.source(Topic.SERVERS, ERA, 70, true, NOW), Source.STORE);
-        assertEquals(share.own(false, NOW), Optional.empty());
+        assertEquals(share.ownPosition(false, NOW), Optional.empty());
     }
 
     /**
@@ -81,8 +84,8 @@
      */
     @Test
     public void positionOfLaterEraIsNewer() {
-        ReadingShare other = new ReadingShare(OTHER);
-        other.heard(new Reading(READER, 4, 70, ERA + 1), NOW);
+        ReadCoordinator other = new ReadCoordinator(OTHER);
+        other.receivePosition(new ReadPosition(READER, 4, 70, ERA + 1), NOW);
         assertEquals(other.source(Topic.SERVERS, ERA, 120, false, NOW), Source.READER);
         assertEquals(other.source(Topic.SERVERS, ERA + 1, 70, false, NOW), Source.UP_TO_DATE);
     }
@@ -93,18 +96,18 @@
      */
     @Test
     public void positionOfEarlierEraIsIgnored() {
-        ReadingShare other = new ReadingShare(OTHER);
-        other.heard(new Reading(READER, 4, 130, ERA), NOW);
+        ReadCoordinator other = new ReadCoordinator(OTHER);
+        other.receivePosition(new ReadPosition(READER, 4, 130, ERA), NOW);
         assertEquals(other.source(Topic.SERVERS, ERA + 1, 70, false, NOW), Source.STORE);
     }
 
     /** Guards against a position with ends of two eras, while the reader has read only one topic since the restore. */
     @Test
     public void readerBetweenErasAnnouncesNothing() {
-        ReadingShare share = leaderThatReadBoth(4, 70);
+        ReadCoordinator share = leaderThatReadBoth(4, 70);
         share.recordRead(Topic.SERVERS, ERA + 1, 60, NOW);
-        assertEquals(share.own(true, NOW), Optional.empty());
+        assertEquals(share.ownPosition(true, NOW), Optional.empty());
         share.recordRead(Topic.OPERATORS, ERA + 1, 3, NOW);
-        assertEquals(share.own(true, NOW), Optional.of(new Reading(READER, 3, 60, ERA + 1)));
+        assertEquals(share.ownPosition(true, NOW), Optional.of(new ReadPosition(READER, 3, 60, ERA + 1)));
     }
 }
--- a/gateway/src/test/java/org/cornelramp/gateway/follow/StoreAccessTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/follow/StoreAvailabilityTest.java
@@ -6,11 +6,11 @@
 import org.testng.annotations.Test;
 
 /** When the store counts as unavailable, and when as available again. */
-public class StoreAccessTest {
+public class StoreAvailabilityTest {
     /** Guards against a gateway that stops reading because of one lost answer. */
     @Test
     public void singleFaultIsNoOutage() {
-        StoreAccess access = new StoreAccess();
+        StoreAvailability access = new StoreAvailability();
         access.recordFailure();
         assertFalse(access.isUnavailable());
         access.recordAnswer(10);
@@ -24,7 +24,7 @@
      */
     @Test
     public void firstAnswerEndsOutageForAllThreads() {
-        StoreAccess access = new StoreAccess();
+        StoreAvailability access = new StoreAvailability();
         access.recordFailure();
         access.recordFailure();
         assertTrue(access.isUnavailable());
--- a/gateway/src/test/java/org/cornelramp/gateway/place/PlacementDutyTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/place/LayerPlacerTest.java
@@ -13,7 +13,7 @@
 import org.cornelramp.gateway.GatewayFixture;
 import org.cornelramp.gateway.SteadyClock;
 import org.cornelramp.gateway.TestEngines;
-import org.cornelramp.gateway.follow.StoreAccess;
+import org.cornelramp.gateway.follow.StoreAvailability;
 import org.cornelramp.gateway.log.EventLog;
 import org.cornelramp.gateway.metrics.Meters;
 import org.cornelramp.gateway.route.ConfigHolder;
@@ -27,7 +27,7 @@
 import org.testng.annotations.Test;
 
 /** When the leader assigns layers. */
-public class PlacementDutyTest {
+public class LayerPlacerTest {
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
 
     private static BackendServer empty(StandInServer engine) {
@@ -59,11 +59,11 @@
                     new HostPort("127.0.0.1", 1),
                     peers -> {},
                     new MetadataStore(http, store.address()),
-                    new StoreAccess(),
+                    new StoreAvailability(),
                     clock,
                     log,
                     meters);
-            PlacementDuty duty = new PlacementDuty(
+            LayerPlacer duty = new LayerPlacer(
                     lease,
                     new EngineControl(http),
                     config,
