--- a/gateway/src/main/java/org/cornelramp/gateway/request/ClientDisconnectProbe.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/ClientDisconnectProbe.java
@@ -8,71 +8,73 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /**
- * Looks whether a client has closed its connection while its request is under way.
+ * Detects that a client has closed its connection while its request is in progress.
  *
- * <p>The server does not read from a connection whose request it has read whole, so it would learn of a client that
- * left only from a failed write; an engine would go on reading a prompt for nobody. The probe reads without blocking.
- * Bytes that a client sends ahead are handed to the connection, which reads them as its next request.
+ * <p>The server does not read from a connection whose request it has read completely, so without the probe only a
+ * failed write would show that the client has disconnected; an engine would go on processing a prompt whose result
+ * nobody reads. The probe reads without blocking. Bytes of a pipelined request are handed to the connection, which
+ * reads them as its next request.
  *
- * <p>Safe for use by any thread. Invariant: nothing is read after {@link #stop}, when the connection itself reads.
+ * <p>Safe for use by any thread. Invariant: nothing is read after {@link #stop}, because the connection itself reads
+ * from then on.
  */
-final class ClientProbe {
-    /** Least time between two looks; a client that left must be noticed within half a second. */
+final class ClientDisconnectProbe {
+    /** Minimum time between two reads; a disconnected client must be detected within half a second. */
     static final long INTERVAL_MILLIS = 150;
 
-    private static final int BYTES = 1_024;
+    private static final int READ_BYTES = 1_024;
 
     private final EndPoint endPoint;
     private final Connection connection;
     private boolean stopped;
     private boolean closed;
-    private String seen = "";
-    private long nextMillis;
+    private String closeReason = "";
+    private long nextReadMillis;
 
-    private ClientProbe(EndPoint endPoint, Connection connection) {
+    private ClientDisconnectProbe(EndPoint endPoint, Connection connection) {
         this.endPoint = endPoint;
         this.connection = connection;
     }
 
-    /** A probe of the request's connection. */
-    static ClientProbe of(Request request) {
+    /** Creates a probe of the request's connection. */
+    static ClientDisconnectProbe of(Request request) {
         Connection connection = request.getConnectionMetaData().getConnection();
-        return new ClientProbe(connection.getEndPoint(), connection);
+        return new ClientDisconnectProbe(connection.getEndPoint(), connection);
     }
 
-    /** Whether the client has closed its connection, as far as a look at most so often shows. */
+    /** Whether the client has closed its connection; reads at most once per {@link #INTERVAL_MILLIS}. */
     synchronized boolean hasClosed(long nowMillis) {
-        if (stopped || closed || nowMillis < nextMillis) {
+        if (stopped || closed || nowMillis < nextReadMillis) {
             return closed;
         }
-        nextMillis = nowMillis + INTERVAL_MILLIS;
+        nextReadMillis = nowMillis + INTERVAL_MILLIS;
         try {
-            ByteBuffer ahead = BufferUtil.allocate(BYTES);
-            int read = endPoint.fill(ahead);
+            ByteBuffer pipelined = BufferUtil.allocate(READ_BYTES);
+            int read = endPoint.fill(pipelined);
             if (read < 0) {
-                sawClosed("end of input");
+                markClosed("end of input");
             }
-            if (read > 0 && connection instanceof Connection.UpgradeTo next) {
-                next.onUpgradeTo(ahead);
+            if (read > 0 && connection instanceof Connection.UpgradeTo upgradable) {
+                upgradable.onUpgradeTo(pipelined);
                 stopped = true;
             }
         } catch (IOException e) {
-            sawClosed(e.toString()); // a reset says the same as a close
+            markClosed(e.toString()); // a reset means a closed connection as well
         }
         return closed;
     }
 
-    private void sawClosed(String what) {
+    private void markClosed(String reason) {
         closed = true;
-        seen = what;
+        closeReason = reason;
     }
 
-    /** What showed that the client has closed its connection; empty while it has not. */
-    synchronized String seen() {
-        return seen;
+    /** How the close of the connection was detected; empty while the connection is open. */
+    synchronized String closeReason() {
+        return closeReason;
     }
 
-    /** Ends the looking. */
+    /** Stops probing for good. */
     synchronized void stop() {
         stopped = true;
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/request/StartupRequestDelay.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/StartupRequestDelay.java
@@ -8,54 +8,57 @@
 import org.eclipse.jetty.server.Request;
 
 /**
- * Holds the requests that come while a process that has just started reads its configuration.
+ * Delays requests that arrive while a process that has just started is still reading its configuration.
  *
- * <p>After a crash the clients of all gateways come back in the same moment, and the configuration is known some hundred
- * milliseconds after the first connection is taken. Refused in between, a client that repeats once has used up its repeat,
- * or comes back seconds later; held, it is served a moment late. Held only just after the start and for a short time:
- * without a store that answers nobody knows when a configuration comes, and then a refusal at once is the better answer.
- * Safe for use by any thread.
+ * <p>After a crash the clients of all gateways reconnect at the same moment, and the configuration becomes available
+ * some hundred milliseconds after the first connection is accepted. A client that is refused in between uses up its
+ * only retry, or retries seconds later; a delayed request is served a moment late instead. Requests are delayed only
+ * shortly after the start and for a short time: while the store does not answer, it is unknown when a configuration
+ * will arrive, and an immediate refusal is better. Safe for use by any thread.
  */
-final class EarlyRequests {
-    /** Time after the start in which requests are held, in milliseconds: three times a start's usual reading. */
-    private static final long START_MILLIS = 3_000;
+final class StartupRequestDelay {
+    /**
+     * Time after the start in which requests are delayed, in milliseconds: three times as long as a start usually
+     * reads.
+     */
+    private static final long STARTUP_MILLIS = 3_000;
 
-    /** Longest time that one request is held, in milliseconds: a client's usual patience for an idle service. */
-    private static final long HELD_MILLIS = 1_000;
+    /** Maximum delay of one request, in milliseconds: as long as clients usually wait for an idle service. */
+    private static final long MAX_DELAY_MILLIS = 1_000;
 
-    /** Most requests held: some seconds of a busy gateway's. */
-    private static final int MOST = 256;
+    /** Maximum number of requests delayed at once: a few seconds' worth on a busy gateway. */
+    private static final int MAX_DELAYED = 256;
 
     private final ConfigHolder config;
     private final long startMillis;
-    private final AtomicInteger held = new AtomicInteger();
+    private final AtomicInteger delayed = new AtomicInteger();
 
     /** @param startMillis when this process started, on the steady clock */
-    EarlyRequests(ConfigHolder config, long startMillis) {
+    StartupRequestDelay(ConfigHolder config, long startMillis) {
         this.config = config;
         this.startMillis = startMillis;
     }
 
     /**
-     * Holds a request if that makes sense now.
+     * Delays a request if the process has just started and the limit of delayed requests is not reached.
      *
-     * @param then goes on with it, called once: when a configuration is known, or when the time is over
-     * @return whether it is held
+     * @param resume resumes the request; called once, when a configuration is known or the maximum delay has passed
+     * @return whether the request is delayed
      */
-    boolean hold(Request request, Runnable then, long nowMillis) {
-        if (nowMillis - startMillis > START_MILLIS || held.get() >= MOST) {
+    boolean tryDelay(Request request, Runnable resume, long nowMillis) {
+        if (nowMillis - startMillis > STARTUP_MILLIS || delayed.get() >= MAX_DELAYED) {
             return false;
         }
-        held.incrementAndGet();
+        delayed.incrementAndGet();
         Executor executor = request.getComponents().getExecutor();
         AtomicBoolean released = new AtomicBoolean();
         Runnable release = () -> {
             if (released.compareAndSet(false, true)) {
-                held.decrementAndGet();
-                executor.execute(then);
+                delayed.decrementAndGet();
+                executor.execute(resume);
             }
         };
-        request.getComponents().getScheduler().schedule(release, HELD_MILLIS, TimeUnit.MILLISECONDS);
+        request.getComponents().getScheduler().schedule(release, MAX_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         config.whenKnown(release);
         return true;
     }
