--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerDirectory.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerDirectory.java
@@ -7,51 +7,52 @@
 import java.util.Set;
 
 /**
- * The peers that are told the news besides those that the store lists. Owned by one thread.
+ * The peers that get updates in addition to those that the store lists. Confined to one thread.
  *
- * <p>Invariant: only a peer that was heard itself is introduced to others. If one that was merely introduced were passed
- * on, the address of a dead gateway would go round among the living for good, and each round would be spent on more of
+ * <p>Invariant: only a peer that has sent an update itself is introduced to others. If peers known only by introduction
+ * were introduced further, the addresses of dead gateways would circulate forever, and each round would send to more of
  * them.
  *
- * @param <T> an address
+ * @param <T> type of an address
  */
-final class PeerBook<T> {
+final class PeerDirectory<T> {
     /**
-     * How long a gateway that tells its news, or was introduced, is told ours. One that the store turns away drops out of
-     * its list while it serves on; without our news it would send its streams where all others do.
+     * Time for which a peer gets updates after it has sent one or was introduced, in milliseconds. A gateway that the
+     * store refuses drops out of the store's list while it still serves requests; without updates it would not know the
+     * load that the other gateways cause, and would send its streams to the same engines.
      */
-    static final long TOLD_MILLIS = 5_000;
+    static final long EXPIRY_MILLIS = 5_000;
 
-    private final Map<T, Long> heard = new HashMap<>();
+    private final Map<T, Long> senders = new HashMap<>();
     private final Map<T, Long> introduced = new HashMap<>();
 
-    /** Notes that a peer has told its news. */
-    void heard(T peer, long nowMillis) {
-        heard.put(peer, nowMillis);
+    /** Records that a peer has sent an update. */
+    void addSender(T peer, long nowMillis) {
+        senders.put(peer, nowMillis);
     }
 
-    /** Notes that another peer has heard this one. */
-    void introduced(T peer, long nowMillis) {
+    /** Records that another peer has introduced this one. */
+    void addIntroduced(T peer, long nowMillis) {
         introduced.put(peer, nowMillis);
     }
 
-    /** Whom to tell the news, with those that the store lists. */
-    Set<T> toTell(Collection<T> listed, long nowMillis) {
-        forget(nowMillis);
-        Set<T> all = new HashSet<>(listed);
-        all.addAll(heard.keySet());
-        all.addAll(introduced.keySet());
-        return all;
+    /** The peers to send updates to, including those that the store lists. */
+    Set<T> recipients(Collection<T> listed, long nowMillis) {
+        expire(nowMillis);
+        Set<T> recipients = new HashSet<>(listed);
+        recipients.addAll(senders.keySet());
+        recipients.addAll(introduced.keySet());
+        return recipients;
     }
 
-    /** Whom to introduce to others. */
-    Set<T> toIntroduce(long nowMillis) {
-        forget(nowMillis);
-        return Set.copyOf(heard.keySet());
+    /** The peers to introduce to others. */
+    Set<T> peersToIntroduce(long nowMillis) {
+        expire(nowMillis);
+        return Set.copyOf(senders.keySet());
     }
 
-    private void forget(long nowMillis) {
-        heard.values().removeIf(at -> nowMillis - at > TOLD_MILLIS);
-        introduced.values().removeIf(at -> nowMillis - at > TOLD_MILLIS);
+    private void expire(long nowMillis) {
+        senders.values().removeIf(at -> nowMillis - at > EXPIRY_MILLIS);
+        introduced.values().removeIf(at -> nowMillis - at > EXPIRY_MILLIS);
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerLink.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerLink.java
@@ -25,68 +25,68 @@
 import org.cornelramp.gateway.log.EventLog;
 
 /**
- * Tells this gateway's news to its peers, and takes theirs, by datagrams.
+ * Sends this gateway's updates to its peers and receives theirs, as UDP datagrams.
  *
- * <p>Each gateway alone would send its requests to the engines that look idle to it, and all would meet there. News
- * are whole each time, so a lost datagram needs no repeat. Owned by its own thread, but for start, stop and
- * {@link #setPeers}.
+ * <p>Without them, each gateway would send its requests to the engines that look idle to itself, and all gateways would
+ * choose the same ones. Each update carries the complete state, so a lost datagram is not sent again. Confined to its
+ * own thread, except for {@link #start}, {@link #stop}, {@link #setPeers} and {@link #peers}.
  */
 public final class PeerLink {
-    /** Below the usual limit of a datagram that is not split on its way. */
+    /** Size limit of a datagram, chosen below the usual limit at which datagrams are fragmented. */
     private static final int MAX_BYTES = 8_192;
 
     private final HostPort address;
-    private final Supplier<PeerNews> own;
-    private final Consumer<PeerNews> onNews;
+    private final Supplier<PeerNews> ownUpdate;
+    private final Consumer<PeerNews> onUpdate;
     private final ReadingShare share;
     private final PeerVersions versions;
-    private final BooleanSupplier leads;
+    private final BooleanSupplier isLeader;
     private final SteadyClock clock;
     private final EventLog log;
     private final Thread thread = new Thread(this::run, "peers");
-    private final Map<String, long[]> newest = new HashMap<>();
-    private final PeerBook<InetSocketAddress> book = new PeerBook<>();
-    private final PeerTurns turns = new PeerTurns();
-    private final PeerTurns introductions = new PeerTurns();
-    private final Askers<InetSocketAddress> askers = new Askers<>();
-    private final PeerPlaces<InetSocketAddress> places;
-    private final NewsUrgency urgency = new NewsUrgency();
+    private final Map<String, long[]> latestReceived = new HashMap<>();
+    private final PeerDirectory<InetSocketAddress> directory = new PeerDirectory<>();
+    private final PeerTurns rotation = new PeerTurns();
+    private final PeerTurns introductionRotation = new PeerTurns();
+    private final PriorityPeers<InetSocketAddress> priorityPeers = new PriorityPeers<>();
+    private final PeerLocations<InetSocketAddress> locations;
+    private final UpdateUrgency urgency = new UpdateUrgency();
     private volatile List<HostPort> peers = List.of();
-    private volatile List<HostPort> reachable = List.of();
+    private volatile List<HostPort> recipients = List.of();
     private volatile boolean running = true;
 
     /**
-     * @param address where this gateway takes news
-     * @param dataCentre where this gateway is
-     * @param own makes its own news
-     * @param onNews takes a peer's news
-     * @param share takes and gives how far the store has been read
-     * @param versions takes and gives which configuration is in force
-     * @param leads whether this gateway leads
+     * @param address where this gateway receives updates
+     * @param dataCentre the data centre of this gateway
+     * @param ownUpdate supplies this gateway's update
+     * @param onUpdate called with each newer update of a peer
+     * @param share supplies how far this gateway has read the store, and is given what peers report
+     * @param versions supplies the version of the configuration in force, and is given what peers report
+     * @param isLeader whether this gateway is the leader
      */
     public PeerLink(
             HostPort address,
             DataCentre dataCentre,
-            Supplier<PeerNews> own,
-            Consumer<PeerNews> onNews,
+            Supplier<PeerNews> ownUpdate,
+            Consumer<PeerNews> onUpdate,
             ReadingShare share,
             PeerVersions versions,
-            BooleanSupplier leads,
+            BooleanSupplier isLeader,
             SteadyClock clock,
             EventLog log) {
         this.share = share;
         this.versions = versions;
-        this.leads = leads;
+        this.isLeader = isLeader;
         this.address = address;
-        this.places = new PeerPlaces<>(dataCentre);
-        this.own = own;
-        this.onNews = onNews;
+        this.locations = new PeerLocations<>(dataCentre);
+        this.ownUpdate = ownUpdate;
+        this.onUpdate = onUpdate;
         this.clock = clock;
         this.log = log;
         thread.setDaemon(true);
     }
 
-    /** A number that tells this life from others of the same gateway. */
+    /** A random number that identifies one incarnation (start) of a gateway. */
     public static long newLife() {
         return ThreadLocalRandom.current().nextLong(Long.MAX_VALUE);
     }
@@ -96,33 +96,36 @@
         thread.start();
     }
 
-    /** Tells the thread to end. */
+    /** Asks the thread to end; does not wait for it. */
     public void stop() {
         running = false;
     }
 
-    /** Sets whom to tell. */
+    /** Sets the peers that the store lists. */
     public void setPeers(List<HostPort> addresses) {
         peers = addresses.stream().filter(peer -> !peer.equals(address)).toList();
     }
 
-    /** The peers that are told: those that the store lists, and those that were heard or introduced lately. */
+    /**
+     * The peers that get updates: those that the store lists, and those that recently sent an update or were
+     * introduced.
+     */
     public List<HostPort> peers() {
-        return reachable;
+        return recipients;
     }
 
     private void run() {
         while (running) {
             try (DatagramSocket socket = new DatagramSocket(new InetSocketAddress(address.host(), address.port()))) {
-                exchange(socket);
+                runRounds(socket);
             } catch (IOException e) {
                 log.line("peers", "socket failed").with("fault", e).write();
-                pause();
+                pauseAfterFailure();
             }
         }
     }
 
-    private static void pause() {
+    private static void pauseAfterFailure() {
         try {
             Thread.sleep(500);
         } catch (InterruptedException e) {
@@ -130,56 +133,57 @@
         }
     }
 
-    private void exchange(DatagramSocket socket) throws IOException {
+    private void runRounds(DatagramSocket socket) throws IOException {
         long nextSend = clock.millis();
         byte[] buffer = new byte[MAX_BYTES];
         while (running) {
-            long left = nextSend - clock.millis();
-            if (left <= 0) {
-                tell(socket);
+            long remainingMillis = nextSend - clock.millis();
+            if (remainingMillis <= 0) {
+                sendRound(socket);
                 nextSend = clock.millis() + PeerTurns.ROUND_MILLIS;
                 continue;
             }
-            socket.setSoTimeout((int) left);
+            socket.setSoTimeout((int) remainingMillis);
             try {
                 DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
                 socket.receive(packet);
-                take(buffer, packet.getLength(), packet.getSocketAddress());
+                receive(buffer, packet.getLength(), packet.getSocketAddress());
             } catch (SocketTimeoutException e) {
-                // nobody told anything; it is time to send
+                // no update has arrived; the next round is due
             }
         }
     }
 
-    private void tell(DatagramSocket socket) {
-        Set<InetSocketAddress> all =
-                book.toTell(peers.stream().map(PeerLink::socketAddress).toList(), clock.millis());
-        reachable = all.stream().map(PeerLink::hostPort).toList();
-        if (all.isEmpty()) {
+    private void sendRound(DatagramSocket socket) {
+        Set<InetSocketAddress> known =
+                directory.recipients(peers.stream().map(PeerLink::socketAddress).toList(), clock.millis());
+        recipients = known.stream().map(PeerLink::hostPort).toList();
+        if (known.isEmpty()) {
             return;
         }
-        PeerNews news = own.get()
-                .withHeard(introduced())
-                .withReading(share.own(leads.getAsBoolean(), clock.millis()))
+        PeerNews update = ownUpdate
+                .get()
+                .withRecentPeers(peersToIntroduce())
+                .withReading(share.own(isLeader.getAsBoolean(), clock.millis()))
                 .withConfigVersion(versions.own());
-        Set<InetSocketAddress> told = new LinkedHashSet<>(
-                turns.take(all, urgency.isUrgent(news), news.reading().isPresent()));
-        told.addAll(askers.take());
-        boolean few = all.size() <= PeerTurns.MOST_A_ROUND;
-        places.retain(all);
-        Map<Boolean, List<InetSocketAddress>> byLoads =
-                told.stream().collect(Collectors.partitioningBy(peer -> places.hearsLoads(peer) || few));
-        send(socket, news, byLoads.get(true));
-        send(socket, news.withoutLoads(), byLoads.get(false));
+        Set<InetSocketAddress> selected = new LinkedHashSet<>(rotation.select(
+                known, urgency.isUrgent(update), update.reading().isPresent()));
+        selected.addAll(priorityPeers.nextRound());
+        boolean smallFleet = known.size() <= PeerTurns.MOST_A_ROUND;
+        locations.retain(known);
+        Map<Boolean, List<InetSocketAddress>> byNeedOfLoads =
+                selected.stream().collect(Collectors.partitioningBy(peer -> locations.needsLoads(peer) || smallFleet));
+        send(socket, update, byNeedOfLoads.get(true));
+        send(socket, update.withoutLoads(), byNeedOfLoads.get(false));
     }
 
-    private void send(DatagramSocket socket, PeerNews news, List<InetSocketAddress> to) {
+    private void send(DatagramSocket socket, PeerNews update, List<InetSocketAddress> to) {
         if (to.isEmpty()) {
             return;
         }
-        byte[] bytes = PeerNewsCodec.write(news);
+        byte[] bytes = PeerUpdateCodec.write(update);
         if (bytes.length > MAX_BYTES) {
-            bytes = PeerNewsCodec.write(news.withoutLoads());
+            bytes = PeerUpdateCodec.write(update.withoutLoads());
         }
         for (InetSocketAddress peer : to) {
             try {
@@ -194,11 +198,11 @@
     }
 
     /**
-     * Some of the peers that were heard lately. The store lists only members that hold a partition, so in a fleet with
-     * more gateways than partitions those without one would never hear of each other.
+     * Some of the peers that have recently sent an update. The store lists only members that own a partition, so in a
+     * fleet with more gateways than partitions, those without a partition would never learn of each other otherwise.
      */
-    private List<HostPort> introduced() {
-        return introductions.take(book.toIntroduce(clock.millis()), false, false).stream()
+    private List<HostPort> peersToIntroduce() {
+        return introductionRotation.select(directory.peersToIntroduce(clock.millis()), false, false).stream()
                 .limit(PeerTurns.MOST_A_ROUND)
                 .map(PeerLink::hostPort)
                 .toList();
@@ -212,30 +216,30 @@
         return new InetSocketAddress(peer.host(), peer.port());
     }
 
-    private void take(byte[] bytes, int length, SocketAddress from) {
-        Either<String, PeerNews> read = PeerNewsCodec.read(bytes, length);
+    private void receive(byte[] bytes, int length, SocketAddress from) {
+        Either<String, PeerNews> read = PeerUpdateCodec.read(bytes, length);
         if (read.isLeft()) {
             log.ordinary("peers", "unreadable").with("fault", read.getLeft()).write();
             return;
         }
-        PeerNews news = read.get();
+        PeerNews update = read.get();
         if (from instanceof InetSocketAddress sender) {
-            book.heard(sender, clock.millis());
-            places.heard(sender, news.sender().dataCentre());
-            versions.heard(sender.getHostString(), news.configVersion(), clock.millis());
-            if (!news.repeats().asks().isEmpty()) {
-                askers.add(sender);
+            directory.addSender(sender, clock.millis());
+            locations.setLocation(sender, update.sender().dataCentre());
+            versions.heard(sender.getHostString(), update.configVersion(), clock.millis());
+            if (!update.repeats().asks().isEmpty()) {
+                priorityPeers.add(sender);
             }
         }
-        news.heard().stream()
+        update.heard().stream()
                 .filter(peer -> !peer.equals(address))
-                .forEach(peer -> book.introduced(socketAddress(peer), clock.millis()));
-        long[] last = newest.get(news.name());
-        boolean old = last != null && last[0] == news.sender().life() && last[1] >= news.number();
-        if (!old) {
-            newest.put(news.name(), new long[] {news.sender().life(), news.number()});
-            news.reading().ifPresent(reading -> share.heard(reading, clock.millis()));
-            onNews.accept(news);
+                .forEach(peer -> directory.addIntroduced(socketAddress(peer), clock.millis()));
+        long[] previous = latestReceived.get(update.name());
+        boolean outdated = previous != null && previous[0] == update.sender().life() && previous[1] >= update.number();
+        if (!outdated) {
+            latestReceived.put(update.name(), new long[] {update.sender().life(), update.number()});
+            update.reading().ifPresent(reading -> share.heard(reading, clock.millis()));
+            onUpdate.accept(update);
         }
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerLocations.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerLocations.java
@@ -6,42 +6,47 @@
 import org.cornelramp.core.model.DataCentre;
 
 /**
- * Where the peers are, and which of them hear what this gateway has under way. Owned by one thread.
+ * Tracks the data centres of the peers, and decides which of them get the loads of this gateway. Confined to one
+ * thread.
  *
- * <p>Loads are most of the bytes of the news. A gateway sends its streams to the engines of its own data centre while those
- * have room, so peers there need its loads each time; peers elsewhere only when their own engines are full or dead, and a
- * second old will do for that. Told to everyone each time, the loads of 33 gateways were most of what crossed between data
- * centres.
+ * <p>Loads make up most of the bytes of an update. A gateway sends its streams to the engines of its own data centre
+ * while those have capacity, so peers there need its loads in each update. Peers elsewhere need them only when their
+ * own engines are full or dead, and loads that are a second old suffice for that. Sent to all peers each time, the
+ * loads of 33 gateways were most of the traffic between data centres.
  *
- * @param <T> an address
+ * @param <T> type of an address
  */
-final class PeerPlaces<T> {
-    /** A peer of another data centre hears the loads each time that its turn has come so often. */
-    static final int FAR_TURNS = 3;
+final class PeerLocations<T> {
+    /** A peer in another data centre gets the loads in one out of this many updates. */
+    static final int REMOTE_UPDATES_PER_LOADS = 3;
 
-    private final DataCentre home;
-    private final Map<T, DataCentre> places = new HashMap<>();
-    private final Map<T, Integer> turns = new HashMap<>();
+    private final DataCentre localDataCentre;
+    private final Map<T, DataCentre> locations = new HashMap<>();
+    private final Map<T, Integer> updatesSent = new HashMap<>();
 
-    /** @param home where this gateway is */
-    PeerPlaces(DataCentre home) {
-        this.home = home;
+    /** @param localDataCentre the data centre of this gateway */
+    PeerLocations(DataCentre localDataCentre) {
+        this.localDataCentre = localDataCentre;
     }
 
-    /** Notes where a peer is. */
-    void heard(T peer, DataCentre place) {
-        places.put(peer, place);
+    /** Records the data centre of a peer. */
+    void setLocation(T peer, DataCentre dataCentre) {
+        locations.put(peer, dataCentre);
     }
 
-    /** Forgets all other peers. */
+    /** Removes all other peers. */
     void retain(Collection<T> peers) {
-        places.keySet().retainAll(peers);
-        turns.keySet().retainAll(peers);
+        locations.keySet().retainAll(peers);
+        updatesSent.keySet().retainAll(peers);
     }
 
-    /** Whether a peer hears the loads this time; each call is a turn. One that was not heard yet does. */
-    boolean hearsLoads(T peer) {
-        int turn = turns.merge(peer, 1, Integer::sum);
-        return places.getOrDefault(peer, home).equals(home) || turn % FAR_TURNS == 1;
+    /**
+     * Whether the next update to a peer includes the loads; each call counts as an update. A peer of unknown location
+     * gets them.
+     */
+    boolean needsLoads(T peer) {
+        int update = updatesSent.merge(peer, 1, Integer::sum);
+        return locations.getOrDefault(peer, localDataCentre).equals(localDataCentre)
+                || update % REMOTE_UPDATES_PER_LOADS == 1;
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerNews.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerNews.java
@@ -13,18 +13,18 @@
 import org.cornelramp.gateway.follow.ReadingShare;
 
 /**
- * What one gateway tells its peers. Immutable, safe for use by any thread.
+ * The state that one gateway sends to its peers. Immutable, safe for use by any thread.
  *
  * @param sender the gateway
- * @param number grows with each news of a life; an older one that comes late is ignored
+ * @param number sequence number within an incarnation of the sender; an update with an older number is ignored
  * @param leaving whether it is stopping
- * @param loads what it has under way on each engine; empty where that is not told this time
- * @param crossings hops to another data centre of all that it has under way
- * @param paces how many times longer than usual engines take, where it is not once
- * @param suspects servers that it has seen fail since its last news or just before
- * @param repeats what it lacks and lends of the repeats that all gateways share
- * @param heard addresses of some peers that it has heard lately
- * @param reading how far it has read the store for all; empty if it does not
+ * @param loads the load of its requests in progress on each engine; empty if this update omits the loads
+ * @param crossings number of hops to another data centre of all its requests in progress
+ * @param paces factor by which each engine is slower than usual; engines with a factor of 1 are omitted
+ * @param suspects servers that it has seen fail since its last update or shortly before
+ * @param repeats the retries that it requests and lends out of the budget that all gateways share
+ * @param heard addresses of some peers that have recently sent it an update
+ * @param reading how far it has read the store for all gateways; empty if it does not read for them
  * @param configVersion version of the configuration that it has in force; negative for none
  */
 public record PeerNews(
@@ -48,20 +48,20 @@
     }
 
     /**
-     * A gateway that tells news. Immutable, safe for use by any thread.
+     * The gateway that sends an update. Immutable, safe for use by any thread.
      *
      * @param name its name
-     * @param life tells its lives apart
-     * @param dataCentre where it is
+     * @param life random number of its incarnation, see {@link PeerLink#newLife}
+     * @param dataCentre the data centre where it runs
      */
     public record Sender(String name, long life, DataCentre dataCentre) {}
 
-    /** Name of the gateway. */
+    /** Name of the sending gateway. */
     public String name() {
         return sender.name();
     }
 
-    /** News of a gateway that has heard nobody and reads for nobody. */
+    /** An update without peers, reading and configuration version. */
     public static PeerNews of(
             Sender sender,
             long number,
@@ -85,25 +85,25 @@
                 PeerVersions.NONE);
     }
 
-    /** The same news with addresses of peers. */
-    PeerNews withHeard(List<HostPort> addresses) {
+    /** The same update with addresses of peers. */
+    PeerNews withRecentPeers(List<HostPort> addresses) {
         return new PeerNews(
                 sender, number, leaving, loads, crossings, paces, suspects, repeats, addresses, reading, configVersion);
     }
 
-    /** The same news with what this gateway has read for all. */
-    PeerNews withReading(Optional<ReadingShare.Reading> read) {
+    /** The same update with how far this gateway has read the store for all. */
+    PeerNews withReading(Optional<ReadingShare.Reading> progress) {
         return new PeerNews(
-                sender, number, leaving, loads, crossings, paces, suspects, repeats, heard, read, configVersion);
+                sender, number, leaving, loads, crossings, paces, suspects, repeats, heard, progress, configVersion);
     }
 
-    /** The same news with the version that this gateway has in force. */
+    /** The same update with the configuration version that this gateway has in force. */
     PeerNews withConfigVersion(long version) {
         return new PeerNews(
                 sender, number, leaving, loads, crossings, paces, suspects, repeats, heard, reading, version);
     }
 
-    /** The same news without the loads, which are most of its bytes. */
+    /** The same update without the loads, which make up most of its bytes. */
     PeerNews withoutLoads() {
         return new PeerNews(
                 sender,
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerTurns.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerTurns.java
@@ -5,56 +5,60 @@
 import java.util.List;
 
 /**
- * Decides whom to tell the news in each round. Owned by one thread.
+ * Selects the peers that get an update in each round. Confined to one thread.
  *
- * <p>If each gateway told every other one each time, a fleet of n would send n² datagrams a round: at 28 gateways each
- * took 225 of them a second, on machines with a quarter of a core. So a round goes to a few peers, who take turns, and
- * what a gateway spends does not grow with the fleet; its loads are known a few rounds later instead.
+ * <p>If each gateway sent to every other one in each round, a fleet of n gateways would send n² datagrams per round:
+ * with 28 gateways, each received 225 datagrams per second, on machines with a quarter of a core. So each round goes to
+ * a few peers in rotation. The cost per gateway then does not grow with the fleet; instead, its loads become known a
+ * few rounds later.
  */
 public final class PeerTurns {
-    /** Time between two rounds, in milliseconds: a tenth of the time in which load moves noticeably. */
+    /** Time between two rounds, in milliseconds: a tenth of the time in which load changes noticeably. */
     public static final int ROUND_MILLIS = 120;
 
-    /** Peers told in a round; deployments with up to nine gateways tell everyone each time. */
+    /** Maximum number of peers per round; in deployments of up to nine gateways each round goes to all peers. */
     public static final int MOST_A_ROUND = 8;
 
     /**
-     * Peers told in a round by the gateway that reads the store for all. Those that it does not reach often enough read
-     * by themselves, so this bounds what one machine spends in fleets of hundreds.
+     * Maximum number of peers per round of the gateway that reads the store for all. It bounds the cost of that one
+     * machine in fleets of hundreds; peers that it does not reach often enough read the store themselves.
      */
-    private static final int MOST_BY_READER = 32;
+    private static final int MAX_PEERS_PER_ROUND_OF_READER = 32;
 
-    /** Turns that a peer may miss, since datagrams are lost, before it counts as dead or cut off. */
-    private static final int TURNS_MISSED = 4;
+    /** Turns that a peer may miss because of lost datagrams before it counts as dead or disconnected. */
+    private static final int MAX_MISSED_TURNS = 4;
 
-    /** Least silence that counts, in milliseconds: a stalled machine is often back within a second. */
-    private static final long LEAST_SILENCE_MILLIS = 1_000;
+    /**
+     * Minimum silence after which a peer counts as dead, in milliseconds: a stalled machine often recovers within a
+     * second.
+     */
+    private static final long MIN_SILENCE_MILLIS = 1_000;
 
     private int next;
 
     /**
-     * The peers to tell now.
+     * Selects the peers of the next round.
      *
-     * @param urgent whether everyone must hear at once, such as of a server that has just failed
-     * @param reads whether this gateway reads the store for all
+     * @param urgent whether all peers must get the update at once, such as that of a server that has just failed
+     * @param readsForAll whether this gateway reads the store for all
      */
-    <T> List<T> take(Collection<T> peers, boolean urgent, boolean reads) {
+    <T> List<T> select(Collection<T> peers, boolean urgent, boolean readsForAll) {
         List<T> all = List.copyOf(peers);
-        int most = reads ? MOST_BY_READER : MOST_A_ROUND;
-        if (urgent || all.size() <= most) {
+        int maxPeers = readsForAll ? MAX_PEERS_PER_ROUND_OF_READER : MOST_A_ROUND;
+        if (urgent || all.size() <= maxPeers) {
             return all;
         }
-        List<T> turn = new ArrayList<>(most);
-        for (int i = 0; i < most; i++) {
-            turn.add(all.get((next + i) % all.size()));
+        List<T> selected = new ArrayList<>(maxPeers);
+        for (int i = 0; i < maxPeers; i++) {
+            selected.add(all.get((next + i) % all.size()));
         }
-        next = (next + most) % all.size();
-        return turn;
+        next = (next + maxPeers) % all.size();
+        return selected;
     }
 
-    /** Silence after which one of so many peers counts as dead or cut off, in milliseconds. */
+    /** Silence after which a peer counts as dead or disconnected in a fleet with that many peers, in milliseconds. */
     public static long silenceMillis(int peers) {
         int roundsToAll = (peers + MOST_A_ROUND - 1) / MOST_A_ROUND;
-        return Math.max(LEAST_SILENCE_MILLIS, (long) TURNS_MISSED * roundsToAll * ROUND_MILLIS);
+        return Math.max(MIN_SILENCE_MILLIS, (long) MAX_MISSED_TURNS * roundsToAll * ROUND_MILLIS);
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerUpdateCodec.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerUpdateCodec.java
@@ -20,51 +20,51 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** The MessagePack form of news between gateways. Stateless, safe for use by any thread. */
-final class PeerNewsCodec {
+/** Encodes the updates between gateways as MessagePack and decodes them. Stateless, safe for use by any thread. */
+final class PeerUpdateCodec {
     private static final int FORMAT = 6;
 
-    private PeerNewsCodec() {}
+    private PeerUpdateCodec() {}
 
-    static byte[] write(PeerNews news) {
+    static byte[] write(PeerNews update) {
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
             out.packInt(FORMAT);
-            out.packString(news.sender().name());
-            out.packLong(news.sender().life());
-            out.packString(news.sender().dataCentre().value());
-            out.packLong(news.number());
-            out.packBoolean(news.leaving());
-            out.packBoolean(news.loads().isPresent());
-            if (news.loads().isPresent()) {
-                writeLoads(news.loads().get(), out);
+            out.packString(update.sender().name());
+            out.packLong(update.sender().life());
+            out.packString(update.sender().dataCentre().value());
+            out.packLong(update.number());
+            out.packBoolean(update.leaving());
+            out.packBoolean(update.loads().isPresent());
+            if (update.loads().isPresent()) {
+                writeLoads(update.loads().get(), out);
             }
-            out.packInt(news.crossings());
-            out.packMapHeader(news.paces().size());
-            for (Map.Entry<BackendServerId, Double> pace : news.paces().entrySet()) {
+            out.packInt(update.crossings());
+            out.packMapHeader(update.paces().size());
+            for (Map.Entry<BackendServerId, Double> pace : update.paces().entrySet()) {
                 out.packString(pace.getKey().value());
                 out.packDouble(pace.getValue());
             }
-            out.packArrayHeader(news.suspects().size());
-            for (BackendServerId id : news.suspects()) {
+            out.packArrayHeader(update.suspects().size());
+            for (BackendServerId id : update.suspects()) {
                 out.packString(id.value());
             }
-            writeRepeats(news.repeats(), out);
-            out.packArrayHeader(news.heard().size());
-            for (HostPort peer : news.heard()) {
+            writeRepeats(update.repeats(), out);
+            out.packArrayHeader(update.heard().size());
+            for (HostPort peer : update.heard()) {
                 out.packString(peer.toString());
             }
-            out.packBoolean(news.reading().isPresent());
-            if (news.reading().isPresent()) {
-                ReadingShare.Reading reading = news.reading().get();
+            out.packBoolean(update.reading().isPresent());
+            if (update.reading().isPresent()) {
+                ReadingShare.Reading reading = update.reading().get();
                 out.packString(reading.records().toString());
                 out.packLong(reading.configEnd());
                 out.packLong(reading.serversEnd());
                 out.packLong(reading.era());
             }
-            out.packLong(news.configVersion());
+            out.packLong(update.configVersion());
             return out.toByteArray();
         } catch (IOException e) {
-            throw new IllegalStateException("Memory takes every byte", e);
+            throw new IllegalStateException("Writing to memory failed", e);
         }
     }
 
@@ -129,7 +129,7 @@
         return loans;
     }
 
-    /** Reads news; the left side says what is wrong with the bytes. */
+    /** Decodes an update; the left side describes what is wrong with the bytes. */
     static Either<String, PeerNews> read(byte[] bytes, int length) {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes, 0, length)) {
             int format = in.unpackInt();
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/UpdateUrgency.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/UpdateUrgency.java
@@ -9,35 +9,37 @@
 import org.cornelramp.gateway.follow.ReadingShare;
 
 /**
- * Decides which news every peer must hear at once, and not when its turn comes. Owned by one thread.
+ * Decides which updates are sent to every peer at once instead of in turn. Confined to one thread.
  *
- * <p>Invariant: what makes news urgent does so once.
+ * <p>Invariant: each fact makes only the first update that contains it urgent.
  */
-final class NewsUrgency {
-    private Set<BackendServerId> toldSuspects = Set.of();
-    private Set<Long> toldAsks = Set.of();
-    private boolean toldLeaving;
-    private Optional<ReadingShare.Reading> toldReading = Optional.empty();
+final class UpdateUrgency {
+    private Set<BackendServerId> sentSuspects = Set.of();
+    private Set<Long> sentAskIds = Set.of();
+    private boolean sentLeaving;
+    private Optional<ReadingShare.Reading> sentReading = Optional.empty();
 
     /**
-     * Whether the news tell for the first time of a failure, of this gateway's stop, of something new read, or that repeats
-     * are lacking: begun streams wait for those, and the peers of one turn may have none to lend.
+     * Whether the update reports one of these for the first time: a failed server, the shutdown of this gateway,
+     * progress in reading the store, or a request for retries. Streams that have begun wait for those retries, and the
+     * peers of a single turn may have none to lend.
      */
-    boolean isUrgent(PeerNews news) {
-        Set<Long> asks = asks(news.repeats().asks().values());
-        boolean readMore = news.reading().isPresent() && !news.reading().equals(toldReading);
-        boolean urgent = !toldSuspects.containsAll(news.suspects())
-                || !toldAsks.containsAll(asks)
-                || (news.leaving() && !toldLeaving)
-                || readMore;
-        toldReading = news.reading();
-        toldSuspects = news.suspects();
-        toldAsks = asks;
-        toldLeaving = news.leaving();
+    boolean isUrgent(PeerNews update) {
+        Set<Long> askIds = askIds(update.repeats().asks().values());
+        boolean readingProgressed =
+                update.reading().isPresent() && !update.reading().equals(sentReading);
+        boolean urgent = !sentSuspects.containsAll(update.suspects())
+                || !sentAskIds.containsAll(askIds)
+                || (update.leaving() && !sentLeaving)
+                || readingProgressed;
+        sentReading = update.reading();
+        sentSuspects = update.suspects();
+        sentAskIds = askIds;
+        sentLeaving = update.leaving();
         return urgent;
     }
 
-    private static Set<Long> asks(Collection<RepeatNews.Ask> asks) {
+    private static Set<Long> askIds(Collection<RepeatNews.Ask> asks) {
         return asks.stream().map(RepeatNews.Ask::id).collect(Collectors.toSet());
     }
 }
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/PeerDirectoryTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/PeerDirectoryTest.java
@@ -6,35 +6,36 @@
 import java.util.Set;
 import org.testng.annotations.Test;
 
-/** Who is told the news, and who is introduced to others. */
-public class PeerBookTest {
+/** Which peers get updates, and which are introduced to others. */
+public class PeerDirectoryTest {
 
     /**
-     * A gateway dies. Two others go on introducing to each other whom they have heard. Its address must leave both: if
-     * each passed on what the other introduced, it would go round for good, and rounds would be spent on dead machines.
+     * Guards against addresses of dead gateways that circulate forever: after a gateway has died, two others keep
+     * introducing peers to each other. If each introduced what it knows only by introduction, the address would never
+     * expire, and rounds would be spent on dead machines.
      */
     @Test
-    public void theAddressOfADeadGatewayDoesNotGoRound() {
-        PeerBook<String> one = new PeerBook<>();
-        PeerBook<String> other = new PeerBook<>();
-        one.heard("dead", 0);
-        for (long now = 0; now <= 4 * PeerBook.TOLD_MILLIS; now += 120) {
+    public void addressOfADeadGatewayExpires() {
+        PeerDirectory<String> one = new PeerDirectory<>();
+        PeerDirectory<String> other = new PeerDirectory<>();
+        one.addSender("dead", 0);
+        for (long now = 0; now <= 4 * PeerDirectory.EXPIRY_MILLIS; now += 120) {
             long at = now;
-            one.toIntroduce(at).forEach(peer -> other.introduced(peer, at));
-            other.toIntroduce(at).forEach(peer -> one.introduced(peer, at));
+            one.peersToIntroduce(at).forEach(peer -> other.addIntroduced(peer, at));
+            other.peersToIntroduce(at).forEach(peer -> one.addIntroduced(peer, at));
         }
-        long end = 4 * PeerBook.TOLD_MILLIS;
-        assertEquals(one.toTell(List.of(), end), Set.of());
-        assertEquals(other.toTell(List.of(), end), Set.of());
+        long end = 4 * PeerDirectory.EXPIRY_MILLIS;
+        assertEquals(one.recipients(List.of(), end), Set.of());
+        assertEquals(other.recipients(List.of(), end), Set.of());
     }
 
-    /** Whoever is listed, was heard or was introduced is told; only who was heard is introduced. */
+    /** Listed peers, senders and introduced peers get updates; only senders are introduced. */
     @Test
-    public void tellsAllAndIntroducesThoseHeard() {
-        PeerBook<String> book = new PeerBook<>();
-        book.heard("heard", 100);
-        book.introduced("introduced", 100);
-        assertEquals(book.toTell(List.of("listed"), 200), Set.of("listed", "heard", "introduced"));
-        assertEquals(book.toIntroduce(200), Set.of("heard"));
+    public void sendsToAllAndIntroducesSendersOnly() {
+        PeerDirectory<String> directory = new PeerDirectory<>();
+        directory.addSender("heard", 100);
+        directory.addIntroduced("introduced", 100);
+        assertEquals(directory.recipients(List.of("listed"), 200), Set.of("listed", "heard", "introduced"));
+        assertEquals(directory.peersToIntroduce(200), Set.of("heard"));
     }
 }
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/PeerLinkTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/PeerLinkTest.java
@@ -20,7 +20,7 @@
 import org.cornelramp.gateway.log.EventLog;
 import org.testng.annotations.Test;
 
-/** Who is told whose news. */
+/** Which gateways get each other's updates. */
 public class PeerLinkTest {
     private static final DataCentre HOME = new DataCentre("dc1");
 
@@ -30,7 +30,7 @@
         }
     }
 
-    private static PeerLink link(String name, HostPort address, Queue<PeerNews> heard) {
+    private static PeerLink link(String name, HostPort address, Queue<PeerNews> received) {
         AtomicLong number = new AtomicLong();
         EventLog log = new EventLog(new ByteArrayOutputStream(), Clock.systemUTC(), name);
         return new PeerLink(
@@ -45,7 +45,7 @@
                         Map.of(),
                         Set.of(),
                         RepeatNews.NONE),
-                heard::add,
+                received::add,
                 new ReadingShare(address),
                 new PeerVersions(() -> PeerVersions.NONE),
                 () -> false,
@@ -54,46 +54,47 @@
     }
 
     /**
-     * The store turns one gateway away for seconds. It drops out of the members that the others read, but still knows
-     * them and tells them its news; they tell it theirs, so it goes on choosing by what all have under way.
+     * Guards against a gateway that routes without the others' loads: the store refuses it for seconds, so it drops out
+     * of the members that the others read. It still knows them and sends them updates, and they must send it theirs.
      */
     @Test
-    public void aGatewayThatTheStoreDoesNotListIsToldWhatItsPeersHaveUnderWay() throws Exception {
+    public void gatewayThatTheStoreDoesNotListGetsUpdates() throws Exception {
         HostPort listed = freeAddress();
-        HostPort turnedAway = freeAddress();
-        Queue<PeerNews> heardThere = new ConcurrentLinkedQueue<>();
+        HostPort refused = freeAddress();
+        Queue<PeerNews> receivedByOther = new ConcurrentLinkedQueue<>();
         PeerLink one = link("listed", listed, new ConcurrentLinkedQueue<>());
-        PeerLink other = link("turned away", turnedAway, heardThere);
+        PeerLink other = link("refused", refused, receivedByOther);
         one.setPeers(List.of());
         other.setPeers(List.of(listed));
         one.start();
         other.start();
         GatewayFixture.await(
-                () -> heardThere.stream().anyMatch(news -> news.name().equals("listed")), "news come back");
+                () -> receivedByOther.stream().anyMatch(update -> update.name().equals("listed")), "updates come back");
         one.stop();
         other.stop();
     }
 
     /**
-     * There are more gateways than the store's topic has partitions, so it lists two of them to nobody. Both tell their
-     * news to one that is listed; it introduces them to each other, and each hears what the other has under way.
+     * Guards against gateways that never learn of each other: there are more gateways than the store's topic has
+     * partitions, so the store does not list two of them. Both send updates to one that is listed; it must introduce
+     * them to each other, so that they exchange their loads.
      */
     @Test
-    public void gatewaysThatTheStoreDoesNotListAreIntroducedToEachOther() throws Exception {
+    public void gatewaysThatTheStoreDoesNotListAreIntroduced() throws Exception {
         HostPort listed = freeAddress();
-        Queue<PeerNews> heardByFirst = new ConcurrentLinkedQueue<>();
-        PeerLink between = link("listed", listed, new ConcurrentLinkedQueue<>());
-        PeerLink first = link("first", freeAddress(), heardByFirst);
+        Queue<PeerNews> receivedByFirst = new ConcurrentLinkedQueue<>();
+        PeerLink introducer = link("listed", listed, new ConcurrentLinkedQueue<>());
+        PeerLink first = link("first", freeAddress(), receivedByFirst);
         PeerLink second = link("second", freeAddress(), new ConcurrentLinkedQueue<>());
         first.setPeers(List.of(listed));
         second.setPeers(List.of(listed));
-        for (PeerLink link : List.of(between, first, second)) {
+        for (PeerLink link : List.of(introducer, first, second)) {
             link.start();
         }
         GatewayFixture.await(
-                () -> heardByFirst.stream().anyMatch(news -> news.name().equals("second")),
-                "the first hears the second");
-        for (PeerLink link : List.of(between, first, second)) {
+                () -> receivedByFirst.stream().anyMatch(update -> update.name().equals("second")),
+                "the first gets an update of the second");
+        for (PeerLink link : List.of(introducer, first, second)) {
             link.stop();
         }
     }
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/PeerLocationsTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/PeerLocationsTest.java
@@ -7,34 +7,34 @@
 import org.cornelramp.core.model.DataCentre;
 import org.testng.annotations.Test;
 
-/** Load: 33 gateways of five data centres tell each other what they have under way on 130 engines. */
-public class PeerPlacesTest {
+/** Which peers get the loads; sized after 33 gateways in five data centres with 130 engines. */
+public class PeerLocationsTest {
     private static final DataCentre HOME = new DataCentre("dc1");
 
-    /** Peers of the own data centre, whose streams go to the same engines, hear the loads at each turn. */
+    /** Peers in the same data centre send their streams to the same engines, so they get the loads in each update. */
     @Test
-    public void neighboursHearTheLoadsEachTime() {
-        PeerPlaces<String> places = new PeerPlaces<>(HOME);
-        places.heard("near", HOME);
-        for (int turn = 0; turn < 10; turn++) {
-            assertTrue(places.hearsLoads("near"));
-            assertTrue(places.hearsLoads("new"), "one that has not told yet where it is");
+    public void localPeersGetTheLoadsInEachUpdate() {
+        PeerLocations<String> locations = new PeerLocations<>(HOME);
+        locations.setLocation("near", HOME);
+        for (int update = 0; update < 10; update++) {
+            assertTrue(locations.needsLoads("near"));
+            assertTrue(locations.needsLoads("new"), "a peer of unknown location");
         }
     }
 
-    /** Others hear them at their first turn, and then at one in three, which spares two thirds of the bytes. */
+    /** Other peers get the loads in the first update and then in one of three, which saves two thirds of the bytes. */
     @Test
-    public void farPeersHearTheLoadsAtOneTurnInThree() {
-        PeerPlaces<String> places = new PeerPlaces<>(HOME);
-        places.heard("far", new DataCentre("dc2"));
-        assertTrue(places.hearsLoads("far"));
-        int told = 1;
-        for (int turn = 1; turn < 12; turn++) {
-            told += places.hearsLoads("far") ? 1 : 0;
+    public void remotePeersGetTheLoadsInOneOfThreeUpdates() {
+        PeerLocations<String> locations = new PeerLocations<>(HOME);
+        locations.setLocation("far", new DataCentre("dc2"));
+        assertTrue(locations.needsLoads("far"));
+        int updatesWithLoads = 1;
+        for (int update = 1; update < 12; update++) {
+            updatesWithLoads += locations.needsLoads("far") ? 1 : 0;
         }
-        assertEquals(told, 4);
-        places.retain(List.of());
-        places.heard("far", new DataCentre("dc2"));
-        assertTrue(places.hearsLoads("far"), "a peer that comes back hears them at once");
+        assertEquals(updatesWithLoads, 4);
+        locations.retain(List.of());
+        locations.setLocation("far", new DataCentre("dc2"));
+        assertTrue(locations.needsLoads("far"), "a peer that returns gets them at once");
     }
 }
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/PeerRotationProperties.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/PeerRotationProperties.java
@@ -11,32 +11,36 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Whom a gateway tells in each round, in fleets of all sizes. */
-class PeerTurnsProperties {
+/** Which peers get an update in each round, in fleets of all sizes. */
+class PeerRotationProperties {
 
     /**
-     * Load of a large fleet: 28 to 2,000 gateways tell one another what they have under way. Whatever the size, a round
-     * costs each of them at most eight datagrams, and a peer is told well within the silence that counts as death.
+     * Guards against a cost per gateway that grows with the fleet, and against peers that get their updates too late in
+     * a fleet of up to 2,000 gateways: a round sends at most eight datagrams, and each peer has its turn within half
+     * the silence after which a gateway counts as dead.
      */
     @Property(seed = "20261203", tries = 200)
-    void everyPeerHasItsTurnBeforeItsSilenceCounts(@ForAll @IntRange(min = 1, max = 2_000) int peers) {
+    void everyPeerHasItsTurnBeforeItCountsAsDead(@ForAll @IntRange(min = 1, max = 2_000) int peers) {
         PeerTurns turns = new PeerTurns();
         List<Integer> all = IntStream.range(0, peers).boxed().toList();
-        Set<Integer> told = new HashSet<>();
+        Set<Integer> reached = new HashSet<>();
         int rounds = 0;
-        while (told.size() < peers) {
-            List<Integer> turn = turns.take(all, false, false);
-            assertTrue(turn.size() <= PeerTurns.MOST_A_ROUND);
-            told.addAll(turn);
+        while (reached.size() < peers) {
+            List<Integer> selected = turns.select(all, false, false);
+            assertTrue(selected.size() <= PeerTurns.MOST_A_ROUND);
+            reached.addAll(selected);
             rounds++;
         }
         assertTrue(2L * rounds * PeerTurns.ROUND_MILLIS <= PeerTurns.silenceMillis(peers), "rounds " + rounds);
     }
 
-    /** A server has just failed: all peers hear of it in this round, or they would send their streams there. */
+    /**
+     * Guards against peers that send streams to a server that has just failed: an urgent update goes to all in one
+     * round.
+     */
     @Property(tries = 1)
-    void whatIsUrgentGoesToEveryone() {
+    void urgentUpdateGoesToAllPeers() {
         List<Integer> all = IntStream.range(0, 100).boxed().toList();
-        assertEquals(new PeerTurns().take(all, true, false), all);
+        assertEquals(new PeerTurns().select(all, true, false), all);
     }
 }
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/PriorityPeersTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/PriorityPeersTest.java
@@ -5,20 +5,21 @@
 import java.util.Set;
 import org.testng.annotations.Test;
 
-/** Who is answered out of turn. */
-public class AskersTest {
+/** Which peers get updates out of turn. */
+public class PriorityPeersTest {
     /**
-     * A gateway of thirty has no repeat left and asks a peer whose next news would go to others. The peer tells it in the
-     * next two rounds, as the loan may be made just after the first; then it waits for its turn again.
+     * Guards against a wait for the regular turn: one of thirty gateways has no retry left and asks a peer whose next
+     * rounds would go to others. The peer includes it in the next two rounds, because the loan may be made just after
+     * the first one, and then only in its turn again.
      */
     @Test
-    public void anAskerIsToldInTheNextRoundsAndNoLonger() {
-        Askers<String> askers = new Askers<>();
-        askers.add("a");
-        assertEquals(askers.take(), Set.of("a"));
-        askers.add("b");
-        assertEquals(askers.take(), Set.of("a", "b"));
-        assertEquals(askers.take(), Set.of("b"));
-        assertEquals(askers.take(), Set.of());
+    public void requestingPeerIsIncludedInTheNextTwoRoundsOnly() {
+        PriorityPeers<String> priorityPeers = new PriorityPeers<>();
+        priorityPeers.add("a");
+        assertEquals(priorityPeers.nextRound(), Set.of("a"));
+        priorityPeers.add("b");
+        assertEquals(priorityPeers.nextRound(), Set.of("a", "b"));
+        assertEquals(priorityPeers.nextRound(), Set.of("b"));
+        assertEquals(priorityPeers.nextRound(), Set.of());
     }
 }
