--- a/gateway/src/main/java/org/cornelramp/gateway/SelectorAwareScheduler.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/SelectorAwareScheduler.java
@@ -8,52 +8,54 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Runs timers of a selector's connects only after the selector has had a turn since they were due.
+ * A scheduler for connect timeouts that runs an expired timer only after the selector has completed one more pass over
+ * its channels.
  *
- * <p>In a process short of processor time, a connect that the other side took long ago may still wait for the selector when
- * its timer goes off. The turn finishes such a connect and cancels its timer. A connect that was not taken is given up one
- * turn later than by a timer alone. Safe for use by any thread; {@link #attach} is called before the first timer.
+ * <p>In a process that is short of processor time, a connect that the peer accepted long ago may still wait for the
+ * selector when its timer expires. The additional pass finishes such a connect and cancels its timer. A connect that
+ * was not accepted times out one pass later than with a plain timer. Safe for use by any thread; {@link #attach} must
+ * be called before the first timer is scheduled.
  */
-final class TurnAwareScheduler extends AbstractLifeCycle implements Scheduler {
+final class SelectorAwareScheduler extends AbstractLifeCycle implements Scheduler {
     private final Scheduler timers;
-    private final LongAdder late = new LongAdder();
+    private final LongAdder cancelledLate = new LongAdder();
     private volatile ManagedSelector selector;
 
-    /** @param timers tells when a timer is due; started and stopped by its owner */
-    TurnAwareScheduler(Scheduler timers) {
+    /** @param timers the underlying scheduler; started and stopped by its owner */
+    SelectorAwareScheduler(Scheduler timers) {
         this.timers = timers;
     }
 
-    /** Sets the selector whose turns are waited for. */
-    void attach(ManagedSelector own) {
-        selector = own;
+    /** Sets the selector whose passes expired timers wait for. */
+    void attach(ManagedSelector connectSelector) {
+        selector = connectSelector;
     }
 
-    /** Timers that were cancelled by the selector's turn after they were due. */
-    long late() {
-        return late.sum();
+    /** Number of timers that were cancelled after they had expired, during the additional pass. */
+    long cancelledLate() {
+        return cancelledLate.sum();
     }
 
     @Override
     public Task schedule(Runnable task, long delay, TimeUnit unit) {
         Timer timer = new Timer(task);
-        timers.schedule(timer::due, delay, unit);
+        timers.schedule(timer::expire, delay, unit);
         return timer;
     }
 
-    /** Runs a task on the selector's thread after it has looked at all its channels once more. */
-    private void afterTurn(Runnable task) {
-        selector.submit(begins -> selector.submit(ends -> task.run()));
+    /** Runs a task on the selector's thread after a further pass over all its channels. */
+    private void afterNextPass(Runnable task) {
+        selector.submit(firstPass -> selector.submit(secondPass -> task.run()));
     }
 
     private enum State {
         WAITING,
-        DUE,
+        EXPIRED,
         CANCELLED,
         RUN
     }
 
-    /** One timer. Safe for use by any thread. Invariant: it is either cancelled or run. */
+    /** One timer. Safe for use by any thread. Invariant: it is either cancelled or run, never both. */
     private final class Timer implements Task {
         private final Runnable task;
         private final AtomicReference<State> state = new AtomicReference<>(State.WAITING);
@@ -62,14 +64,14 @@
             this.task = task;
         }
 
-        private void due() {
-            if (state.compareAndSet(State.WAITING, State.DUE)) {
-                afterTurn(this::run);
+        private void expire() {
+            if (state.compareAndSet(State.WAITING, State.EXPIRED)) {
+                afterNextPass(this::run);
             }
         }
 
         private void run() {
-            if (state.compareAndSet(State.DUE, State.RUN)) {
+            if (state.compareAndSet(State.EXPIRED, State.RUN)) {
                 task.run();
             }
         }
@@ -79,11 +81,11 @@
             if (state.compareAndSet(State.WAITING, State.CANCELLED)) {
                 return true;
             }
-            boolean inTime = state.compareAndSet(State.DUE, State.CANCELLED);
-            if (inTime) {
-                late.increment();
+            boolean cancelledInTime = state.compareAndSet(State.EXPIRED, State.CANCELLED);
+            if (cancelledInTime) {
+                cancelledLate.increment();
             }
-            return inTime;
+            return cancelledInTime;
         }
     }
 }
--- a/gateway/src/test/java/org/cornelramp/gateway/EngineDoubtTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/EngineDoubtTest.java
@@ -14,10 +14,14 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Streams over engines that leave or are wrongly held to be dead, while the gateway has no repeat at all. */
+/**
+ * Streams over engines that leave or are wrongly suspected of being dead, while the gateway has no retries unless
+ * noted.
+ */
 public class EngineDoubtTest {
-    /** Longer than the time within which streams leave an engine. */
-    private static final Behaviour LONG = Behaviour.ordinary().withEvents(60).withPauseMillis(50);
+    /** A stream that lasts longer than the time within which streams are moved off a leaving engine. */
+    private static final Behaviour LONG_STREAM =
+            Behaviour.ordinary().withEvents(60).withPauseMillis(50);
 
     private static final String LAST_EVENT = "id: 59\ndata: piece 59\n\n";
 
@@ -33,22 +37,24 @@
         fixture.close();
     }
 
-    private void behave(Behaviour behaviour) {
+    private void setBehaviour(Behaviour behaviour) {
         fixture.engines.forEach(engine -> engine.setBehaviour(behaviour));
     }
 
-    private void allReportThatAllStall() {
+    private void reportAllEnginesStalled() {
         for (StandInServer engine : fixture.engines) {
             fixture.engines.forEach(other -> engine.reportStalled(other.address()));
         }
     }
 
-    /** Whether a question has gone unanswered, which is believed or not as an event has just come. */
-    private boolean hasDoubted() {
+    /**
+     * Whether an engine did not answer a status request; the log event depends on whether an event has just arrived.
+     */
+    private boolean hasMissedReport() {
         return fixture.log().contains("no report") || fixture.log().contains("answer missed");
     }
 
-    /** Sends a stream, and waits until it is logged over which path. */
+    /** Sends a stream, and waits until its path is logged. */
     private CompletableFuture<HttpResponse<String>> begin(String id) throws Exception {
         CompletableFuture<HttpResponse<String>> answer = fixture.client().sendLater("/chat/a", id, id);
         GatewayFixture.await(() -> sent(id).find(), "the stream is sent");
@@ -61,7 +67,7 @@
     }
 
     /** The first or second engine on the path that a request was sent over. */
-    private StandInServer onPathOf(String id, int number) {
+    private StandInServer engineOnPathOf(String id, int number) {
         Matcher found = sent(id);
         assertTrue(found.find(), fixture.log());
         return fixture.engines.stream()
@@ -71,135 +77,135 @@
     }
 
     /**
-     * A client reads a stream when the second engine on its path says that it will leave, as planned. The gateway orders
-     * the stream to be moved, and the order is refused: the engine that should take over has no room. The engine that
-     * leaves serves on, so the client gets the whole stream from one run. The gateway used to cut the run itself and,
-     * without a repeat, closed the client's connection a few milliseconds after the order was refused. What showed it: on a
-     * day of planned leaves "not moved" with status 409, each followed by "attempt failed" with "it cannot move to another
-     * path", 22 of them within 0.12 s, while no server failed.
+     * Guards against a gateway that cancels an attempt because the stream cannot be moved off a leaving engine, and
+     * then closes the client's connection because no retry is left. The second engine on the path announces that it
+     * leaves, and the order to move the stream is refused with status 409, since the engine that should take over has
+     * no capacity. The leaving engine continues to serve, so one attempt must deliver the whole stream. The fault shows
+     * as "not moved" followed by "attempt failed" with "it cannot move to another path" (22 times within 0.12 s) while
+     * no server fails.
      */
     @Test
-    public void aStreamThatCannotBeMovedStaysOnAnEngineThatLeaves() throws Exception {
-        behave(LONG.withMoveStatus(409));
+    public void streamThatCannotBeMovedStaysOnALeavingEngine() throws Exception {
+        setBehaviour(LONG_STREAM.withMoveStatus(409));
         CompletableFuture<HttpResponse<String>> answer = begin("stays");
-        onPathOf("stays", 2).register("draining");
-        HttpResponse<String> whole = answer.get();
+        engineOnPathOf("stays", 2).register("draining");
+        HttpResponse<String> response = answer.get();
         assertTrue(fixture.log().contains("not moved"), "the gateway tried to move it");
-        assertTrue(whole.body().endsWith(LAST_EVENT), whole.body());
-        assertEquals(fixture.received("stays"), 1, "one run");
+        assertTrue(response.body().endsWith(LAST_EVENT), response.body());
+        assertEquals(fixture.received("stays"), 1, "one attempt");
     }
 
     /**
-     * The same for a stream that may not be sent twice, while repeats are left. Started anew it would be broken off, since
-     * nobody can carry it on; so it stays, and its client gets the whole of it.
+     * The same for a stream that must not be sent twice, with retries left. No other engine can resume it, so a new
+     * attempt would abort it; it must stay on its engine.
      */
     @Test
-    public void aStreamThatMayNotBeRepeatedStaysOnAnEngineThatLeaves() throws Exception {
+    public void streamThatMustNotBeRepeatedStaysOnALeavingEngine() throws Exception {
         fixture.close();
         fixture = GatewayFixture.ofHalves(2, "");
         fixture.store.publishConfig(GatewayFixture.ofHalvesConfig(2).jsonOfStreamsSentOnce());
         GatewayFixture.await(() -> fixture.log().contains("\"version\":2"), "the configuration is in force");
-        behave(LONG.withMoveStatus(409));
+        setBehaviour(LONG_STREAM.withMoveStatus(409));
         CompletableFuture<HttpResponse<String>> answer = begin("once");
-        onPathOf("once", 2).register("draining");
+        engineOnPathOf("once", 2).register("draining");
         assertTrue(answer.get().body().endsWith(LAST_EVENT), answer.get().body());
         assertTrue(fixture.log().contains("not moved"), "the gateway tried to move it");
-        assertEquals(fixture.received("once"), 1, "one run");
+        assertEquals(fixture.received("once"), 1, "one attempt");
     }
 
     /**
-     * A client reads a stream whose first engine says that it will leave. A stream cannot be moved off its first engine, so
-     * none is tried; the engine serves on and the client gets the whole stream. The gateway used to order the same path
-     * again four times a second, until the engine took no connection any more; then it cut the stream. What showed it: up
-     * to 11 lines "moves" of one stream with the same path in both fields, and then "not moved" with "Connection refused".
+     * Guards against futile orders to move a stream off its first engine, which is impossible. The first engine
+     * announces that it leaves. The fault is a gateway that orders the same path four times a second until the engine
+     * accepts no more connections, and then cuts the stream; it shows as up to 11 "moves" lines of a stream with the
+     * same path in both fields, followed by "not moved" with "Connection refused".
      */
     @Test
-    public void aStreamIsNotMovedOffItsFirstEngine() throws Exception {
-        behave(LONG.withMoveStatus(409));
+    public void streamIsNotMovedOffItsFirstEngine() throws Exception {
+        setBehaviour(LONG_STREAM.withMoveStatus(409));
         CompletableFuture<HttpResponse<String>> answer = begin("first");
-        onPathOf("first", 1).register("draining");
+        engineOnPathOf("first", 1).register("draining");
         assertTrue(answer.get().body().endsWith(LAST_EVENT), answer.get().body());
         assertFalse(fixture.log().contains("\"moves\""), "an order to move it is sent");
-        assertEquals(fixture.received("first"), 1, "one run");
+        assertEquals(fixture.received("first"), 1, "one attempt");
     }
 
     /**
-     * A client reads a stream whose second engine leaves, and its first engine answers no order any more, as one that is
-     * about to exit. The order is tried once and the stream stays, so the client gets all of it. Tried four times a second,
-     * it opened 118 connections in vain on a day of planned leaves ("not moved", "Connection refused").
+     * Guards against orders that are repeated four times a second to an engine that does not answer them, each over a
+     * new connection ("not moved" with "Connection refused", 118 times). The second engine of the path leaves, and the
+     * first one, which is about to exit, answers no order. The order must be tried once and the stream must stay.
      */
     @Test
-    public void aStreamWhoseFirstEngineTakesNoOrdersIsNotMovedAgain() throws Exception {
-        behave(LONG);
+    public void moveIsNotRetriedWhenTheFirstEngineDoesNotAnswer() throws Exception {
+        setBehaviour(LONG_STREAM);
         CompletableFuture<HttpResponse<String>> answer = begin("deaf");
-        onPathOf("deaf", 1).setMute(true);
-        onPathOf("deaf", 2).register("draining");
+        engineOnPathOf("deaf", 1).setMute(true);
+        engineOnPathOf("deaf", 2).register("draining");
         assertTrue(answer.get().body().endsWith(LAST_EVENT), answer.get().body());
-        assertEquals(fixture.log().split("\"event\":\"not moved\"", -1).length - 1, 1, "orders that were not answered");
-        assertEquals(fixture.received("deaf"), 1, "one run");
+        assertEquals(fixture.log().split("\"event\":\"not moved\"", -1).length - 1, 1, "unanswered orders");
+        assertEquals(fixture.received("deaf"), 1, "one attempt");
     }
 
     /**
-     * A client reads a stream whose engines are slow: an event each 150 ms. The gateway asks them whether they live, and
-     * none answers in time. Their events still come, so they live, and the client gets the whole stream from one run. The
-     * gateway used to believe the silence after 80 ms without an event, and cut the run of a living engine.
+     * Guards against an attempt that is cancelled on a live engine because it does not answer a status request and has
+     * sent no event for 80 ms. The engines send an event every 150 ms and answer no status request. The events prove
+     * that they are alive, so one attempt must deliver the whole stream.
      */
     @Test
-    public void aStreamWhoseEventsComeIsNotCutForAQuestionWithoutAnAnswer() throws Exception {
-        behave(Behaviour.ordinary().withEvents(20).withPauseMillis(150));
+    public void streamWithEventsIsNotCutForAnUnansweredStatusRequest() throws Exception {
+        setBehaviour(Behaviour.ordinary().withEvents(20).withPauseMillis(150));
         fixture.engines.forEach(engine -> engine.setMute(true));
         HttpResponse<String> answer = fixture.client().send("/chat/a", "slow", "slow");
         assertTrue(answer.body().endsWith("id: 19\ndata: piece 19\n\n"), answer.body());
-        assertTrue(hasDoubted(), "an engine did not answer a question");
-        assertEquals(fixture.received("slow"), 1, "one run");
+        assertTrue(hasMissedReport(), "an engine did not answer a status request");
+        assertEquals(fixture.received("slow"), 1, "one attempt");
     }
 
     /**
-     * A client reads a stream, and the first engine reports that the work of another engine stalls, as it may for a moment
-     * after the other is back. That engine is held to be dead at once, whatever events have come. They go on, so the client
-     * gets the whole stream from one run.
+     * Guards against an attempt that is cancelled because an engine reports that another one stalls, as it may briefly
+     * do after the other has recovered. The reported engine is suspected at once, regardless of recent events. The
+     * events continue, so one attempt must deliver the whole stream.
      */
     @Test
-    public void aStreamWhoseEventsComeIsNotCutForAReportThatItsEngineStalls() throws Exception {
-        behave(Behaviour.ordinary().withEvents(20).withPauseMillis(150));
-        allReportThatAllStall();
+    public void streamWithEventsIsNotCutForAReportOfAStall() throws Exception {
+        setBehaviour(Behaviour.ordinary().withEvents(20).withPauseMillis(150));
+        reportAllEnginesStalled();
         HttpResponse<String> answer = fixture.client().send("/chat/a", "stalls", "stalls");
         assertTrue(answer.body().endsWith("id: 19\ndata: piece 19\n\n"), answer.body());
-        assertTrue(fixture.log().contains("work stalls there"), "the gateway held an engine to be dead");
-        assertEquals(fixture.received("stalls"), 1, "one run");
+        assertTrue(fixture.log().contains("work stalls there"), "the gateway suspected an engine");
+        assertEquals(fixture.received("stalls"), 1, "one attempt");
     }
 
     /**
-     * A client reads a stream with an event each 0.15 s over the only engines there are, and their reports say that all work
-     * stalls. The gateway holds them to be dead and has no other path. The events come as usual for this stream, so the
-     * client gets all of them from one run. The gateway used to cut the run, and had nobody to take it over.
+     * Guards against an attempt that is cancelled while no other path exists. The only engines report that all work
+     * stalls, so the gateway suspects them. Their events still arrive at the usual interval of the stream (0.15 s), so
+     * one attempt must deliver the whole stream.
      */
     @Test
-    public void aStreamIsNotCutWhileNobodyCanTakeItOver() throws Exception {
+    public void streamIsNotCutWhileThereIsNoOtherPath() throws Exception {
         fixture.close();
         fixture = GatewayFixture.ofHalves(1, GatewayFixture.NO_REPEATS);
-        behave(Behaviour.ordinary().withEvents(8).withPauseMillis(150));
-        allReportThatAllStall();
+        setBehaviour(Behaviour.ordinary().withEvents(8).withPauseMillis(150));
+        reportAllEnginesStalled();
         HttpResponse<String> answer = fixture.client().send("/chat/a", "alone", "alone");
         assertTrue(answer.body().endsWith("id: 7\ndata: piece 7\n\n"), answer.body());
-        assertTrue(fixture.log().contains("work stalls there"), "the gateway held an engine to be dead");
-        assertEquals(fixture.received("alone"), 1, "one run");
+        assertTrue(fixture.log().contains("work stalls there"), "the gateway suspected an engine");
+        assertEquals(fixture.received("alone"), 1, "one attempt");
     }
 
     /**
-     * A client reads a stream, and the second engine on its path dies while no repeat is left. The gateway orders the
-     * stream to be moved, and the order is refused in the name of the engine that should take over, which has died in the
-     * same moment. The gateway moves it to the third holder of those layers, and the client gets the whole stream from one
-     * run. It used to cut the stream after the first refusal: "not moved" with status 409 for 203 of 845 moves of a day.
+     * Guards against a stream that is cut after the first refused move ("not moved" with status 409, 203 of 845 moves).
+     * The second engine on the path dies while no retry is left, and the engine that should take over dies at the same
+     * moment, so the order to move the stream is refused. The gateway must move it to the third engine with those
+     * layers, so that one attempt delivers the whole stream.
      */
     @Test
-    public void aStreamMovesAroundAnEngineThatTakesNoPart() throws Exception {
+    public void streamMovesToAThirdEngineWhenTheSecondRefuses() throws Exception {
         fixture.close();
         fixture = GatewayFixture.ofHalves(3, GatewayFixture.NO_REPEATS);
-        behave(Behaviour.ordinary().withEvents(4).withPauseMillis(900));
+        setBehaviour(Behaviour.ordinary().withEvents(4).withPauseMillis(900));
         CompletableFuture<HttpResponse<String>> answer = begin("around");
-        StandInServer first = onPathOf("around", 1);
-        StandInServer dead = onPathOf("around", 2);
+        StandInServer first = engineOnPathOf("around", 1);
+        StandInServer dead = engineOnPathOf("around", 2);
         StandInServer next = fixture.engines.stream()
                 .filter(engine -> engine.layers().equals(dead.layers()) && engine != dead)
                 .findFirst()
@@ -211,6 +217,6 @@
                 answer.get().body());
         assertTrue(fixture.log().contains("\"moved\""), fixture.log());
         assertFalse(fixture.log().contains("it cannot move to another path"), fixture.log());
-        assertEquals(fixture.received("around"), 1, "one run");
+        assertEquals(fixture.received("around"), 1, "one attempt");
     }
 }
--- a/gateway/src/test/java/org/cornelramp/gateway/LateEngineReportTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/LateEngineReportTest.java
@@ -14,12 +14,12 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Questions of a process whose selector stands still. */
-public class LateAnswerTest {
-    /** Longer than a question's timeout, and shorter than a connect's. */
-    private static final long STILL_MILLIS = 300;
+/** Status requests to engines from a process whose selector is stalled. */
+public class LateEngineReportTest {
+    /** Longer than the timeout of a status request, and shorter than a connect timeout. */
+    private static final long STALL_MILLIS = 300;
 
-    private static final long QUICK_MILLIS = 60;
+    private static final long TIMEOUT_MILLIS = 60;
 
     private final HttpClients clients = new HttpClients();
 
@@ -33,57 +33,63 @@
         clients.stop();
     }
 
-    private Either<StoreFault, EngineReport> ask(int port) {
+    private Either<StoreFault, EngineReport> requestReport(int port) {
         BackendServer engine = TestEngines.empty("e1", new HostPort("127.0.0.1", port));
-        return new EngineControl(clients.pooled()).report(engine, QUICK_MILLIS);
+        return new EngineControl(clients.pooled()).report(engine, TIMEOUT_MILLIS);
     }
 
-    private boolean isSilent(SmallServer server) {
-        Either<StoreFault, EngineReport> report = ask(server.port());
+    private boolean isSilent(FixedResponseServer server) {
+        Either<StoreFault, EngineReport> report = requestReport(server.port());
         return report.isLeft() && report.getLeft().kind() == StoreFault.Kind.NO_ANSWER;
     }
 
-    /** Guards against engines held to be dead whose answer lay unread in the socket when the timer went off. */
+    /**
+     * Guards against engines that are declared dead although their response lies unread in the socket when the timer
+     * expires.
+     */
     @Test
-    public void anAnswerThatIsReadLateIsAnAnswer() throws Exception {
-        try (SmallServer server = new SmallServer(true)) {
-            assertFalse(isSilent(server), "a connection is there and kept");
-            HeldUpSelector.holdUp(clients.pooled(), STILL_MILLIS);
+    public void delayedReadOfAResponseCounts() throws Exception {
+        try (FixedResponseServer server = new FixedResponseServer(true)) {
+            assertFalse(isSilent(server), "a pooled connection exists");
+            SelectorStall.stall(clients.pooled(), STALL_MILLIS);
             assertFalse(isSilent(server));
             assertEquals(server.requests(), 2);
         }
     }
 
-    /** Guards against engines held to be dead that had taken a connection which the gateway had not noticed yet. */
+    /**
+     * Guards against engines that are declared dead after they accepted a connection that the gateway has not noticed
+     * yet.
+     */
     @Test
-    public void anEngineThatHasTakenTheConnectionIsGivenTheTimeToAnswer() throws Exception {
-        try (SmallServer server = new SmallServer(true)) {
-            HeldUpSelector.holdUp(clients.pooled(), STILL_MILLIS);
+    public void engineThatAcceptedTheConnectionGetsTimeToRespond() throws Exception {
+        try (FixedResponseServer server = new FixedResponseServer(true)) {
+            SelectorStall.stall(clients.pooled(), STALL_MILLIS);
             assertFalse(isSilent(server));
         }
     }
 
-    /** An engine that takes connections and says nothing is silent. */
+    /** An engine that accepts connections and never responds is reported as silent. */
     @Test
-    public void anEngineThatSaysNothingIsSilent() throws Exception {
-        try (SmallServer server = new SmallServer(false)) {
+    public void engineThatNeverRespondsIsSilent() throws Exception {
+        try (FixedResponseServer server = new FixedResponseServer(false)) {
             assertTrue(isSilent(server));
         }
     }
 
-    /** Guards against dead engines that are found only when the connect's own, longer timeout is over. */
+    /** Guards against dead engines that are detected only after the longer connect timeout. */
     @Test
-    public void anEngineThatTakesNoConnectionIsSilentAfterTheQuestionsTimeout() throws Exception {
-        try (FullServer full = new FullServer()) {
-            assertEquals(ask(full.port()).getLeft().detail(), "no answer in " + QUICK_MILLIS + " ms");
+    public void engineWithoutAcceptedConnectionIsSilentAfterTheRequestTimeout() throws Exception {
+        try (FullBacklogServer full = new FullBacklogServer()) {
+            assertEquals(requestReport(full.port()).getLeft().detail(), "no answer in " + TIMEOUT_MILLIS + " ms");
         }
     }
 
-    /** The same while this process stands still: its own lateness is no sign of life. */
+    /** The same while this process is stalled: its own delay must not count as a sign of life of the engine. */
     @Test
-    public void anEngineThatSaysNothingIsSilentForALateProcessToo() throws Exception {
-        try (SmallServer server = new SmallServer(false)) {
-            HeldUpSelector.holdUp(clients.pooled(), STILL_MILLIS);
+    public void engineThatNeverRespondsIsSilentForAStalledProcessToo() throws Exception {
+        try (FixedResponseServer server = new FixedResponseServer(false)) {
+            SelectorStall.stall(clients.pooled(), STALL_MILLIS);
             assertTrue(isSilent(server));
         }
     }
