--- a/core/src/main/java/org/cornelramp/core/call/PlainCall.java
+++ b/core/src/main/java/org/cornelramp/core/call/PlainCall.java
@@ -16,8 +16,8 @@
 import org.cornelramp.core.model.Outcome;
 import org.cornelramp.core.model.Problem;
 import org.cornelramp.core.model.ProblemKind;
-import org.cornelramp.core.retry.Attempt;
-import org.cornelramp.core.retry.RetryRule;
+import org.cornelramp.core.retry.FailedAttempt;
+import org.cornelramp.core.retry.RetryPolicy;
 
 /**
  * The state of one call to a plain service at its entry.
@@ -252,8 +252,8 @@
         if (why.kind() == ProblemKind.BACKEND_LOST && why.outcome() == Outcome.UNKNOWN) {
             crashes++;
         }
-        Attempt attempt = new Attempt(why, true, retries + 1, crashes, deadline, Duration.ZERO);
-        if (!RetryRule.mayRetry(attempt, now)) {
+        FailedAttempt attempt = new FailedAttempt(why, true, retries + 1, crashes, deadline, Duration.ZERO);
+        if (!RetryPolicy.mayRetry(attempt, now)) {
             return end(new Fail(why));
         }
         retries++;
--- a/core/src/main/java/org/cornelramp/core/model/AgentLoad.java
+++ b/core/src/main/java/org/cornelramp/core/model/AgentLoad.java
@@ -1,7 +1,7 @@
 package org.cornelramp.core.model;
 
 /**
- * The load that an agent tells with each heartbeat, from its own count and not from its engine's lagging report.
+ * The load that an agent reports in each heartbeat, from its own counts, as the report of its engine lags.
  *
  * @param running requests that the backend server is working on
  * @param waiting requests admitted and not started
--- a/core/src/main/java/org/cornelramp/core/model/AgentState.java
+++ b/core/src/main/java/org/cornelramp/core/model/AgentState.java
@@ -1,12 +1,12 @@
 package org.cornelramp.core.model;
 
-/** Whether an agent takes new work. Its own word goes before that of the VM list. */
+/** Whether an agent accepts new work. The state that the agent reports takes precedence over the VM list. */
 public enum AgentState {
-    /** Not yet ready: its backend server has not answered. */
+    /** Not ready yet: its backend server has not answered. */
     STARTING(false),
-    /** Takes new work. */
+    /** Accepts new work. */
     ACTIVE(true),
-    /** Finishes what it has and takes no new work. */
+    /** Finishes its requests and accepts no new work. */
     LEAVING(false),
     /** Its backend server does not answer. */
     BACKEND_DOWN(false);
--- a/core/src/main/java/org/cornelramp/core/model/BackendServerId.java
+++ b/core/src/main/java/org/cornelramp/core/model/BackendServerId.java
@@ -4,24 +4,25 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names one backend server VM; its agent carries the same name over every restart.
+ * Name of a backend server VM; its agent has the same name after every restart.
  *
- * <p>Invariant: {@link Names#isValid the value is a valid name}. Immutable, safe for use by any thread.
+ * <p>Invariant: {@link NameValidator#isValid the value is a valid name}. Immutable, safe for use by any thread.
  */
 public record BackendServerId(@JsonValue String value) implements Comparable<BackendServerId> {
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public BackendServerId {
-        Names.check("backend server", value);
+        NameValidator.check("backend server", value);
     }
 
     /**
-     * Names one life of the server. Two lives never share a name, so what is known of one is never taken for the other.
+     * Returns the id of one incarnation of the server, from its start to its end. Incarnations with different start
+     * times have different ids, so that state of one incarnation is never applied to another.
      *
-     * @param bornMillis when the life began, by the server's own clock; lives are told apart by it, not ordered
+     * @param startMillis start time by the server's own clock; it distinguishes incarnations and does not order them
      */
-    public BackendServerId inLife(long bornMillis) {
-        return new BackendServerId(value + "." + Long.toString(bornMillis, Character.MAX_RADIX));
+    public BackendServerId forIncarnation(long startMillis) {
+        return new BackendServerId(value + "." + Long.toString(startMillis, Character.MAX_RADIX));
     }
 
     @Override
--- a/core/src/main/java/org/cornelramp/core/model/DataCentre.java
+++ b/core/src/main/java/org/cornelramp/core/model/DataCentre.java
@@ -4,15 +4,15 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names the data centre that a process runs in, as its settings say.
+ * Name of the data centre that a process runs in, from its settings.
  *
- * <p>Invariant: {@link Names#isValid the value is a valid name}. Immutable, safe for use by any thread.
+ * <p>Invariant: {@link NameValidator#isValid the value is a valid name}. Immutable, safe for use by any thread.
  */
 public record DataCentre(@JsonValue String value) implements Comparable<DataCentre> {
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public DataCentre {
-        Names.check("data centre", value);
+        NameValidator.check("data centre", value);
     }
 
     @Override
--- a/core/src/main/java/org/cornelramp/core/model/EntryId.java
+++ b/core/src/main/java/org/cornelramp/core/model/EntryId.java
@@ -4,15 +4,15 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names one entry process.
+ * Name of an entry process.
  *
- * <p>Invariant: {@link Names#isValid the value is a valid name}. Immutable, safe for use by any thread.
+ * <p>Invariant: {@link NameValidator#isValid the value is a valid name}. Immutable, safe for use by any thread.
  */
 public record EntryId(@JsonValue String value) implements Comparable<EntryId> {
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public EntryId {
-        Names.check("entry", value);
+        NameValidator.check("entry", value);
     }
 
     @Override
--- a/core/src/main/java/org/cornelramp/core/model/Incarnation.java
+++ b/core/src/main/java/org/cornelramp/core/model/Incarnation.java
@@ -4,25 +4,30 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * One life of one agent: from its start until its process ends.
+ * One incarnation of an agent: its process from start to end.
  *
- * <p>An idempotency key is bound to an incarnation, never to a backend server, so that a restarted agent,
- * whose memory is empty, cannot run again what its earlier life may have run. Two lives of one agent
- * never share a number: it is drawn at random from 64 bits. Immutable, safe for use by any thread.
+ * <p>An idempotency key is bound to an incarnation, never to a backend server, so that a restarted agent, which has lost
+ * its state, cannot run again what may have run before the restart. Incarnations of one agent have different numbers:
+ * each draws 64 random bits. Immutable, safe for use by any thread.
  *
- * @param server the backend server that the agent stands beside
- * @param life random number of this life
+ * @param server the backend server of the agent
+ * @param number random number of this incarnation
  */
-public record Incarnation(BackendServerId server, long life) {
+public record Incarnation(BackendServerId server, long number) {
     private static final char SEPARATOR = '~';
     private static final int HEX = 16;
 
-    /** Reads the text form {@code server~life}, the life in hexadecimal. */
+    /**
+     * Parses the text form {@code server~number}, the number in hexadecimal.
+     *
+     * @throws IllegalArgumentException if the text has another form
+     */
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public static Incarnation parse(String text) {
         int at = text.lastIndexOf(SEPARATOR);
         if (at < 0) {
-            throw new IllegalArgumentException("An incarnation reads server~life, the life in hexadecimal");
+            throw new IllegalArgumentException(
+                    "An incarnation must have the form server~number, the number in hexadecimal");
         }
         return new Incarnation(
                 new BackendServerId(text.substring(0, at)), Long.parseUnsignedLong(text.substring(at + 1), HEX));
@@ -32,6 +37,6 @@
     @JsonValue
     @Override
     public String toString() {
-        return server.value() + SEPARATOR + Long.toHexString(life);
+        return server.value() + SEPARATOR + Long.toHexString(number);
     }
 }
--- a/core/src/main/java/org/cornelramp/core/model/Names.java
+++ b/core/src/main/java/org/cornelramp/core/model/NameValidator.java
@@ -2,14 +2,14 @@
 
 import java.util.regex.Pattern;
 
-/** Checks the names that operators choose. Stateless, safe for use by any thread. */
-public final class Names {
+/** Validates names that operators choose. Stateless, safe for use by any thread. */
+public final class NameValidator {
     /** The longest accepted name, in characters. */
     public static final int MAX_LENGTH = 64;
 
     private static final Pattern VALID = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
 
-    private Names() {}
+    private NameValidator() {}
 
     /** Returns whether {@code value} is 1 to {@value #MAX_LENGTH} letters, digits, dots, dashes or underscores. */
     public static boolean isValid(String value) {
@@ -17,9 +17,9 @@
     }
 
     /**
-     * Refuses a name that is not valid.
+     * Throws an exception if a name is not valid.
      *
-     * @param what the kind of name, for the message
+     * @param what the kind of name, for the error message
      * @throws IllegalArgumentException if {@code value} is not valid
      */
     public static void check(String what, String value) {
--- a/core/src/main/java/org/cornelramp/core/model/Offer.java
+++ b/core/src/main/java/org/cornelramp/core/model/Offer.java
@@ -9,7 +9,7 @@
  * @param layers the layers held, for a model; empty for a plain service
  * @param version version of the model or service
  * @param accelerator kind of accelerator, for reports
- * @param slots requests that the backend server runs side by side
+ * @param slots requests that the backend server runs at the same time
  */
 public record Offer(ServiceName service, Optional<LayerRange> layers, String version, String accelerator, int slots) {
 
--- a/core/src/main/java/org/cornelramp/core/model/OrganisationId.java
+++ b/core/src/main/java/org/cornelramp/core/model/OrganisationId.java
@@ -4,15 +4,15 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names one organisation, the unit that shares, limits and service-level reports are kept for.
+ * Name of an organisation, the unit to which shares, limits and service-level reports apply.
  *
- * <p>Invariant: {@link Names#isValid the value is a valid name}. Immutable, safe for use by any thread.
+ * <p>Invariant: {@link NameValidator#isValid the value is a valid name}. Immutable, safe for use by any thread.
  */
 public record OrganisationId(@JsonValue String value) implements Comparable<OrganisationId> {
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public OrganisationId {
-        Names.check("organisation", value);
+        NameValidator.check("organisation", value);
     }
 
     @Override
--- a/core/src/main/java/org/cornelramp/core/model/Outcome.java
+++ b/core/src/main/java/org/cornelramp/core/model/Outcome.java
@@ -3,18 +3,19 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * What is known of a request's effect when its caller gets the final answer. The set is closed.
+ * What is known about the effect of a request when its caller gets the final answer. The set is closed.
  *
- * <p>{@link #UNKNOWN} is never reported as one of the others: a caller told {@link #NOT_RUN} may safely book again.
+ * <p>{@link #UNKNOWN} is never reported as another value: a caller that gets {@link #NOT_RUN} may safely send the
+ * request again, for example a booking.
  */
 public enum Outcome {
     /** The request ran, and the caller has its whole answer. */
     @JsonProperty("answered")
     ANSWERED("answered"),
-    /** The request did not run and never will under its key. */
+    /** The request did not run and never will under its idempotency key. */
     @JsonProperty("not-run")
     NOT_RUN("not-run"),
-    /** The request may have run: the process that knew has ended without a word. */
+    /** The request may have run: the process that knew has ended without reporting it. */
     @JsonProperty("unknown")
     UNKNOWN("unknown");
 
--- a/core/src/main/java/org/cornelramp/core/model/ProblemKind.java
+++ b/core/src/main/java/org/cornelramp/core/model/ProblemKind.java
@@ -5,10 +5,10 @@
 import java.util.Locale;
 
 /**
- * Why a request was refused or given up on. The set is closed; each kind carries its HTTP status and the
- * remedy that its caller is told.
+ * Why a request was refused or abandoned. The set is closed; each kind carries its HTTP status and the remedy that is
+ * reported to the caller.
  *
- * <p>The kind does not fix the {@link Outcome}: a lost backend server may leave either not-run or unknown.
+ * <p>The kind does not determine the {@link Outcome}: after the loss of a backend server it may be not-run or unknown.
  */
 public enum ProblemKind {
     MALFORMED_REQUEST(400, "Correct the request as the detail says."),
@@ -51,7 +51,7 @@
         return status;
     }
 
-    /** What the caller should do, as one sentence. */
+    /** What the caller should do, in one sentence. */
     public String remedy() {
         return remedy;
     }
@@ -62,7 +62,11 @@
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** Reads the form that {@link #text} gives. An unknown kind is refused rather than guessed. */
+    /**
+     * Parses the form that {@link #text} gives.
+     *
+     * @throws IllegalArgumentException if the kind is unknown
+     */
     @JsonCreator
     public static ProblemKind parse(String text) {
         return valueOf(text.toUpperCase(Locale.ROOT).replace('-', '_'));
--- a/core/src/main/java/org/cornelramp/core/model/ServiceName.java
+++ b/core/src/main/java/org/cornelramp/core/model/ServiceName.java
@@ -4,15 +4,15 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names what callers ask for: a model, or a plain service beside the models.
+ * Name of what callers request: a model, or a plain service beside the models.
  *
- * <p>Invariant: {@link Names#isValid the value is a valid name}. Immutable, safe for use by any thread.
+ * <p>Invariant: {@link NameValidator#isValid the value is a valid name}. Immutable, safe for use by any thread.
  */
 public record ServiceName(@JsonValue String value) implements Comparable<ServiceName> {
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public ServiceName {
-        Names.check("service", value);
+        NameValidator.check("service", value);
     }
 
     @Override
--- a/core/src/main/java/org/cornelramp/core/model/package-info.java
+++ b/core/src/main/java/org/cornelramp/core/model/package-info.java
@@ -1,2 +1,2 @@
-/** The words of the system: names, offers, outcomes and problems. Everything here is immutable. */
+/** Basic value types: names, offers, outcomes and problems. All types are immutable. */
 package org.cornelramp.core.model;
--- a/core/src/main/java/org/cornelramp/core/operate/BurnDocument.java
+++ b/core/src/main/java/org/cornelramp/core/operate/BurnDocument.java
@@ -4,11 +4,11 @@
 import org.cornelramp.core.burn.BurnRow;
 
 /**
- * The requests that ended at one entry. Immutable, safe for use by any thread.
+ * Counts of the requests that ended at one entry, for burn rates. Immutable, safe for use by any thread.
  *
  * @param entry the entry
- * @param since when it began to count, in milliseconds since 1970; a longer window counts only from then on
- * @param uncounted requests of rows beyond those that it has room for
+ * @param since when counting began, in milliseconds since 1970; windows that start earlier count from then on
+ * @param uncounted requests of rows that exceed the capacity of the counters
  * @param rows the counts of each row
  */
 public record BurnDocument(String entry, long since, long uncounted, List<BurnRow> rows) {}
--- a/core/src/main/java/org/cornelramp/core/operate/EditDocument.java
+++ b/core/src/main/java/org/cornelramp/core/operate/EditDocument.java
@@ -7,7 +7,7 @@
 import org.cornelramp.core.table.RowValues;
 
 /**
- * One edit that an operator asks for. Immutable, safe for use by any thread.
+ * One edit that an operator requests. Immutable, safe for use by any thread.
  *
  * @param organisation the organisation
  * @param service the service
@@ -16,7 +16,7 @@
  */
 public record EditDocument(OrganisationId organisation, ServiceName service, long against, Optional<RowValues> values) {
 
-    /** Organisation and service. */
+    /** Returns organisation and service as a key. */
     public RowKey key() {
         return new RowKey(organisation, service);
     }
--- a/core/src/main/java/org/cornelramp/core/operate/EditSettlement.java
+++ b/core/src/main/java/org/cornelramp/core/operate/EditResultResolver.java
@@ -8,21 +8,22 @@
 import org.cornelramp.core.table.TableEdit;
 
 /**
- * Tells what became of an edit from what was read back, never from whether an append was answered.
+ * Determines the result of an edit from the records read back from the log, never from the reply to an append, which may
+ * be lost.
  *
- * <p>Pure and stateless, safe for use by any thread.
+ * <p>Stateless, safe for use by any thread.
  */
-public final class EditSettlement {
-    private EditSettlement() {}
+public final class EditResultResolver {
+    private EditResultResolver() {}
 
     /**
-     * What became of an edit.
+     * Returns the result of an edit.
      *
      * @param table the table in force
      * @param edit the edit
      * @param since all records that the log held since before the edit was first appended, up to the table's offset
      */
-    public static EditResult settle(FoldedTable table, TableEdit edit, List<LoggedRecord> since) {
+    public static EditResult resolve(FoldedTable table, TableEdit edit, List<LoggedRecord> since) {
         RowHistory history = RowHistory.of(table, edit.key(), since);
         Optional<RowHistory.Entry> found = history.find(edit.id());
         if (found.isEmpty()) {
@@ -31,26 +32,27 @@
         long offset = found.get().offset();
         return history.isAccepted(offset)
                 ? accepted(table, edit, offset)
-                : rejected(table, edit, Optional.of(offset), lostTo(table, edit, history));
+                : rejected(table, edit, Optional.of(offset), conflictDetail(table, edit, history));
     }
 
-    /** The edit was made against a version that is in force no more, and was not appended. */
-    public static EditResult lost(FoldedTable table, TableEdit edit, List<LoggedRecord> since) {
-        return rejected(table, edit, Optional.empty(), lostTo(table, edit, RowHistory.of(table, edit.key(), since)));
+    /** Returns the result of an edit that was not appended, as it was made against a version no longer in force. */
+    public static EditResult staleVersion(FoldedTable table, TableEdit edit, List<LoggedRecord> since) {
+        return rejected(
+                table, edit, Optional.empty(), conflictDetail(table, edit, RowHistory.of(table, edit.key(), since)));
     }
 
-    /** The edit at an offset is in force. */
+    /** Returns the result of an edit that is in force, with the offset of its record. */
     public static EditResult accepted(FoldedTable table, TableEdit edit, long offset) {
         RowDocument own = new RowDocument(edit.key().organisation(), edit.key().service(), offset, edit.values());
         return new EditResult(EditResult.Kind.ACCEPTED, edit.id(), own, Optional.of(offset), "");
     }
 
-    /** The edit changed nothing and never will. */
+    /** Returns the result of an edit that changed nothing and never will. */
     public static EditResult rejected(FoldedTable table, TableEdit edit, Optional<Long> offset, String detail) {
         return new EditResult(EditResult.Kind.REJECTED, edit.id(), RowDocument.of(table, edit.key()), offset, detail);
     }
 
-    /** The edit may be on the log, and could not be read back. */
+    /** Returns the result of an edit that may be on the log, but could not be read back. */
     public static EditResult unknown(FoldedTable table, TableEdit edit, Optional<Long> offset) {
         return new EditResult(
                 EditResult.Kind.UNKNOWN,
@@ -61,7 +63,7 @@
                         + " was accepted. Editing against the same version again is harmless.");
     }
 
-    private static String lostTo(FoldedTable table, TableEdit edit, RowHistory history) {
+    private static String conflictDetail(FoldedTable table, TableEdit edit, RowHistory history) {
         String winner = history.winnerAgainst(edit.against())
                 .map(entry -> "the edit at offset " + entry.offset() + " by "
                         + entry.edit().by() + " came first")
--- a/core/src/main/java/org/cornelramp/core/operate/ExplainDocument.java
+++ b/core/src/main/java/org/cornelramp/core/operate/ExplainDocument.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * What one entry decided on one request. Immutable, safe for use by any thread.
+ * The decisions of one entry about one request. Immutable, safe for use by any thread.
  *
  * @param entry the entry
  * @param requestId the request
@@ -15,8 +15,8 @@
      * One decision.
      *
      * @param at when, in milliseconds since 1970
-     * @param step what was decided
-     * @param facts where and why, as key=value facts
+     * @param step the decision
+     * @param facts place and reason as key=value pairs
      */
     public record Step(long at, String step, String facts) {}
 }
--- a/core/src/main/java/org/cornelramp/core/operate/HistoryDocument.java
+++ b/core/src/main/java/org/cornelramp/core/operate/HistoryDocument.java
@@ -19,7 +19,7 @@
      * @param offset offset of its record
      * @param at when the log took it, in milliseconds since 1970
      * @param id its id
-     * @param by who made it
+     * @param by the operator who made it
      * @param against version that it was made against
      * @param accepted whether it came into force
      * @param values the columns; empty for a deletion
--- a/core/src/main/java/org/cornelramp/core/operate/OperatorJson.java
+++ b/core/src/main/java/org/cornelramp/core/operate/OperatorJson.java
@@ -8,7 +8,7 @@
 
 /** Reads and writes the documents of this package. Stateless, safe for use by any thread. */
 public final class OperatorJson {
-    /** Refuses unknown, absent and mistyped names: a misspelt column must not leave a limit as it was. */
+    /** Rejects unknown and missing fields and wrong types, as a misspelt column would leave a limit unchanged. */
     public static final ObjectMapper STRICT = builder()
             .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
             .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES)
@@ -18,7 +18,7 @@
             .disable(MapperFeature.ALLOW_COERCION_OF_SCALARS)
             .build();
 
-    /** Passes over unknown names, so that a command line understands entries of a neighbouring version. */
+    /** Ignores unknown fields, so that the command line understands entries of an adjacent version. */
     public static final ObjectMapper LENIENT =
             builder().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
 
--- a/core/src/main/java/org/cornelramp/core/operate/RowDocument.java
+++ b/core/src/main/java/org/cornelramp/core/operate/RowDocument.java
@@ -9,21 +9,21 @@
 import org.cornelramp.core.table.RowValues;
 
 /**
- * A row as an operator reads it. Immutable, safe for use by any thread.
+ * A table row as operators read it. Immutable, safe for use by any thread.
  *
  * @param organisation the organisation
  * @param service the service
- * @param version version to name when editing the row; of its deletion if it was deleted; -1 if it never was
+ * @param version version that an edit of the row must name; that of its deletion if deleted; -1 if it never existed
  * @param values the columns; empty if there is no such row
  */
 public record RowDocument(OrganisationId organisation, ServiceName service, long version, Optional<RowValues> values) {
 
-    /** The document of a row in force. */
+    /** Returns the document of a row in force. */
     public static RowDocument of(Row row) {
         return new RowDocument(row.key().organisation(), row.key().service(), row.version(), Optional.of(row.values()));
     }
 
-    /** The document of a row that may not be there. */
+    /** Returns the document of a row that may not exist. */
     public static RowDocument of(FoldedTable table, RowKey key) {
         return new RowDocument(
                 key.organisation(),
@@ -32,7 +32,7 @@
                 table.row(key).map(Row::values));
     }
 
-    /** Organisation and service. */
+    /** Returns organisation and service as a key. */
     public RowKey key() {
         return new RowKey(organisation, service);
     }
--- a/core/src/main/java/org/cornelramp/core/operate/package-info.java
+++ b/core/src/main/java/org/cornelramp/core/operate/package-info.java
@@ -1,2 +1,2 @@
-/** The documents of the operators' interface, as entries serve and the command line reads them. All immutable. */
+/** JSON documents of the operators' HTTP interface, served by entries and read by the command line. All immutable. */
 package org.cornelramp.core.operate;
--- a/core/src/main/java/org/cornelramp/core/path/EngineLoads.java
+++ b/core/src/main/java/org/cornelramp/core/path/EngineLoads.java
@@ -6,71 +6,71 @@
 import org.cornelramp.core.model.BackendServerId;
 
 /**
- * What this process and its peers have under way on each engine, and how slow each was last seen to be. Owned by one
- * thread.
+ * Load that the requests of this process and its peers put on each engine, and the last known slowdown and share of
+ * failures of each engine. Owned by one thread.
  *
  * <p>Invariant: every path that is added is removed once, with the same tokens.
  */
 public final class EngineLoads {
-    private static final Load NONE = new Load(0, 0, 0, 0);
+    private static final Load NO_LOAD = new Load(0, 0, 0, 0);
 
-    /** Age up to which a pace is believed; a slow engine is avoided, so nobody would notice its recovery. */
-    private static final long PACE_MILLIS = 4_000;
+    /** Age at which a slowdown expires: a slow engine is avoided, so no new measurement would show its recovery. */
+    private static final long SLOWDOWN_VALID_MILLIS = 4_000;
 
-    private final Map<BackendServerId, Load> loads = new HashMap<>();
+    private final Map<BackendServerId, Load> ownLoads = new HashMap<>();
 
-    /** Own loads and those of all peers: asked for each engine for each request, while news come a few times a second. */
+    /** Sum of the own loads and those of all peers; read for each engine and request, updated a few times a second. */
     private final Map<BackendServerId, Load> total = new HashMap<>();
 
-    /** Weight of the newest request in the share of failures: about the last ten count. */
-    private static final double NEWEST = 0.1;
+    /** Weight of the latest request in the moving average of failures, which covers about the last ten. */
+    private static final double LATEST_REQUEST_WEIGHT = 0.1;
 
-    private final Map<BackendServerId, Double> failures = new HashMap<>();
-    private final Map<String, News> peers = new HashMap<>();
-    private final Map<BackendServerId, Pace> paces = new HashMap<>();
+    private final Map<BackendServerId, Double> failureShares = new HashMap<>();
+    private final Map<String, PeerLoads> peers = new HashMap<>();
+    private final Map<BackendServerId, Slowdown> slowdowns = new HashMap<>();
     private int ownCrossings;
 
     /**
      * Load of one engine. Immutable, safe for use by any thread.
      *
-     * @param requests requests that pass it
-     * @param asFirst those of them that were sent to it
-     * @param tokenLayers tokens times layers that they take
-     * @param reading prompt tokens of those whose first event has not come
+     * @param requests requests whose path contains the engine
+     * @param asFirstEngine those of them for which it is the first engine
+     * @param tokenLayers tokens times layers that the requests occupy in its memory
+     * @param pendingPromptTokens prompt tokens of the requests whose first event has not arrived
      */
-    public record Load(int requests, int asFirst, long tokenLayers, int reading) {
+    public record Load(int requests, int asFirstEngine, long tokenLayers, int pendingPromptTokens) {
         Load plus(Load other) {
             return new Load(
                     requests + other.requests,
-                    asFirst + other.asFirst,
+                    asFirstEngine + other.asFirstEngine,
                     tokenLayers + other.tokenLayers,
-                    reading + other.reading);
+                    pendingPromptTokens + other.pendingPromptTokens);
         }
 
         Load negated() {
-            return new Load(-requests, -asFirst, -tokenLayers, -reading);
+            return new Load(-requests, -asFirstEngine, -tokenLayers, -pendingPromptTokens);
         }
     }
 
-    private record News(Map<BackendServerId, Load> loads, int crossings, long heardMillis) {}
+    private record PeerLoads(Map<BackendServerId, Load> loads, int crossings, long receivedMillis) {}
 
-    private record Pace(double factor, long heardMillis) {}
+    private record Slowdown(double factor, long receivedMillis) {}
 
-    /** Notes what a peer has under way; it counts until the next news, or until the peer falls silent. */
-    public void peer(String name, Map<BackendServerId, Load> underWay, int crossings, long nowMillis) {
-        forget(peers.put(name, new News(Map.copyOf(underWay), crossings, nowMillis)));
-        underWay.forEach(this::addToTotal);
+    /** Records the loads of a peer; they count until its next update or until {@link #removeSilentPeers}. */
+    public void updatePeer(String name, Map<BackendServerId, Load> peerLoads, int crossings, long nowMillis) {
+        subtractFromTotal(peers.put(name, new PeerLoads(Map.copyOf(peerLoads), crossings, nowMillis)));
+        peerLoads.forEach(this::addToTotal);
     }
 
-    /** Notes that a peer lives whose news did not tell what it has under way: what it told last still counts. */
-    public void heard(String name, int crossings, long nowMillis) {
-        News last = peers.get(name);
-        peers.put(name, new News(last == null ? Map.of() : last.loads(), crossings, nowMillis));
+    /** Records an update of a peer that carries no loads: the peer is alive, and its last loads still count. */
+    public void keepPeer(String name, int crossings, long nowMillis) {
+        PeerLoads previous = peers.get(name);
+        peers.put(name, new PeerLoads(previous == null ? Map.of() : previous.loads(), crossings, nowMillis));
     }
 
-    private void forget(News old) {
-        if (old != null) {
-            old.loads().forEach((id, load) -> addToTotal(id, load.negated()));
+    private void subtractFromTotal(PeerLoads previous) {
+        if (previous != null) {
+            previous.loads().forEach((id, load) -> addToTotal(id, load.negated()));
         }
     }
 
@@ -78,53 +78,58 @@
         total.merge(id, load, EngineLoads::sum);
     }
 
-    /** Forgets peers that have been silent for so long; what a dead process had under way has ended. */
-    public void forgetSilent(long silenceMillis, long nowMillis) {
-        peers.values().removeIf(news -> {
-            boolean silent = nowMillis - news.heardMillis() > silenceMillis;
-            forget(silent ? news : null);
+    /** Removes peers without an update for longer than the given time: the requests of a dead process have ended. */
+    public void removeSilentPeers(long silenceMillis, long nowMillis) {
+        peers.values().removeIf(update -> {
+            boolean silent = nowMillis - update.receivedMillis() > silenceMillis;
+            subtractFromTotal(silent ? update : null);
             return silent;
         });
     }
 
-    /** Number of peers heard of. */
+    /** Returns the number of peers whose last update has not expired. */
     public int peerCount() {
         return peers.size();
     }
 
-    /** Hops to another data centre of all requests under way, by this process and its peers. */
+    /** Returns the hops to another data centre of all requests in progress at this process and its peers. */
     public int crossings() {
-        return ownCrossings + peers.values().stream().mapToInt(News::crossings).sum();
+        return ownCrossings
+                + peers.values().stream().mapToInt(PeerLoads::crossings).sum();
     }
 
-    /** Hops to another data centre of this process's own requests under way. */
+    /** Returns the hops to another data centre of this process's own requests in progress. */
     public int ownCrossings() {
         return ownCrossings;
     }
 
-    /** What this process itself has under way. */
-    public Map<BackendServerId, Load> own() {
-        return Map.copyOf(loads);
+    /** Returns the loads by this process's own requests. */
+    public Map<BackendServerId, Load> ownLoads() {
+        return Map.copyOf(ownLoads);
     }
 
-    /** Adds a request. */
+    /**
+     * Adds the load of an own request.
+     *
+     * @param tokens expected tokens of prompt and answer
+     */
     public void add(StagePath path, int tokens) {
-        change(path, tokens, 1);
+        changeOwn(path, tokens, 1);
     }
 
-    /** Notes that the engines of a path have this many prompt tokens more to read, or fewer if negative. */
-    public void reading(StagePath path, int tokens) {
+    /** Adds prompt tokens that the engines of a path still have to read; a negative number removes them. */
+    public void addPendingPromptTokens(StagePath path, int tokens) {
         for (Hop hop : path.hops()) {
             addOwn(hop.server().id(), new Load(0, 0, 0, tokens));
         }
     }
 
-    /** Removes a request. */
+    /** Removes the load of an own request; {@code tokens} as it was added. */
     public void remove(StagePath path, int tokens) {
-        change(path, tokens, -1);
+        changeOwn(path, tokens, -1);
     }
 
-    private void change(StagePath path, int tokens, int sign) {
+    private void changeOwn(StagePath path, int tokens, int sign) {
         ownCrossings += sign * path.crossings();
         for (Hop hop : path.hops()) {
             int first = hop.from() == 0 ? sign : 0;
@@ -134,66 +139,66 @@
     }
 
     private void addOwn(BackendServerId id, Load load) {
-        loads.merge(id, load, EngineLoads::sum);
+        ownLoads.merge(id, load, EngineLoads::sum);
         addToTotal(id, load);
     }
 
     private static Load sum(Load a, Load b) {
         Load sum = a.plus(b);
-        return sum.equals(NONE) ? null : sum;
+        return sum.equals(NO_LOAD) ? null : sum;
     }
 
-    /** Load of an engine, by this process and its peers. */
+    /** Returns the load of an engine by this process and its peers. */
     public Load load(BackendServerId id) {
-        return total.getOrDefault(id, NONE);
+        return total.getOrDefault(id, NO_LOAD);
     }
 
-    /** Notes whether an engine that a request was sent to broke it off by itself. */
-    public void ended(BackendServerId first, boolean failed) {
-        double before = failures.getOrDefault(first, 0.0);
-        double after = before + NEWEST * ((failed ? 1 : 0) - before);
-        if (failed || after > NEWEST / 2) {
-            failures.put(first, after);
+    /** Records whether the first engine of a path broke off the request by itself. */
+    public void recordOutcome(BackendServerId first, boolean failed) {
+        double before = failureShares.getOrDefault(first, 0.0);
+        double after = before + LATEST_REQUEST_WEIGHT * ((failed ? 1 : 0) - before);
+        if (failed || after > LATEST_REQUEST_WEIGHT / 2) {
+            failureShares.put(first, after);
         } else {
-            failures.remove(first);
+            failureShares.remove(first);
         }
     }
 
-    /** Share of the last requests sent to the engine that it broke off by itself, from 0 to 1. */
+    /** Returns the share of the latest requests sent to the engine that it broke off by itself, from 0 to 1. */
     public double failureShare(BackendServerId first) {
-        return failures.getOrDefault(first, 0.0);
+        return failureShares.getOrDefault(first, 0.0);
     }
 
-    /** How many times longer than usual the engine takes, as last told; 1 if it has not told lately. */
-    public double pace(BackendServerId id) {
-        Pace pace = paces.get(id);
-        return pace == null ? 1 : pace.factor();
+    /** Returns how many times longer than usual the engine takes, as last reported; 1 if there is no recent report. */
+    public double slowdown(BackendServerId id) {
+        Slowdown last = slowdowns.get(id);
+        return last == null ? 1 : last.factor();
     }
 
-    /** Notes how many times longer than usual an engine takes. */
-    public void setPace(BackendServerId id, double factor, long nowMillis) {
-        paces.put(id, new Pace(factor, nowMillis));
+    /** Records how many times longer than usual an engine takes. */
+    public void setSlowdown(BackendServerId id, double factor, long nowMillis) {
+        slowdowns.put(id, new Slowdown(factor, nowMillis));
     }
 
-    /** The paces that are not usual. */
-    public Map<BackendServerId, Double> unusualPaces() {
+    /** Returns the factors of the engines that take longer than usual. */
+    public Map<BackendServerId, Double> slowdownFactors() {
         Map<BackendServerId, Double> unusual = new HashMap<>();
-        paces.forEach((id, pace) -> {
-            if (pace.factor() > 1) {
-                unusual.put(id, pace.factor());
+        slowdowns.forEach((id, slowdown) -> {
+            if (slowdown.factor() > 1) {
+                unusual.put(id, slowdown.factor());
             }
         });
         return unusual;
     }
 
-    /** Forgets paces that were told too long ago. */
-    public void forgetPaces(long nowMillis) {
-        paces.values().removeIf(pace -> nowMillis - pace.heardMillis() > PACE_MILLIS);
+    /** Removes the slowdowns that have expired. */
+    public void removeExpiredSlowdowns(long nowMillis) {
+        slowdowns.values().removeIf(slowdown -> nowMillis - slowdown.receivedMillis() > SLOWDOWN_VALID_MILLIS);
     }
 
-    /** Forgets the pace and the failures of engines that nobody knows any more. */
+    /** Removes the slowdowns and failures of engines that are no longer known. */
     public void retain(Predicate<BackendServerId> known) {
-        paces.keySet().removeIf(id -> !known.test(id));
-        failures.keySet().removeIf(id -> !known.test(id));
+        slowdowns.keySet().removeIf(id -> !known.test(id));
+        failureShares.keySet().removeIf(id -> !known.test(id));
     }
 }
--- a/core/src/main/java/org/cornelramp/core/path/PathFinder.java
+++ b/core/src/main/java/org/cornelramp/core/path/PathFinder.java
@@ -15,230 +15,242 @@
 import org.cornelramp.core.routing.EngineSpec;
 
 /**
- * Finds the fastest way through the model over the engines that hold its layers.
+ * Finds the fastest path through the layers of a model over the engines that hold them.
  *
- * <p>A shortest path over (layer, data centre): each engine that holds the next layer runs all that it holds from
- * there on. Its cost is the expected time of a token, which grows with what runs there, so that requests spread over
- * copies; an engine without memory for the request is left out. Stateless, safe for use by any thread.
+ * <p>Searches a shortest path over the states (layer, data centre): an engine that holds the next layer runs all layers
+ * that it holds from there on. The cost of an engine is the expected time for one token. It grows with the load of the
+ * engine, so that requests spread over the copies of the model. An engine without memory for the request is left out.
+ * Stateless, safe for use by any thread.
  */
 public final class PathFinder {
-    /** A token that comes while a step is under way waits for half of it on average, then takes its own. */
-    private static final double WAITING_FACTOR = 1.5;
+    /** A token that arrives during a step waits for half of that step on average and then takes a step of its own. */
+    private static final double QUEUEING_FACTOR = 1.5;
 
-    /** Network and handling for each hop within a data centre, in milliseconds; twice the links' delay. */
+    /** Network delay and processing for each hop within a data centre, in milliseconds; twice the delay of the links. */
     private static final double HOP_MILLIS = 0.2;
 
     /**
-     * Cost of each engine on a path, in milliseconds of token time: it may die under the stream, which then pauses for as
-     * long as many tokens take. No part of the time that a token is expected to take.
+     * Cost of each engine of a path, in milliseconds of token time, for the risk that it dies during the stream, which
+     * then pauses for the time of many tokens. Not part of the expected token time.
      */
-    private static final double RISK_MILLIS = 0.8;
+    private static final double DEATH_RISK_MILLIS = 0.8;
 
-    /** Cost of a hop to another data centre over an idle pipe, in milliseconds of token time. */
-    private static final double CROSS_MILLIS = 20;
+    /** Cost of a hop to another data centre over an idle link, in milliseconds of token time. */
+    private static final double CROSS_DATA_CENTRE_MILLIS = 20;
 
     /**
-     * Share of the pipe between data centres that paths may plan to use. The pipe carries one transfer after another,
-     * so beyond this the waiting grows faster than any engine is slow, and every stream that crosses stalls.
+     * Share of the link between data centres that paths may plan to use. The link carries one transfer after another,
+     * so above this utilisation the queueing delay outweighs any slow engine, and all streams that cross it stall.
      */
-    private static final double PIPE_SHARE = 0.5;
+    private static final double MAX_LINK_SHARE = 0.5;
 
-    /** Time that an ordinary stream is under way, in seconds, over which its tokens cross. */
-    private static final double STREAM_SECONDS = 4;
+    /** Duration of an ordinary stream, in seconds, over which its tokens cross the link. */
+    private static final double USUAL_STREAM_SECONDS = 4;
 
     private static final double BITS_PER_MEGABIT = 1e6;
 
     /**
-     * Cost of a first engine in another data centre: its events cross, but no activations do. A little more than the
-     * way there and back, so that equal copies keep their own clients.
+     * Cost of a first engine in another data centre, in milliseconds of token time: events cross the link, but no
+     * activations. Slightly above the round-trip time, so that of equal copies the one in the own data centre is used.
      */
-    private static final double ENTRY_MILLIS = 3;
+    private static final double REMOTE_FIRST_ENGINE_MILLIS = 3;
 
     /**
-     * Part of the time that an engine needs for prompts still to be read which counts as time of a token. When a chain
-     * of engines dies, thirty prompts are read anew at once; without this all of them queue at the next best chain for
-     * 200 ms, while another could read half of them.
+     * Part of the time for an engine's prompts that wait for prefill which counts as token time. When a chain of engines
+     * dies, thirty prompts may be read again at once. Without this term all of them queue at the next best chain for
+     * 200 ms, although another chain could read half of them.
      */
-    private static final double READING_PART = 0.05;
+    private static final double PENDING_PROMPT_PART = 0.05;
 
     /**
-     * Cost of a first engine that always fails, in milliseconds of token time: two to three usual paths. An engine may
-     * break requests off while its reports are good; without this it looks idle and draws every new stream, until the
-     * repeats of all gateways are used up. It is a cost and no ban, as nobody else may hold its layers.
+     * Cost of a first engine that always fails, in milliseconds of token time: two to three times a usual path. An
+     * engine may break off requests while it reports good health. Without this cost it looks idle and attracts every
+     * new stream, until the retries of all gateways are used up. The engine is not excluded, as it may be the only one
+     * that holds its layers.
      */
-    private static final double FAILURE_MILLIS = 100;
+    private static final double CONSTANT_FAILURE_MILLIS = 100;
 
-    /** Share of an engine's memory that is filled; the rest is for what peers have just sent and for long answers. */
-    private static final double MEMORY_SHARE = 0.92;
+    /** Share of an engine's memory that is planned; the rest is for requests just sent by peers and for long answers. */
+    private static final double MAX_MEMORY_SHARE = 0.92;
 
     private PathFinder() {}
 
     /**
-     * What a path is for. Immutable, safe for use by any thread.
+     * What a request needs of a path. Immutable, safe for use by any thread.
      *
-     * @param home data centre of the process that passes the events on
-     * @param prompt tokens to read
-     * @param tokens tokens that the request is expected to take in the end
-     * @param firsts the engines that may take the request; empty for any
+     * @param clientDataCentre data centre of the process that forwards the events to the client
+     * @param promptTokens tokens of the prompt
+     * @param expectedTokens expected tokens of prompt and answer
+     * @param allowedFirstEngines the engines that may be the first of the path; empty for any
      */
-    public record Demand(DataCentre home, int prompt, int tokens, Set<BackendServerId> firsts) {
+    public record Demand(
+            DataCentre clientDataCentre,
+            int promptTokens,
+            int expectedTokens,
+            Set<BackendServerId> allowedFirstEngines) {
         public Demand {
-            firsts = Set.copyOf(firsts);
+            allowedFirstEngines = Set.copyOf(allowedFirstEngines);
         }
 
         boolean mayStartAt(BackendServer server) {
-            return firsts.isEmpty() || firsts.contains(server.id());
+            return allowedFirstEngines.isEmpty() || allowedFirstEngines.contains(server.id());
         }
     }
 
-    private record Step(double cost, Step before, BackendServer server, int from, int to, DataCentre at) {}
+    private record PartialPath(
+            double cost, PartialPath previous, BackendServer server, int from, int to, DataCentre dataCentre) {}
 
-    /** The fastest path over the given engines, each of which may take work; empty if no path has room. */
+    /** Returns the fastest path over the given engines, all of which accept work; empty if no path has capacity. */
     public static Optional<StagePath> find(
             EngineSpec spec, List<BackendServer> engines, EngineLoads loads, Demand demand) {
-        return search(new Step(0, null, null, 0, 0, demand.home()), spec, engines, loads, demand);
+        return search(new PartialPath(0, null, null, 0, 0, demand.clientDataCentre()), spec, engines, loads, demand);
     }
 
-    /** The fastest path that starts with the given hop; empty if no path has room. */
+    /** Returns the fastest path that starts with the given hop; empty if no path has capacity. */
     public static Optional<StagePath> findAfter(
             Hop first, EngineSpec spec, List<BackendServer> engines, EngineLoads loads, Demand demand) {
-        DataCentre at = first.server().dataCentre();
-        Step nothing = new Step(0, null, null, 0, 0, at);
+        DataCentre dataCentre = first.server().dataCentre();
+        PartialPath empty = new PartialPath(0, null, null, 0, 0, dataCentre);
         List<BackendServer> others = engines.stream()
                 .filter(server -> !server.id().equals(first.server().id()))
                 .toList();
-        return search(new Step(0, nothing, first.server(), 0, first.to(), at), spec, others, loads, demand);
+        return search(
+                new PartialPath(0, empty, first.server(), 0, first.to(), dataCentre), spec, others, loads, demand);
     }
 
     private static Optional<StagePath> search(
-            Step start, EngineSpec spec, List<BackendServer> engines, EngineLoads loads, Demand demand) {
-        List<List<Engine>> holders = holders(spec, engines, loads);
-        List<List<Step>> best = new ArrayList<>();
+            PartialPath start, EngineSpec spec, List<BackendServer> engines, EngineLoads loads, Demand demand) {
+        List<List<Candidate>> candidates = candidatesByLayer(spec, engines, loads);
+        List<List<PartialPath>> best = new ArrayList<>();
         for (int layer = 0; layer <= spec.layers(); layer++) {
             best.add(new ArrayList<>());
         }
         best.get(start.to()).add(start);
-        double crossMillis = crossMillis(spec, loads);
+        double crossDataCentreMillis = crossDataCentreMillis(spec, loads);
         for (int layer = start.to(); layer < spec.layers(); layer++) {
-            for (Engine engine : best.get(layer).isEmpty() ? List.<Engine>of() : holders.get(layer)) {
-                extend(best, layer, engine, demand, crossMillis);
+            for (Candidate engine : best.get(layer).isEmpty() ? List.<Candidate>of() : candidates.get(layer)) {
+                extend(best, layer, engine, demand, crossDataCentreMillis);
             }
         }
         return best.get(spec.layers()).stream()
-                .min(Comparator.comparingDouble(Step::cost))
-                .map(last -> path(last, spec, demand));
+                .min(Comparator.comparingDouble(PartialPath::cost))
+                .map(last -> toPath(last, spec, demand));
     }
 
-    /** For each layer the engines that hold it, so that a search among hundreds looks at a few for each step. */
-    private static List<List<Engine>> holders(EngineSpec spec, List<BackendServer> engines, EngineLoads loads) {
-        List<List<Engine>> holders = new ArrayList<>(spec.layers());
+    /** Lists the engines that hold each layer, so that a search among hundreds looks at a few engines for each step. */
+    private static List<List<Candidate>> candidatesByLayer(
+            EngineSpec spec, List<BackendServer> engines, EngineLoads loads) {
+        List<List<Candidate>> candidates = new ArrayList<>(spec.layers());
         for (int layer = 0; layer < spec.layers(); layer++) {
-            holders.add(new ArrayList<>());
+            candidates.add(new ArrayList<>());
         }
         for (BackendServer server : engines) {
             Optional<CardKind> card = spec.card(server.card());
             Optional<LayerRange> layers = server.layers();
             if (card.isPresent() && layers.isPresent()) {
-                Engine engine = new Engine(server, layers.get(), card.get(), spec, loads);
-                holders.subList(
+                Candidate engine = new Candidate(server, layers.get(), card.get(), spec, loads);
+                candidates
+                        .subList(
                                 layers.get().from(),
                                 Math.min(spec.layers(), layers.get().to()))
-                        .forEach(here -> here.add(engine));
+                        .forEach(atLayer -> atLayer.add(engine));
             }
         }
-        return holders;
+        return candidates;
     }
 
-    /** Cost of a hop to another data centre with all that crosses already; infinite when the pipe is full. */
-    private static double crossMillis(EngineSpec spec, EngineLoads loads) {
+    /** Cost of a hop to another data centre under the present load of the link; infinite when the link is full. */
+    private static double crossDataCentreMillis(EngineSpec spec, EngineLoads loads) {
         if (spec.crossMbps() <= 0) {
-            return CROSS_MILLIS;
+            return CROSS_DATA_CENTRE_MILLIS;
         }
-        double tokensPerSecond = spec.usualTokens() / STREAM_SECONDS;
+        double tokensPerSecond = spec.usualTokens() / USUAL_STREAM_SECONDS;
         double megabits = spec.activationBytes() * Byte.SIZE * tokensPerSecond / BITS_PER_MEGABIT;
-        double share = (loads.crossings() + 1) * megabits / (spec.crossMbps() * PIPE_SHARE);
-        return share >= 1 ? Double.POSITIVE_INFINITY : CROSS_MILLIS / (1 - share);
+        double share = (loads.crossings() + 1) * megabits / (spec.crossMbps() * MAX_LINK_SHARE);
+        return share >= 1 ? Double.POSITIVE_INFINITY : CROSS_DATA_CENTRE_MILLIS / (1 - share);
     }
 
-    private static void extend(List<List<Step>> best, int layer, Engine engine, Demand demand, double crossMillis) {
+    private static void extend(
+            List<List<PartialPath>> best, int layer, Candidate engine, Demand demand, double crossDataCentreMillis) {
         if (!engine.canRun(layer, demand)) {
             return;
         }
         int to = engine.end();
-        double own = engine.tokenMillis(to - layer) + HOP_MILLIS + RISK_MILLIS;
-        Step found = null;
-        for (Step before : best.get(layer)) {
-            boolean crosses = !before.at().equals(engine.server().dataCentre());
-            double crossing = layer == 0 ? ENTRY_MILLIS : crossMillis;
-            double cost = before.cost() + own + (crosses ? crossing : 0) + (layer == 0 ? engine.failureMillis() : 0);
-            if (Double.isFinite(cost) && (found == null || cost < found.cost())) {
-                found = new Step(
+        double engineCost = engine.tokenMillis(to - layer) + HOP_MILLIS + DEATH_RISK_MILLIS;
+        PartialPath cheapest = null;
+        for (PartialPath previous : best.get(layer)) {
+            boolean crosses = !previous.dataCentre().equals(engine.server().dataCentre());
+            double crossing = layer == 0 ? REMOTE_FIRST_ENGINE_MILLIS : crossDataCentreMillis;
+            double cost =
+                    previous.cost() + engineCost + (crosses ? crossing : 0) + (layer == 0 ? engine.failureMillis() : 0);
+            if (Double.isFinite(cost) && (cheapest == null || cost < cheapest.cost())) {
+                cheapest = new PartialPath(
                         cost,
-                        before,
+                        previous,
                         engine.server(),
                         layer,
                         to,
                         engine.server().dataCentre());
             }
         }
-        if (found != null) {
-            keepCheapest(best.get(to), found);
+        if (cheapest != null) {
+            keepCheapest(best.get(to), cheapest);
         }
     }
 
-    /** Keeps one step for each data centre: which of them is best depends on the hops that follow. */
-    private static void keepCheapest(List<Step> steps, Step found) {
-        for (int i = 0; i < steps.size(); i++) {
-            if (steps.get(i).at().equals(found.at())) {
-                if (found.cost() < steps.get(i).cost()) {
-                    steps.set(i, found);
+    /** Keeps one partial path for each data centre, as the hops that follow determine which of them is best. */
+    private static void keepCheapest(List<PartialPath> paths, PartialPath candidate) {
+        for (int i = 0; i < paths.size(); i++) {
+            if (paths.get(i).dataCentre().equals(candidate.dataCentre())) {
+                if (candidate.cost() < paths.get(i).cost()) {
+                    paths.set(i, candidate);
                 }
                 return;
             }
         }
-        steps.add(found);
+        paths.add(candidate);
     }
 
-    private static StagePath path(Step last, EngineSpec spec, Demand demand) {
+    private static StagePath toPath(PartialPath last, EngineSpec spec, Demand demand) {
         Deque<Hop> hops = new ArrayDeque<>();
         double readMillis = 0;
-        for (Step step = last; step.server() != null; step = step.before()) {
+        for (PartialPath step = last; step.server() != null; step = step.previous()) {
             hops.addFirst(new Hop(step.server(), step.from(), step.to()));
             CardKind card = spec.card(step.server().card()).orElseThrow();
             double share = (step.to() - step.from()) / (double) spec.layers();
-            readMillis += demand.prompt() / spec.readPerMilli() * card.readFactor() * share;
+            readMillis += demand.promptTokens() / spec.readPerMilli() * card.readFactor() * share;
         }
-        return new StagePath(List.copyOf(hops), last.cost() - RISK_MILLIS * hops.size(), readMillis);
+        return new StagePath(List.copyOf(hops), last.cost() - DEATH_RISK_MILLIS * hops.size(), readMillis);
     }
 
-    /** One engine with what it has under way; its figures are worked out once, since a search asks for them often. */
-    private static final class Engine {
+    /** One engine with its load. The derived figures are computed once, as a search reads them often. */
+    private static final class Candidate {
         private final BackendServer server;
-        private final int to;
+        private final int endLayer;
         private final boolean hasSlot;
         private final double freeTokenLayers;
         private final double layerMillis;
         private final double failureMillis;
 
-        Engine(BackendServer server, LayerRange layers, CardKind card, EngineSpec spec, EngineLoads loads) {
+        Candidate(BackendServer server, LayerRange layers, CardKind card, EngineSpec spec, EngineLoads loads) {
             EngineLoads.Load load = loads.load(server.id());
             double freeMb = card.memoryMb() - (layers.to() - layers.from()) * spec.layerMb();
             this.server = server;
-            this.to = layers.to();
-            this.hasSlot = load.asFirst() < server.slots();
-            this.freeTokenLayers = MEMORY_SHARE * freeMb / spec.tokenLayerMb() - load.tokenLayers();
-            this.layerMillis = layerMillis(load, card, spec) * loads.pace(server.id());
-            this.failureMillis = FAILURE_MILLIS * loads.failureShare(server.id());
+            this.endLayer = layers.to();
+            this.hasSlot = load.asFirstEngine() < server.slots();
+            this.freeTokenLayers = MAX_MEMORY_SHARE * freeMb / spec.tokenLayerMb() - load.tokenLayers();
+            this.layerMillis = layerMillis(load, card, spec) * loads.slowdown(server.id());
+            this.failureMillis = CONSTANT_FAILURE_MILLIS * loads.failureShare(server.id());
         }
 
         /**
-         * Time of a token for one layer with all that runs here. Requests are spread over the hops of their paths, so a
-         * step has only a part of them; half is a cautious guess that keeps copies evenly loaded.
+         * Time for one token and one layer under the present load. The requests are spread over the hops of their paths,
+         * so one step runs only a part of them; the conservative estimate of one half keeps copies evenly loaded.
          */
         private static double layerMillis(EngineLoads.Load load, CardKind card, EngineSpec spec) {
             double step = spec.stepMillis() + (load.requests() + 1) / 2.0 * spec.usualRequestMillis();
-            double reading = load.reading() / spec.readPerMilli() * card.readFactor();
-            return (WAITING_FACTOR * step * card.stepFactor() + READING_PART * reading) / spec.layers();
+            double reading = load.pendingPromptTokens() / spec.readPerMilli() * card.readFactor();
+            return (QUEUEING_FACTOR * step * card.stepFactor() + PENDING_PROMPT_PART * reading) / spec.layers();
         }
 
         BackendServer server() {
@@ -246,16 +258,16 @@
         }
 
         int end() {
-            return to;
+            return endLayer;
         }
 
-        /** Whether it can run a layer that it holds and those that follow. */
+        /** Whether the engine can run a layer that it holds and all that it holds after it. */
         boolean canRun(int layer, Demand demand) {
             boolean starts = layer > 0 || (hasSlot && demand.mayStartAt(server));
-            return starts && (double) demand.tokens() * (to - layer) <= freeTokenLayers;
+            return starts && (double) demand.expectedTokens() * (endLayer - layer) <= freeTokenLayers;
         }
 
-        /** What its failures cost a request that is sent to it. */
+        /** Cost of the recent failures of the engine, for a path that starts at it. */
         double failureMillis() {
             return failureMillis;
         }
--- a/core/src/main/java/org/cornelramp/core/path/StagePath.java
+++ b/core/src/main/java/org/cornelramp/core/path/StagePath.java
@@ -6,13 +6,13 @@
 import org.cornelramp.core.model.BackendServerId;
 
 /**
- * A way through the whole model. Immutable, safe for use by any thread.
+ * A chain of engines that together run all layers of a model. Immutable, safe for use by any thread.
  *
- * <p>Invariant: the hops follow on one another without gap or overlap, so each layer runs once and in order.
+ * <p>Invariant: the layer ranges of the hops are contiguous and do not overlap, so each layer runs once and in order.
  *
  * @param hops the engines in order; the request is sent to the first
- * @param tokenMillis expected time of one token over all hops
- * @param readMillis expected time to read the prompt over all hops
+ * @param tokenMillis expected time for one token over all hops, in milliseconds
+ * @param readMillis expected time to read the prompt over all hops, in milliseconds
  */
 public record StagePath(List<Hop> hops, double tokenMillis, double readMillis) {
 
@@ -27,12 +27,12 @@
         }
     }
 
-    /** The engine that takes the request. */
+    /** Returns the engine to which the request is sent. */
     public BackendServer first() {
         return hops.get(0).server();
     }
 
-    /** Number of hops that lead to another data centre. */
+    /** Returns the number of hops to another data centre. */
     public int crossings() {
         int crossings = 0;
         for (int i = 1; i < hops.size(); i++) {
@@ -45,12 +45,12 @@
         return crossings;
     }
 
-    /** The hop on that engine. */
+    /** Returns the hop that runs on an engine, if any. */
     public Optional<Hop> hop(BackendServerId id) {
         return hops.stream().filter(hop -> hop.server().id().equals(id)).findFirst();
     }
 
-    /** The engines as one line for logs. */
+    /** Returns the engines and their layer ranges as one line for logs. */
     public String text() {
         StringBuilder text = new StringBuilder();
         for (Hop hop : hops) {
--- a/core/src/main/java/org/cornelramp/core/path/package-info.java
+++ b/core/src/main/java/org/cornelramp/core/path/package-info.java
@@ -1,2 +1,2 @@
-/** Choice of the engines that a stream passes: one range of layers after another, each layer once. */
+/** Choice of the chain of engines that runs a stream: consecutive layer ranges in which each layer runs once. */
 package org.cornelramp.core.path;
--- a/core/src/main/java/org/cornelramp/core/placement/Placement.java
+++ b/core/src/main/java/org/cornelramp/core/placement/Placement.java
@@ -4,9 +4,9 @@
 import org.cornelramp.core.model.LayerRange;
 
 /**
- * An engine with the layers that it shall hold. Immutable, safe for use by any thread.
+ * An order to an engine to hold a range of layers. Immutable, safe for use by any thread.
  *
  * @param server the engine
- * @param layers the layers
+ * @param layers the layers that it is to hold
  */
 public record Placement(BackendServer server, LayerRange layers) {}
--- a/core/src/main/java/org/cornelramp/core/placement/Planner.java
+++ b/core/src/main/java/org/cornelramp/core/placement/Planner.java
@@ -19,58 +19,64 @@
 /**
  * Places the layers of a model on engines with different cards.
  *
- * <p>Each data centre gets a whole copy first, since activations between data centres share one pipe; engines that
- * are left hold second copies, so that a death is mended by a new path instead of a load. Engines that hold layers
- * keep them: only empty ones are filled, and an engine is moved only if all it holds has another holder in its data
- * centre while some layer there has none. The result depends on the input alone, so any process that knows the same
- * comes to the same plan. Stateless, safe for use by any thread.
+ * <p>Each data centre first gets a whole copy of the model, since activations between data centres share one link. The
+ * remaining engines hold second copies, so that after the death of an engine streams change their path and need not
+ * wait for layers to be loaded. Engines that hold layers keep them: orders go to empty engines, and an engine is moved
+ * only if another engine in its data centre holds each of its layers while some layer there has no holder; if there is
+ * none, an engine beside such a layer extends its range. The result depends only on the input, so all processes with
+ * the same input compute the same plan. Stateless, safe for use by any thread.
  */
 public final class Planner {
     /**
-     * Part of the requests that one engine takes at once for which memory is kept beside the weights, at most. An engine is
-     * hardly ever filled beyond it, and what is kept for more makes paths longer: every engine more on a path is one more
-     * whose death stops its streams, and one more hop for each token.
+     * Largest part of an engine's slots for which memory is reserved beside the weights. An engine hardly ever runs more
+     * requests, and reserving memory for them makes paths longer: each additional engine of a path may die and stop its
+     * streams, and adds a hop for each token.
      */
-    private static final double MOST_REQUESTS_PART = 0.9;
+    private static final double MAX_REQUESTS_PART = 0.9;
 
-    /** Fewest requests that shall fit beside the weights, however few cards there are. */
-    private static final int FEWEST_REQUESTS = 24;
+    /** Smallest number of requests for which memory is reserved beside the weights, however few cards there are. */
+    private static final int MIN_REQUESTS = 24;
 
     private static final int REQUESTS_STEP = 6;
 
     /**
-     * Copies of the model that a data centre's cards shall hold: one, and a little for the engines that die. More
-     * copies leave less memory for requests, and a data centre whose neighbour fails needs that first.
+     * Copies of the model that the cards of a data centre are to hold: one and a small reserve for engines that die.
+     * More copies leave less memory for requests, which a data centre needs more when another data centre fails.
      */
-    private static final double WANTED_COPIES = 1.12;
+    private static final double TARGET_COPIES = 1.12;
 
-    /** What a layer is worth that no engine anywhere holds, none in the data centre, one, or more; the last is shared. */
-    private static final double NOWHERE = 1e6;
+    /** Value of loading a layer that no engine holds. */
+    private static final double VALUE_HELD_NOWHERE = 1e6;
 
-    private static final double NOT_HERE = 1e3;
-    private static final double ONCE_HERE = 10;
-    private static final double MORE_HERE = 1;
+    /** Value of loading a layer that no engine of the data centre holds. */
+    private static final double VALUE_NOT_HELD_HERE = 1e3;
+
+    /** Value of loading a layer that one engine of the data centre holds. */
+    private static final double VALUE_HELD_ONCE_HERE = 10;
+
+    /** Value of loading a layer that several engines of the data centre hold; divided by their number. */
+    private static final double VALUE_HELD_OFTEN_HERE = 1;
 
     private Planner() {}
 
     /**
-     * The layers to order now.
+     * Returns the orders to send now.
      *
      * @param spec the model
-     * @param engines the engines that take work and can be reached, with the layers that they hold or are loading
-     * @param fixed engines that get no order, since they are still carrying one out
-     * @param newcomers empty engines that are kept for layers that nobody in their data centre holds
+     * @param engines the engines that accept work and can be reached, with the layers that they hold or are loading
+     * @param busy engines that get no order, since they are still executing one
+     * @param reserved empty engines that are reserved for layers without a holder in their data centre
      */
     public static List<Placement> plan(
-            EngineSpec spec, List<BackendServer> engines, Set<BackendServerId> fixed, Set<BackendServerId> newcomers) {
-        return new Plan(spec, engines, fixed, newcomers).run();
+            EngineSpec spec, List<BackendServer> engines, Set<BackendServerId> busy, Set<BackendServerId> reserved) {
+        return new PlanningRun(spec, engines, busy, reserved).run();
     }
 
-    /** For each data centre with engines, how many layers have no holder there, and how many just one. */
+    /** Returns as text, for each data centre with engines, how many layers have no holder there and how many have one. */
     public static String coverage(EngineSpec spec, List<BackendServer> engines) {
-        Plan plan = new Plan(spec, engines, Set.of(), Set.of());
+        PlanningRun run = new PlanningRun(spec, engines, Set.of(), Set.of());
         StringBuilder text = new StringBuilder();
-        plan.held.entrySet().stream().sorted(Map.Entry.comparingByKey()).forEach(entry -> {
+        run.holderCounts.entrySet().stream().sorted(Map.Entry.comparingByKey()).forEach(entry -> {
             long none = Arrays.stream(entry.getValue())
                     .filter(holders -> holders == 0)
                     .count();
@@ -87,19 +93,22 @@
         return text.toString();
     }
 
-    /** One planning run. */
-    private static final class Plan {
+    private static final class PlanningRun {
         private final EngineSpec spec;
         private final Map<DataCentre, List<BackendServer>> byDataCentre = new HashMap<>();
-        private final Map<DataCentre, int[]> held = new HashMap<>();
-        private final Set<BackendServerId> fixed;
-        private final Set<BackendServerId> newcomers;
-        private final int requests;
+        private final Map<DataCentre, int[]> holderCounts = new HashMap<>();
+        private final Set<BackendServerId> busy;
+        private final Set<BackendServerId> reserved;
+        private final int requestsPerEngine;
 
-        Plan(EngineSpec spec, List<BackendServer> engines, Set<BackendServerId> fixed, Set<BackendServerId> newcomers) {
+        PlanningRun(
+                EngineSpec spec,
+                List<BackendServer> engines,
+                Set<BackendServerId> busy,
+                Set<BackendServerId> reserved) {
             this.spec = spec;
-            this.fixed = fixed;
-            this.newcomers = newcomers;
+            this.busy = busy;
+            this.reserved = reserved;
             for (BackendServer engine : engines) {
                 if (spec.card(engine.card()).isPresent()) {
                     byDataCentre
@@ -112,57 +121,58 @@
                                 (BackendServer engine) -> card(engine).stepFactor())
                         .thenComparing(engine -> -card(engine).memoryMb())
                         .thenComparing(BackendServer::id));
-                held.put(at, new int[spec.layers()]);
-                here.forEach(engine -> engine.layers().ifPresent(range -> count(at, range, 1)));
+                holderCounts.put(at, new int[spec.layers()]);
+                here.forEach(engine -> engine.layers().ifPresent(range -> addToHolderCounts(at, range, 1)));
             });
-            this.requests = requestsThatFit();
+            this.requestsPerEngine = requestsThatFit();
         }
 
         List<Placement> run() {
             List<Placement> orders = new ArrayList<>();
             byDataCentre.keySet().stream().sorted().forEach(at -> {
                 int before = orders.size();
-                fillEmpty(at, orders);
+                fillEmptyEngines(at, orders);
                 if (orders.size() == before) {
-                    moveOne(at).or(() -> growOne(at)).ifPresent(orders::add);
+                    moveRedundantEngine(at).or(() -> extendIntoGap(at)).ifPresent(orders::add);
                 }
             });
             return orders;
         }
 
-        private void fillEmpty(DataCentre at, List<Placement> orders) {
+        private void fillEmptyEngines(DataCentre at, List<Placement> orders) {
             for (BackendServer engine : byDataCentre.get(at)) {
-                int most = capacity(engine, requests);
-                boolean waits = newcomers.contains(engine.id()) && !hasHole(at);
-                if (engine.layers().isEmpty() && most > 0 && !waits && !fixed.contains(engine.id())) {
-                    LayerRange range = neediest(at, most);
-                    count(at, range, 1);
+                int capacity = layerCapacity(engine, requestsPerEngine);
+                boolean isReserved = reserved.contains(engine.id()) && !hasGap(at);
+                if (engine.layers().isEmpty() && capacity > 0 && !isReserved && !busy.contains(engine.id())) {
+                    LayerRange range = mostValuableRange(at, capacity);
+                    addToHolderCounts(at, range, 1);
                     orders.add(new Placement(engine, range));
                 }
             }
         }
 
         /**
-         * Moves one engine whose layers all have another holder here to layers that have none: the one that fills
-         * them with the least of its memory, and of equals the slowest, so that no fast engine leaves a path.
+         * Moves one engine whose layers all have another holder in the data centre to layers that have none. Chooses the
+         * engine whose new range consists of such layers to the largest part of its capacity; of equal ones the slowest,
+         * so that fast engines stay on the paths.
          */
-        private Optional<Placement> moveOne(DataCentre at) {
-            int[] here = held.get(at);
-            if (!hasHole(at)) {
+        private Optional<Placement> moveRedundantEngine(DataCentre at) {
+            int[] here = holderCounts.get(at);
+            if (!hasGap(at)) {
                 return Optional.empty();
             }
             Placement best = null;
             double bestShare = 0;
             for (BackendServer engine : byDataCentre.get(at)) {
                 LayerRange old = engine.layers().orElse(null);
-                int most = capacity(engine, requests);
-                if (old == null || most == 0 || fixed.contains(engine.id()) || !isSpare(here, old)) {
+                int capacity = layerCapacity(engine, requestsPerEngine);
+                if (old == null || capacity == 0 || busy.contains(engine.id()) || !isRedundant(here, old)) {
                     continue;
                 }
-                count(at, old, -1);
-                LayerRange range = neediest(at, most);
-                double share = holes(here, range) / (double) most;
-                count(at, old, 1);
+                addToHolderCounts(at, old, -1);
+                LayerRange range = mostValuableRange(at, capacity);
+                double share = countLayersWithFewHolders(here, range) / (double) capacity;
+                addToHolderCounts(at, old, 1);
                 if (share > 0 && share >= bestShare) {
                     bestShare = share;
                     best = new Placement(engine, range);
@@ -172,13 +182,13 @@
         }
 
         /**
-         * Lets one engine beside a hole take layers of it, or where its card is full, pass on layers at its other end
-         * that another engine holds as well; else lets the engine behind take over such layers. After engines have
-         * left for good, the rest close the gap step by step with the memory that they kept for requests, and whatever
-         * they hold goes on serving.
+         * Extends one engine that ends at a gap into it. If the card of the engine is full, the engine drops layers at
+         * its other end that another engine also holds. If no engine can be extended, another engine takes over layers
+         * of an engine beside the gap. When engines do not return, the others thus close the gap step by step with
+         * memory reserved for requests, and the layers that they hold remain in service.
          */
-        private Optional<Placement> growOne(DataCentre at) {
-            int[] here = held.get(at);
+        private Optional<Placement> extendIntoGap(DataCentre at) {
+            int[] here = holderCounts.get(at);
             int from = 0;
             while (from < here.length && here[from] > 0) {
                 from++;
@@ -192,51 +202,52 @@
             }
             int low = from;
             int high = to;
-            return best(at, engine -> stretched(engine, here, low, high))
-                    .or(() -> best(at, engine -> relieving(engine, at, low, high)));
+            return mostLayersAdded(at, engine -> extendedRange(engine, here, low, high))
+                    .or(() -> mostLayersAdded(at, engine -> takeoverRange(engine, at, low, high)));
         }
 
-        /** The order that adds most layers; of equals the one to the fastest engine, which stands first. */
-        private Optional<Placement> best(DataCentre at, Function<BackendServer, Optional<LayerRange>> wanted) {
+        /** The order that adds most layers; of equal ones the one to the fastest engine, which is sorted first. */
+        private Optional<Placement> mostLayersAdded(
+                DataCentre at, Function<BackendServer, Optional<LayerRange>> newRange) {
             return byDataCentre.get(at).stream()
-                    .filter(engine -> engine.layers().isPresent() && !fixed.contains(engine.id()))
-                    .flatMap(engine -> wanted.apply(engine).map(range -> new Placement(engine, range)).stream())
-                    .max(Comparator.comparingInt(Plan::added));
+                    .filter(engine -> engine.layers().isPresent() && !busy.contains(engine.id()))
+                    .flatMap(engine -> newRange.apply(engine).map(range -> new Placement(engine, range)).stream())
+                    .max(Comparator.comparingInt(PlanningRun::addedLayers));
         }
 
-        private static int added(Placement placement) {
+        private static int addedLayers(Placement placement) {
             LayerRange old = placement.server().layers().orElseThrow();
             return Math.max(0, old.from() - placement.layers().from())
                     + Math.max(0, placement.layers().to() - old.to());
         }
 
-        /** The range with which an engine that ends at the hole reaches furthest into it. */
-        private Optional<LayerRange> stretched(BackendServer engine, int[] here, int from, int to) {
+        /** The range with which an engine that ends at the gap reaches furthest into it. */
+        private Optional<LayerRange> extendedRange(BackendServer engine, int[] here, int from, int to) {
             LayerRange old = engine.layers().orElseThrow();
-            int most = capacity(engine, FEWEST_REQUESTS);
+            int capacity = layerCapacity(engine, MIN_REQUESTS);
             if (old.to() == from) {
                 int start = old.from();
                 while (start < old.to() - 1 && here[start] > 1) {
                     start++;
                 }
-                int end = Math.min(to, start + most);
-                return end > from ? Optional.of(range(Math.max(old.from(), end - most), end)) : Optional.empty();
+                int end = Math.min(to, start + capacity);
+                return end > from ? Optional.of(range(Math.max(old.from(), end - capacity), end)) : Optional.empty();
             }
             if (old.from() == to) {
                 int end = old.to();
                 while (end > old.from() + 1 && here[end - 1] > 1) {
                     end--;
                 }
-                int start = Math.max(from, end - most);
-                return start < to ? Optional.of(range(start, Math.min(old.to(), start + most))) : Optional.empty();
+                int start = Math.max(from, end - capacity);
+                return start < to ? Optional.of(range(start, Math.min(old.to(), start + capacity))) : Optional.empty();
             }
             return Optional.empty();
         }
 
-        /** The range with which an engine takes over layers of a neighbour that ends at the hole. */
-        private Optional<LayerRange> relieving(BackendServer engine, DataCentre at, int from, int to) {
+        /** The range with which an engine takes over layers of another engine that ends at the gap. */
+        private Optional<LayerRange> takeoverRange(BackendServer engine, DataCentre at, int from, int to) {
             LayerRange old = engine.layers().orElseThrow();
-            int spare = capacity(engine, FEWEST_REQUESTS) - (old.to() - old.from());
+            int spare = layerCapacity(engine, MIN_REQUESTS) - (old.to() - old.from());
             for (BackendServer other : byDataCentre.get(at)) {
                 LayerRange range = other.layers().orElse(null);
                 if (range == null || other.equals(engine) || spare <= 0) {
@@ -256,79 +267,81 @@
             return new LayerRange(from, to, spec.layers());
         }
 
-        private boolean hasHole(DataCentre at) {
-            return Arrays.stream(held.get(at)).anyMatch(holders -> holders == 0);
+        private boolean hasGap(DataCentre at) {
+            return Arrays.stream(holderCounts.get(at)).anyMatch(holders -> holders == 0);
         }
 
-        private static boolean isSpare(int[] here, LayerRange range) {
-            return holes(here, range, 1) == 0;
+        private static boolean isRedundant(int[] here, LayerRange range) {
+            return countLayersWithFewHolders(here, range, 1) == 0;
         }
 
-        private static int holes(int[] here, LayerRange range) {
-            return holes(here, range, 0);
+        private static int countLayersWithFewHolders(int[] here, LayerRange range) {
+            return countLayersWithFewHolders(here, range, 0);
         }
 
-        /** Layers of the range that have at most so many holders. */
-        private static int holes(int[] here, LayerRange range, int most) {
-            int holes = 0;
+        /** Counts the layers of the range with at most {@code maxHolders} holders. */
+        private static int countLayersWithFewHolders(int[] here, LayerRange range, int maxHolders) {
+            int count = 0;
             for (int layer = range.from(); layer < range.to(); layer++) {
-                holes += here[layer] <= most ? 1 : 0;
+                count += here[layer] <= maxHolders ? 1 : 0;
             }
-            return holes;
+            return count;
         }
 
-        /** The range of that many layers that is worth most; the first of equals, so that ranges join. */
-        private LayerRange neediest(DataCentre at, int layers) {
+        /** The most valuable range of that many layers; the first of equal ones, so that ranges adjoin. */
+        private LayerRange mostValuableRange(DataCentre at, int layers) {
             int size = Math.min(layers, spec.layers());
-            double bestWorth = -1;
+            double bestValue = -1;
             int bestFrom = 0;
             for (int from = 0; from + size <= spec.layers(); from++) {
-                double worth = 0;
+                double value = 0;
                 for (int layer = from; layer < from + size; layer++) {
-                    worth += worth(at, layer);
+                    value += layerValue(at, layer);
                 }
-                if (worth > bestWorth) {
-                    bestWorth = worth;
+                if (value > bestValue) {
+                    bestValue = value;
                     bestFrom = from;
                 }
             }
             return range(bestFrom, bestFrom + size);
         }
 
-        private double worth(DataCentre at, int layer) {
-            int here = held.get(at)[layer];
+        private double layerValue(DataCentre at, int layer) {
+            int here = holderCounts.get(at)[layer];
             if (here > 0) {
-                return here == 1 ? ONCE_HERE : MORE_HERE / here;
+                return here == 1 ? VALUE_HELD_ONCE_HERE : VALUE_HELD_OFTEN_HERE / here;
             }
-            boolean nowhere = held.values().stream().allMatch(counts -> counts[layer] == 0);
-            return nowhere ? NOWHERE : NOT_HERE;
+            boolean unheld = holderCounts.values().stream().allMatch(counts -> counts[layer] == 0);
+            return unheld ? VALUE_HELD_NOWHERE : VALUE_NOT_HELD_HERE;
         }
 
-        private void count(DataCentre at, LayerRange range, int by) {
-            int[] counts = held.get(at);
+        private void addToHolderCounts(DataCentre at, LayerRange range, int by) {
+            int[] counts = holderCounts.get(at);
             for (int layer = range.from(); layer < range.to(); layer++) {
                 counts[layer] += by;
             }
         }
 
-        /** Most requests, up to a bound, beside which each data centre's cards still hold enough copies. */
+        /** The most requests, within bounds, for which each data centre still holds enough copies of the model. */
         private int requestsThatFit() {
-            for (int most = (int) (MOST_REQUESTS_PART * spec.slots()); most > FEWEST_REQUESTS; most -= REQUESTS_STEP) {
-                int fit = most;
+            for (int requests = (int) (MAX_REQUESTS_PART * spec.slots());
+                    requests > MIN_REQUESTS;
+                    requests -= REQUESTS_STEP) {
+                int candidate = requests;
                 boolean enough = byDataCentre.values().stream()
                         .allMatch(here -> here.stream()
-                                        .mapToInt(engine -> capacity(engine, fit))
+                                        .mapToInt(engine -> layerCapacity(engine, candidate))
                                         .sum()
-                                >= WANTED_COPIES * spec.layers());
+                                >= TARGET_COPIES * spec.layers());
                 if (enough) {
-                    return most;
+                    return requests;
                 }
             }
-            return FEWEST_REQUESTS;
+            return MIN_REQUESTS;
         }
 
-        /** Layers that fit on the engine's card beside the memory of so many ordinary requests. */
-        private int capacity(BackendServer engine, int requests) {
+        /** Layers that fit on the engine's card beside the memory of that many requests of the usual size. */
+        private int layerCapacity(BackendServer engine, int requests) {
             double requestsMb = requests * spec.usualTokens() * spec.tokenLayerMb();
             return (int) Math.min(spec.layers(), card(engine).memoryMb() / (spec.layerMb() + requestsMb));
         }
--- a/core/src/main/java/org/cornelramp/core/placement/package-info.java
+++ b/core/src/main/java/org/cornelramp/core/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Which engine holds which layers of the model. */
+/** Placement of the layers of the model on the engines. */
 package org.cornelramp.core.placement;
--- a/core/src/main/java/org/cornelramp/core/poison/CrashReport.java
+++ b/core/src/main/java/org/cornelramp/core/poison/CrashReport.java
@@ -7,52 +7,57 @@
 import java.util.TreeSet;
 
 /**
- * One crash of one backend server, with the requests that were in progress there. Immutable, safe for use by any
+ * One crash of one backend server with the requests that were in progress there. Immutable, safe for use by any
  * thread.
  *
- * <p>An agent leaves out requests of which it saw another run complete: what has run whole is not what crashed.
+ * <p>An agent omits requests of which it has seen another run complete, as these did not cause the crash.
  *
- * @param crash names the crash, the same in every report of it: the agent's incarnation and the backend server's
- *     life, or the incarnation alone when the agent died as well
- * @param at when it was noticed
+ * @param crashId id of the crash, the same in all reports of it: the agent's incarnation and the backend server's
+ *     incarnation, or the agent's alone if the agent died as well
+ * @param at when the crash was detected
  * @param suspects fingerprints of the requests in progress, at most {@value #MAX_SUSPECTS}
  */
-public record CrashReport(String crash, Instant at, Set<String> suspects) {
-    /** Most suspects of one crash; those that sort first are kept, whatever the order of reports. */
+public record CrashReport(String crashId, Instant at, Set<String> suspects) {
+    /** Most suspects of one crash; those first in sort order are kept, so that the order of reports has no effect. */
     public static final int MAX_SUSPECTS = 512;
 
     private static final String SEPARATOR = "|";
 
     public CrashReport {
-        if (crash.isEmpty() || crash.contains(SEPARATOR)) {
-            throw new IllegalArgumentException("A crash is named by a text without " + SEPARATOR);
+        if (crashId.isEmpty() || crashId.contains(SEPARATOR)) {
+            throw new IllegalArgumentException("A crash id must be non-empty and must not contain " + SEPARATOR);
         }
-        suspects = first(suspects);
+        suspects = firstSuspects(suspects);
     }
 
-    /** Reads the form that {@link #toString} writes, for heartbeats and log records. */
+    /**
+     * Parses the form that {@link #toString} writes for heartbeats and log records.
+     *
+     * @throws IllegalArgumentException if the text has another form
+     */
     public static CrashReport parse(String text) {
         String[] parts = text.split("\\|", -1);
         if (parts.length != 3) {
-            throw new IllegalArgumentException("A crash report reads crash|milliseconds|fingerprint,fingerprint,…");
+            throw new IllegalArgumentException(
+                    "A crash report must have the form crash|milliseconds|fingerprint,fingerprint,…");
         }
         Set<String> suspects = parts[2].isEmpty() ? Set.of() : new TreeSet<>(List.of(parts[2].split(",", -1)));
         return new CrashReport(parts[0], Instant.ofEpochMilli(Long.parseLong(parts[1])), suspects);
     }
 
-    /** Joins two reports of one crash, from entries that each knew a part: the earlier time, all suspects. */
+    /** Merges two reports of one crash by entries that each know some suspects: the earlier time and all suspects. */
     public CrashReport with(CrashReport other) {
         TreeSet<String> all = new TreeSet<>(suspects);
         all.addAll(other.suspects);
-        return new CrashReport(crash, at.isBefore(other.at) ? at : other.at, all);
+        return new CrashReport(crashId, at.isBefore(other.at) ? at : other.at, all);
     }
 
     @Override
     public String toString() {
-        return crash + SEPARATOR + at.toEpochMilli() + SEPARATOR + String.join(",", suspects);
+        return crashId + SEPARATOR + at.toEpochMilli() + SEPARATOR + String.join(",", suspects);
     }
 
-    private static Set<String> first(Collection<String> all) {
+    private static Set<String> firstSuspects(Collection<String> all) {
         TreeSet<String> sorted = new TreeSet<>(all);
         while (sorted.size() > MAX_SUSPECTS) {
             sorted.pollLast();
--- a/core/src/main/java/org/cornelramp/core/poison/Fingerprint.java
+++ b/core/src/main/java/org/cornelramp/core/poison/Fingerprint.java
@@ -9,14 +9,14 @@
 import org.cornelramp.core.model.ServiceName;
 
 /**
- * Recognises a request that is sent again: the same organisation, service and body give the same fingerprint,
- * whatever its key, entry and time. Stateless, safe for use by any thread.
+ * Identifies a request that is sent again: the same organisation, service and body give the same fingerprint,
+ * regardless of idempotency key, entry and time. Stateless, safe for use by any thread.
  */
 public final class Fingerprint {
 
     private Fingerprint() {}
 
-    /** The SHA-256 of organisation, service and body, in lower-case hexadecimal. */
+    /** Returns the SHA-256 hash of organisation, service and body, in lower-case hexadecimal. */
     public static String of(OrganisationId organisation, ServiceName service, byte[] body) {
         MessageDigest digest = sha256();
         add(digest, organisation.value().getBytes(StandardCharsets.UTF_8));
@@ -25,7 +25,7 @@
         return HexFormat.of().formatHex(digest.digest());
     }
 
-    /** Each part goes in with its length, so that no two requests run together to the same bytes. */
+    /** Hashes each part with its length, so that different requests never concatenate to the same bytes. */
     private static void add(MessageDigest digest, byte[] part) {
         digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(part.length).array());
         digest.update(part);
@@ -35,7 +35,7 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("Every Java platform has SHA-256: use a complete one", e);
+            throw new IllegalStateException("SHA-256 is not available: use a complete Java runtime", e);
         }
     }
 }
--- a/core/src/main/java/org/cornelramp/core/poison/SetAsideMark.java
+++ b/core/src/main/java/org/cornelramp/core/poison/PoisonMark.java
@@ -4,23 +4,23 @@
 import java.util.Optional;
 
 /**
- * Says that a request is set aside, and until when. Immutable, safe for use by any thread.
+ * States that a request is refused as poison until a given time. Immutable, safe for use by any thread.
  *
- * @param fingerprint the request
- * @param until when it is forgotten
+ * @param fingerprint {@link Fingerprint} of the request
+ * @param until when the refusal ends
  */
-public record SetAsideMark(String fingerprint, Instant until) {
+public record PoisonMark(String fingerprint, Instant until) {
     private static final char SEPARATOR = '@';
 
-    /** Reads the form that {@link #toString} writes; empty for any other text. */
-    public static Optional<SetAsideMark> parse(String text) {
+    /** Parses the form that {@link #toString} writes; returns empty for any other text. */
+    public static Optional<PoisonMark> parse(String text) {
         int at = text.lastIndexOf(SEPARATOR);
         if (at <= 0) {
             return Optional.empty();
         }
         try {
             Instant until = Instant.ofEpochMilli(Long.parseLong(text.substring(at + 1)));
-            return Optional.of(new SetAsideMark(text.substring(0, at), until));
+            return Optional.of(new PoisonMark(text.substring(0, at), until));
         } catch (NumberFormatException e) {
             return Optional.empty();
         }
--- a/core/src/main/java/org/cornelramp/core/poison/package-info.java
+++ b/core/src/main/java/org/cornelramp/core/poison/package-info.java
@@ -1,2 +1,2 @@
-/** Finds the requests that crash the backend servers that run them, and sets them aside everywhere. */
+/** Detection of poison requests, which crash the backend servers that run them, and their refusal by all processes. */
 package org.cornelramp.core.poison;
--- a/core/src/main/java/org/cornelramp/core/retry/RetryWindow.java
+++ b/core/src/main/java/org/cornelramp/core/retry/RetryWindow.java
@@ -3,13 +3,13 @@
 import java.util.Arrays;
 
 /**
- * Bounds the repeats that this process sends to one service within a sliding window.
+ * Bounds the retries that this process sends to one service within a sliding window.
  *
- * <p>The platform allows all processes together a share of the requests and a reserve. Each process takes the share
- * of its own requests and a part of the reserve, so the sum keeps the bound without a central count. Owned by one
- * thread.
+ * <p>The platform allows all processes together a share of the requests plus a reserve. Each process uses the share
+ * of its own requests and a part of the reserve, so the sum stays within the bound without a central count. Owned by
+ * one thread.
  *
- * <p>Invariant: in any window at most {@code ratio × requests + reserve} repeats.
+ * <p>Invariant: in any window at most {@code ratio × requests + reserve} retries.
  */
 public final class RetryWindow {
     private static final int BUCKETS = 20;
@@ -17,11 +17,11 @@
     private final double ratio;
     private final long bucketMillis;
     private final int[] requests = new int[BUCKETS + 1];
-    private final int[] repeats = new int[BUCKETS + 1];
-    private long newest = Long.MIN_VALUE;
+    private final int[] retries = new int[BUCKETS + 1];
+    private long newestBucket = Long.MIN_VALUE;
 
     /**
-     * @param ratio repeats for each request
+     * @param ratio retries for each request
      * @param windowMillis length of the window
      */
     public RetryWindow(double ratio, long windowMillis) {
@@ -29,55 +29,55 @@
         this.bucketMillis = Math.max(1, windowMillis / BUCKETS);
     }
 
-    /** Notes a client's request. */
-    public void request(long nowMillis) {
+    /** Records a client's request. */
+    public void recordRequest(long nowMillis) {
         requests[slot(nowMillis)]++;
     }
 
     /**
-     * Takes one repeat; false if none is left now.
+     * Consumes one retry; returns false if none is left now.
      *
-     * @param reserve repeats besides the share of the requests, within a window
-     * @param part part of all that is allowed which this repeat may come out of, from 0 to 1
+     * @param reserve retries allowed within a window in addition to the share of the requests
+     * @param part part of the allowed retries that may be used up to and including this one, from 0 to 1
      */
-    public boolean tryRepeat(double reserve, double part, long nowMillis) {
-        boolean left = hasRepeat(reserve, part, nowMillis);
+    public boolean tryRetry(double reserve, double part, long nowMillis) {
+        boolean left = hasRetry(reserve, part, nowMillis);
         if (left) {
-            repeats[slot(nowMillis)]++;
+            retries[slot(nowMillis)]++;
         }
         return left;
     }
 
-    /** Whether {@link #tryRepeat} would take one now. */
-    public boolean hasRepeat(double reserve, double part, long nowMillis) {
-        return sum(repeats) + 1 <= part * allowed(reserve, nowMillis);
+    /** Whether {@link #tryRetry} would succeed now. */
+    public boolean hasRetry(double reserve, double part, long nowMillis) {
+        return sum(retries) + 1 <= part * allowed(reserve, nowMillis);
     }
 
-    /** Repeats that are allowed within the window that ends now, used ones included. */
+    /** Returns the retries allowed within the window that ends now, used ones included. */
     public double allowed(double reserve, long nowMillis) {
         slot(nowMillis);
         return ratio * sum(requests) + reserve;
     }
 
-    /** Repeats that are left now; negative if the reserve has become smaller than what was taken. */
-    public double left(double reserve, long nowMillis) {
-        return allowed(reserve, nowMillis) - sum(repeats);
+    /** Returns the retries left now; negative if the reserve has shrunk below the number used. */
+    public double remaining(double reserve, long nowMillis) {
+        return allowed(reserve, nowMillis) - sum(retries);
     }
 
     private int slot(long nowMillis) {
         long bucket = Math.floorDiv(nowMillis, bucketMillis);
-        if (newest == Long.MIN_VALUE || bucket - newest > BUCKETS) {
+        if (newestBucket == Long.MIN_VALUE || bucket - newestBucket > BUCKETS) {
             Arrays.fill(requests, 0);
-            Arrays.fill(repeats, 0);
-            newest = bucket;
+            Arrays.fill(retries, 0);
+            newestBucket = bucket;
         }
-        while (newest < bucket) {
-            newest++;
-            int slot = (int) Math.floorMod(newest, BUCKETS + 1);
+        while (newestBucket < bucket) {
+            newestBucket++;
+            int slot = (int) Math.floorMod(newestBucket, BUCKETS + 1);
             requests[slot] = 0;
-            repeats[slot] = 0;
+            retries[slot] = 0;
         }
-        return (int) Math.floorMod(newest, BUCKETS + 1);
+        return (int) Math.floorMod(newestBucket, BUCKETS + 1);
     }
 
     private static int sum(int[] counts) {
--- a/core/src/main/java/org/cornelramp/core/retry/package-info.java
+++ b/core/src/main/java/org/cornelramp/core/retry/package-info.java
@@ -1,2 +1,2 @@
-/** Which failed attempts are made again, and how many of them. */
+/** Retry policy: which failed attempts are retried, and the budgets that bound the retries. */
 package org.cornelramp.core.retry;
--- a/core/src/main/java/org/cornelramp/core/settings/GatewaySettingsReader.java
+++ b/core/src/main/java/org/cornelramp/core/settings/GatewaySettingsReader.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.cornelramp.core.model.DataCentre;
-import org.cornelramp.core.model.Names;
+import org.cornelramp.core.model.NameValidator;
 
 /**
  * Reads a gateway's settings from JSON: gives the settings, or every fault at once. Stateless, safe for use by any
@@ -23,7 +23,7 @@
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .build();
     private static final String ADDRESS = "Give host:port, the port from 0 to 65535.";
-    private static final String NAME = "Give 1 to " + Names.MAX_LENGTH + " letters, digits, dots or dashes.";
+    private static final String NAME = "Give 1 to " + NameValidator.MAX_LENGTH + " letters, digits, dots or dashes.";
     private static final long HOUR = 3_600_000L;
 
     /** Reads settings from the text of a file. */
@@ -101,7 +101,7 @@
     }
 
     private static String name(JsonNode value) {
-        Names.check("settings", text(value));
+        NameValidator.check("settings", text(value));
         return value.textValue();
     }
 
--- a/core/src/main/java/org/cornelramp/core/settings/SettingsReader.java
+++ b/core/src/main/java/org/cornelramp/core/settings/SettingsReader.java
@@ -15,7 +15,7 @@
 import java.util.Optional;
 import java.util.regex.Pattern;
 import org.cornelramp.core.model.DataCentre;
-import org.cornelramp.core.model.Names;
+import org.cornelramp.core.model.NameValidator;
 import org.cornelramp.core.route.ChoicePolicy;
 
 /**
@@ -199,7 +199,7 @@
     }
 
     private static String parseName(JsonNode value) {
-        Names.check("settings", parseText(value));
+        NameValidator.check("settings", parseText(value));
         return value.textValue();
     }
 
@@ -237,7 +237,7 @@
     }
 
     private static String nameRemedy() {
-        return "Give 1 to " + Names.MAX_LENGTH
+        return "Give 1 to " + NameValidator.MAX_LENGTH
                 + " letters, digits, dots, dashes or underscores, first a letter or digit.";
     }
 }
--- a/core/src/test/java/org/cornelramp/core/fleet/RestoredStoreProperties.java
+++ b/core/src/test/java/org/cornelramp/core/fleet/RestoredStoreProperties.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.cornelramp.core.model.BackendServerId;
-import org.cornelramp.core.path.Engines;
+import org.cornelramp.core.path.EngineFixtures;
 
 /** The store is away and comes back from a copy some seconds old, while servers come, leave, end and start again. */
 class RestoredStoreProperties {
@@ -56,10 +56,10 @@
             if (before != null) {
                 left.add(before.id());
             }
-            BackendServer any = Engines.engine(name.value(), "dc1", "t4", 0, 5);
+            BackendServer any = EngineFixtures.engine(name.value(), "dc1", "t4", 0, 5);
             births += 1 + random.nextInt(50);
             BackendServer next = new BackendServer(
-                    name.inLife(births),
+                    name.forIncarnation(births),
                     name,
                     any.service(),
                     any.address(),
--- a/core/src/test/java/org/cornelramp/core/fleet/RestoredStoreTest.java
+++ b/core/src/test/java/org/cornelramp/core/fleet/RestoredStoreTest.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.Optional;
 import org.cornelramp.core.model.BackendServerId;
-import org.cornelramp.core.path.Engines;
+import org.cornelramp.core.path.EngineFixtures;
 import org.testng.annotations.Test;
 
 /** What is believed of the registered servers when the store comes back from an older copy. */
 public class RestoredStoreTest {
-    private static final BackendServer SERVER = Engines.engine("s", "dc1", "t4", 0, 5);
+    private static final BackendServer SERVER = EngineFixtures.engine("s", "dc1", "t4", 0, 5);
     private static final BackendServerId ID = SERVER.id();
     private static final long CONFIRM_MILLIS = 6_100;
 
--- a/core/src/test/java/org/cornelramp/core/fleet/ServerLivesProperties.java
+++ b/core/src/test/java/org/cornelramp/core/fleet/ServerLivesProperties.java
@@ -10,7 +10,7 @@
 import org.cornelramp.core.fleet.Suspicions.Evidence;
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.path.EngineLoads;
-import org.cornelramp.core.path.Engines;
+import org.cornelramp.core.path.EngineFixtures;
 
 /** Servers that start again under the name that they had, with news that come late, twice and in any order. */
 class ServerLivesProperties {
@@ -20,9 +20,9 @@
     private static final long[] BORN = {5_000, 9_000, 1_000};
 
     private static BackendServer life(long born, boolean leaves) {
-        BackendServer any = Engines.engine("i-1", "dc1", "t4", 0, 5);
+        BackendServer any = EngineFixtures.engine("i-1", "dc1", "t4", 0, 5);
         return new BackendServer(
-                NAME.inLife(born),
+                NAME.forIncarnation(born),
                 NAME,
                 any.service(),
                 any.address(),
@@ -60,7 +60,7 @@
         Optional<BackendServer> last = written.get(written.size() - 1).server();
         check(registry.servers().equals(last.stream().toList()), "servers " + registry.servers());
         for (long born : BORN) {
-            BackendServerId id = NAME.inLife(born);
+            BackendServerId id = NAME.forIncarnation(born);
             boolean present = last.isPresent() && last.get().id().equals(id);
             check(registry.server(id).isPresent() == present, "life " + id);
             check(present || registry.leavingSinceMillis(id).isEmpty(), "an ended life leaves");
@@ -85,13 +85,13 @@
         registry.storeAnswers(true, 0);
         registry.apply(new ServerRegistry.Registration(1, NAME, Optional.of(old)), 10_000);
         suspicions.suspect(old.id(), Evidence.LOST, 10_000);
-        loads.setPace(old.id(), 8, 10_000);
-        loads.ended(old.id(), true);
+        loads.setSlowdown(old.id(), 8, 10_000);
+        loads.recordOutcome(old.id(), true);
         registry.apply(new ServerRegistry.Registration(2, NAME, Optional.of(next)), 10_100);
-        loads.setPace(old.id(), 8, 10_200);
+        loads.setSlowdown(old.id(), 8, 10_200);
         check(registry.isReplaced(old.id()) && !registry.isReplaced(next.id()), "which life has ended");
         check(!suspicions.isSuspect(next.id(), 10_200), "suspicion");
-        check(loads.pace(next.id()) == 1 && loads.failureShare(next.id()) == 0, "pace and failures");
+        check(loads.slowdown(next.id()) == 1 && loads.failureShare(next.id()) == 0, "pace and failures");
         check(registry.leavingSinceMillis(next.id()).isEmpty(), "leaving");
     }
 
--- a/core/src/test/java/org/cornelramp/core/path/Engines.java
+++ b/core/src/test/java/org/cornelramp/core/path/EngineFixtures.java
@@ -13,14 +13,18 @@
 import org.cornelramp.core.routing.EngineSpec;
 import org.cornelramp.core.settings.HostPort;
 
-/** Engines and specifications for tests, with the figures of the two deployments of today. */
-public final class Engines {
-    /** Layers of the model of today. */
+/** Engines and specifications for tests, with the figures of the two deployments. */
+public final class EngineFixtures {
+    /** Layers of the deployed model. */
     public static final int LAYERS = 80;
 
-    private Engines() {}
+    private EngineFixtures() {}
 
-    /** The model of today on the cards of today; the pipe as given. */
+    /**
+     * The deployed model on the deployed cards.
+     *
+     * @param crossMbps bandwidth of the link between data centres; 0 for no limit
+     */
     public static EngineSpec spec(double crossMbps) {
         return new EngineSpec(
                 134,
@@ -58,7 +62,7 @@
                 layers);
     }
 
-    /** An ordinary request from a data centre. */
+    /** A request of the usual size from a data centre. */
     public static PathFinder.Demand demand(String dataCentre) {
         return new PathFinder.Demand(new DataCentre(dataCentre), 772, 944, Set.of());
     }
--- a/core/src/test/java/org/cornelramp/core/path/EngineLoadsProperties.java
+++ b/core/src/test/java/org/cornelramp/core/path/EngineLoadsProperties.java
@@ -9,55 +9,61 @@
 import net.jqwik.api.Property;
 import org.cornelramp.core.model.BackendServerId;
 
-/** The load of an engine is what this process and all peers that are heard have under way there. */
+/** The load of an engine is the sum of the loads by this process and all live peers. */
 class EngineLoadsProperties {
     private static final int ENGINES = 6;
-    private static final long SILENCE = 500;
+    private static final long MAX_SILENCE_MILLIS = 500;
 
-    private record Told(Map<BackendServerId, EngineLoads.Load> loads, long atMillis) {}
+    private record PeerState(Map<BackendServerId, EngineLoads.Load> loads, long atMillis) {}
 
     private static BackendServerId engine(int number) {
         return new BackendServerId("e" + number);
     }
 
     private static StagePath path(Random random) {
-        int cut = 1 + random.nextInt(Engines.LAYERS - 1);
+        int cut = 1 + random.nextInt(EngineFixtures.LAYERS - 1);
         int first = random.nextInt(ENGINES);
         int second = (first + 1 + random.nextInt(ENGINES - 1)) % ENGINES;
         return new StagePath(
                 List.of(
-                        new Hop(Engines.engine("e" + first, "dc1", "l4", 0, cut), 0, cut),
-                        new Hop(Engines.engine("e" + second, "dc1", "l4", cut, Engines.LAYERS), cut, Engines.LAYERS)),
+                        new Hop(EngineFixtures.engine("e" + first, "dc1", "l4", 0, cut), 0, cut),
+                        new Hop(EngineFixtures.engine("e" + second, "dc1", "l4", cut, EngineFixtures.LAYERS), cut, EngineFixtures.LAYERS)),
                 1,
                 1);
     }
 
-    private static Map<BackendServerId, EngineLoads.Load> anyNews(Random random) {
-        Map<BackendServerId, EngineLoads.Load> news = new HashMap<>();
+    private static Map<BackendServerId, EngineLoads.Load> randomLoads(Random random) {
+        Map<BackendServerId, EngineLoads.Load> newLoads = new HashMap<>();
         for (int i = 0; i < ENGINES; i++) {
             if (random.nextBoolean()) {
-                news.put(engine(i), new EngineLoads.Load(random.nextInt(9), 1, random.nextInt(5_000), 7));
+                newLoads.put(engine(i), new EngineLoads.Load(random.nextInt(9), 1, random.nextInt(5_000), 7));
             }
         }
-        return news;
+        return newLoads;
     }
 
-    /** Peers tell, tell again, fall silent and come back, while own requests begin and end in between. */
+    /** Peers send updates, fall silent and return, while own requests start and end. */
     @Property(tries = 100, seed = "31")
-    void theLoadIsTheSumOfItsParts(@ForAll long seed) {
+    void theLoadIsTheSumOverAllProcesses(@ForAll long seed) {
         Random random = new Random(seed);
         EngineLoads loads = new EngineLoads();
-        Map<String, Told> told = new HashMap<>();
+        Map<String, PeerState> peerStates = new HashMap<>();
         List<StagePath> own = new ArrayList<>();
         for (long now = 0; now < 6_000; now += 20) {
             String peer = "p" + random.nextInt(5);
-            Map<BackendServerId, EngineLoads.Load> news = anyNews(random);
+            Map<BackendServerId, EngineLoads.Load> newLoads = randomLoads(random);
             if (random.nextInt(3) > 0) {
-                loads.peer(peer, news, 0, now);
-                told.put(peer, new Told(news, now));
+                loads.updatePeer(peer, newLoads, 0, now);
+                peerStates.put(peer, new PeerState(newLoads, now));
             } else {
-                loads.heard(peer, 0, now);
-                told.put(peer, new Told(told.containsKey(peer) ? told.get(peer).loads() : Map.of(), now));
+                loads.keepPeer(peer, 0, now);
+                peerStates.put(
+                        peer,
+                        new PeerState(
+                                peerStates.containsKey(peer)
+                                        ? peerStates.get(peer).loads()
+                                        : Map.of(),
+                                now));
             }
             if (own.size() < 8 && random.nextBoolean()) {
                 own.add(path(random));
@@ -67,14 +73,14 @@
             }
             if (random.nextInt(4) == 0) {
                 long at = now;
-                loads.forgetSilent(SILENCE, now);
-                told.values().removeIf(one -> at - one.atMillis() > SILENCE);
+                loads.removeSilentPeers(MAX_SILENCE_MILLIS, now);
+                peerStates.values().removeIf(one -> at - one.atMillis() > MAX_SILENCE_MILLIS);
             }
-            check(loads, told, own);
+            check(loads, peerStates, own);
         }
     }
 
-    private static void check(EngineLoads loads, Map<String, Told> told, List<StagePath> own) {
+    private static void check(EngineLoads loads, Map<String, PeerState> peerStates, List<StagePath> own) {
         for (int i = 0; i < ENGINES; i++) {
             BackendServerId id = engine(i);
             long requests =
@@ -83,7 +89,7 @@
                     .flatMap(path -> path.hop(id).stream())
                     .mapToLong(hop -> 100L * hop.layers())
                     .sum();
-            for (Told one : told.values()) {
+            for (PeerState one : peerStates.values()) {
                 EngineLoads.Load load = one.loads().getOrDefault(id, new EngineLoads.Load(0, 0, 0, 0));
                 requests += load.requests();
                 tokenLayers += load.tokenLayers();
--- a/core/src/test/java/org/cornelramp/core/path/PathFinderProperties.java
+++ b/core/src/test/java/org/cornelramp/core/path/PathFinderProperties.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Provide;
 import org.cornelramp.core.fleet.BackendServer;
 
-/** For any fleet: a path runs each layer once and in order, on engines that hold them, and is found if one exists. */
+/** For any fleet, a path runs each layer once and in order on engines that hold it, and is found if one exists. */
 class PathFinderProperties {
 
     @Provide
@@ -23,7 +23,7 @@
                         Arbitraries.integers().between(0, 2),
                         Arbitraries.integers().between(0, 3))
                 .as((from, size, dataCentre, card) ->
-                        new int[] {from, Math.min(Engines.LAYERS, from + size), dataCentre, card});
+                        new int[] {from, Math.min(EngineFixtures.LAYERS, from + size), dataCentre, card});
         return shape.list().ofMinSize(1).ofMaxSize(25).map(PathFinderProperties::fleet);
     }
 
@@ -32,18 +32,19 @@
         List<BackendServer> fleet = new ArrayList<>();
         for (int[] shape : shapes) {
             String id = "e" + fleet.size();
-            fleet.add(Engines.engine(id, "dc" + shape[2], cards[shape[3]], shape[0], shape[1]));
+            fleet.add(EngineFixtures.engine(id, "dc" + shape[2], cards[shape[3]], shape[0], shape[1]));
         }
         return fleet;
     }
 
-    /** Memory is no limit here: the request has no tokens. */
+    /** The negative number of tokens excludes memory as a limit. */
     @Property(tries = 400, seed = "7")
-    void findsAPathExactlyIfEveryLayerHasAHolder(@ForAll("fleets") List<BackendServer> fleet) {
-        PathFinder.Demand demand = new PathFinder.Demand(Engines.demand("dc0").home(), 0, -1_000_000, Set.of());
-        Optional<StagePath> path = PathFinder.find(Engines.spec(0), fleet, new EngineLoads(), demand);
+    void findsAPathIfAndOnlyIfEachLayerHasAHolder(@ForAll("fleets") List<BackendServer> fleet) {
+        PathFinder.Demand demand =
+                new PathFinder.Demand(EngineFixtures.demand("dc0").clientDataCentre(), 0, -1_000_000, Set.of());
+        Optional<StagePath> path = PathFinder.find(EngineFixtures.spec(0), fleet, new EngineLoads(), demand);
         boolean covered = true;
-        for (int layer = 0; layer < Engines.LAYERS; layer++) {
+        for (int layer = 0; layer < EngineFixtures.LAYERS; layer++) {
             int wanted = layer;
             covered &= fleet.stream().anyMatch(engine -> engine.holds(wanted));
         }
@@ -64,7 +65,7 @@
             seen.add(hop.server().id().value());
             at = hop.to();
         }
-        if (at != Engines.LAYERS) {
+        if (at != EngineFixtures.LAYERS) {
             throw new AssertionError(path.text());
         }
     }
--- a/core/src/test/java/org/cornelramp/core/path/PathFinderTest.java
+++ b/core/src/test/java/org/cornelramp/core/path/PathFinderTest.java
@@ -13,40 +13,40 @@
 import org.cornelramp.core.routing.EngineSpec;
 import org.testng.annotations.Test;
 
-/** Which engines a stream passes, by place, load, memory and slowness. */
+/** Choice of the engines of a stream by data centre, load, memory and slowdown. */
 public class PathFinderTest {
-    private static final EngineSpec SPEC = Engines.spec(9_000);
+    private static final EngineSpec SPEC = EngineFixtures.spec(9_000);
 
-    private static List<BackendServer> copy(String dataCentre) {
+    private static List<BackendServer> fastCopy(String dataCentre) {
         List<BackendServer> copy = new ArrayList<>();
-        copy.add(Engines.engine(dataCentre + "-a", dataCentre, "h100", 0, 27));
-        copy.add(Engines.engine(dataCentre + "-b", dataCentre, "h100", 27, 54));
-        copy.add(Engines.engine(dataCentre + "-c", dataCentre, "h100", 54, 80));
+        copy.add(EngineFixtures.engine(dataCentre + "-a", dataCentre, "h100", 0, 27));
+        copy.add(EngineFixtures.engine(dataCentre + "-b", dataCentre, "h100", 27, 54));
+        copy.add(EngineFixtures.engine(dataCentre + "-c", dataCentre, "h100", 54, 80));
         return copy;
     }
 
     private static List<BackendServer> slowCopy(String dataCentre) {
         List<BackendServer> copy = new ArrayList<>();
-        for (int from = 0; from < Engines.LAYERS; from += 8) {
-            copy.add(Engines.engine(dataCentre + "-" + from, dataCentre, "l4", from, from + 8));
+        for (int from = 0; from < EngineFixtures.LAYERS; from += 8) {
+            copy.add(EngineFixtures.engine(dataCentre + "-" + from, dataCentre, "l4", from, from + 8));
         }
         return copy;
     }
 
     /**
-     * Guards against paths over many small cards where fewer large ones take about as long: each engine of a path may die,
-     * and on a day with ten deaths among sixty engines a fourteenth of the streams lost one.
+     * Guards against paths over many small cards where fewer large ones take about as long. Each engine of a path may
+     * die: with ten deaths among sixty engines, one in fourteen streams lost an engine.
      */
     @Test
     public void prefersFewerEnginesOfAboutTheSameSpeed() {
         List<BackendServer> engines = new ArrayList<>();
-        for (int from = 0; from < Engines.LAYERS; from += 6) {
-            engines.add(Engines.engine("small-" + from, "dc1", "t4", from, Math.min(from + 6, Engines.LAYERS)));
+        for (int from = 0; from < EngineFixtures.LAYERS; from += 6) {
+            engines.add(EngineFixtures.engine("small-" + from, "dc1", "t4", from, Math.min(from + 6, EngineFixtures.LAYERS)));
         }
-        for (int from = 0; from < Engines.LAYERS; from += 9) {
-            engines.add(Engines.engine("large-" + from, "dc1", "l4", from, Math.min(from + 9, Engines.LAYERS)));
+        for (int from = 0; from < EngineFixtures.LAYERS; from += 9) {
+            engines.add(EngineFixtures.engine("large-" + from, "dc1", "l4", from, Math.min(from + 9, EngineFixtures.LAYERS)));
         }
-        StagePath path = PathFinder.find(SPEC, engines, new EngineLoads(), Engines.demand("dc1"))
+        StagePath path = PathFinder.find(SPEC, engines, new EngineLoads(), EngineFixtures.demand("dc1"))
                 .orElseThrow();
         assertEquals(path.hops().size(), 9);
     }
@@ -59,65 +59,66 @@
 
     @Test
     public void staysInItsOwnDataCentreWhileThatHasACopy() {
-        List<BackendServer> engines = new ArrayList<>(copy("dc1"));
-        engines.addAll(copy("dc2"));
-        StagePath path = PathFinder.find(SPEC, engines, new EngineLoads(), Engines.demand("dc2"))
+        List<BackendServer> engines = new ArrayList<>(fastCopy("dc1"));
+        engines.addAll(fastCopy("dc2"));
+        StagePath path = PathFinder.find(SPEC, engines, new EngineLoads(), EngineFixtures.demand("dc2"))
                 .orElseThrow();
         assertEquals(dataCentres(path), Set.of("dc2"));
         assertEquals(path.crossings(), 0);
     }
 
     /**
-     * An engine of the own data centre dies, and no other there holds its layers. A stream that left its data centre
-     * for these layers alone would cross the shared pipe twice with every token; it goes to the other copy whole.
+     * An engine dies in the data centre of the client, and no other engine there holds its layers. Guards against a path
+     * that leaves the data centre for these layers alone and crosses the shared link twice with every token; the stream
+     * uses the other copy for all layers.
      */
     @Test
-    public void goesToAnotherCopyWholeRatherThanThereAndBack() {
-        List<BackendServer> engines = new ArrayList<>(copy("dc1"));
+    public void usesAnotherCopyForAllLayers() {
+        List<BackendServer> engines = new ArrayList<>(fastCopy("dc1"));
         engines.remove(1);
-        engines.addAll(copy("dc2"));
-        StagePath path = PathFinder.find(SPEC, engines, new EngineLoads(), Engines.demand("dc1"))
+        engines.addAll(fastCopy("dc2"));
+        StagePath path = PathFinder.find(SPEC, engines, new EngineLoads(), EngineFixtures.demand("dc1"))
                 .orElseThrow();
         assertEquals(dataCentres(path), Set.of("dc2"));
         assertEquals(path.crossings(), 0);
     }
 
     /**
-     * The first engine of a copy breaks off two requests in five, though its reports are good (share and variant of the
-     * users' deployments). Its load stays low for that, so it looks best. Streams go to the other copy while that one
-     * has room, and still to the faulty one where nobody else holds its layers.
+     * The first engine of a copy breaks off two requests in five although it reports good health, a share and a fault
+     * that occur in deployments. Its load stays low because of the failures, so it looks best. Streams use the other copy
+     * while that has capacity, and still the faulty engine if no other engine holds its layers.
      */
     @Test
     public void avoidsAFirstEngineThatFailsOftenUnlessItIsTheOnlyOne() {
-        List<BackendServer> engines = new ArrayList<>(copy("dc1"));
-        engines.addAll(copy("dc2"));
+        List<BackendServer> engines = new ArrayList<>(fastCopy("dc1"));
+        engines.addAll(fastCopy("dc2"));
         EngineLoads loads = new EngineLoads();
         for (int i = 0; i < 20; i++) {
-            loads.ended(new BackendServerId("dc1-a"), i % 5 < 2);
+            loads.recordOutcome(new BackendServerId("dc1-a"), i % 5 < 2);
         }
         StagePath path =
-                PathFinder.find(SPEC, engines, loads, Engines.demand("dc1")).orElseThrow();
+                PathFinder.find(SPEC, engines, loads, EngineFixtures.demand("dc1")).orElseThrow();
         assertEquals(dataCentres(path), Set.of("dc2"));
-        StagePath only =
-                PathFinder.find(SPEC, copy("dc1"), loads, Engines.demand("dc1")).orElseThrow();
+        StagePath only = PathFinder.find(SPEC, fastCopy("dc1"), loads, EngineFixtures.demand("dc1"))
+                .orElseThrow();
         assertEquals(dataCentres(only), Set.of("dc1"));
     }
 
     /**
-     * Each of two data centres lacks layers that the other has, so every path crosses. The pipe of today carries the
-     * activations of about 28 ordinary requests a second over one hop; what exceeds half of that is refused at once
-     * instead of stalling all that cross.
+     * Each of two data centres lacks layers that the other one has, so every path crosses the link between them. The
+     * link carries the activations of about 28 ordinary requests a second over one hop. Requests that exceed half of
+     * that are refused at once, as they would stall all streams that cross the link.
      */
     @Test
-    public void plansNoMoreCrossingsThanThePipeCarries() {
+    public void plansNoMoreCrossingsThanTheLinkCarries() {
         List<BackendServer> engines = new ArrayList<>();
-        engines.add(Engines.engine("left", "dc1", "h100", 0, 27));
-        engines.add(Engines.engine("middle", "dc2", "h100", 27, 54));
-        engines.add(Engines.engine("right", "dc2", "h100", 54, 80));
-        EngineSpec roomy = Engines.spec(9_000);
+        engines.add(EngineFixtures.engine("left", "dc1", "h100", 0, 27));
+        engines.add(EngineFixtures.engine("middle", "dc2", "h100", 27, 54));
+        engines.add(EngineFixtures.engine("right", "dc2", "h100", 54, 80));
+        EngineSpec roomy = EngineFixtures.spec(9_000);
         EngineLoads loads = new EngineLoads();
         int placed = 0;
-        Optional<StagePath> path = PathFinder.find(roomy, engines, loads, Engines.demand("dc1"));
+        Optional<StagePath> path = PathFinder.find(roomy, engines, loads, EngineFixtures.demand("dc1"));
         while (path.isPresent() && placed < 1_000) {
             loads.add(path.get(), 1);
             placed++;
@@ -125,46 +126,47 @@
                     roomy,
                     engines,
                     loads,
-                    new PathFinder.Demand(Engines.demand("dc1").home(), 772, 1, Set.of()));
+                    new PathFinder.Demand(EngineFixtures.demand("dc1").clientDataCentre(), 772, 1, Set.of()));
         }
         double tokensPerSecond = placed * roomy.usualTokens() / 4.0;
         double megabits = tokensPerSecond * roomy.activationBytes() * 8 / 1e6;
-        assertTrue(placed > 20, "the pipe is used at all, placed " + placed);
+        assertTrue(placed > 20, "the link is used at all, placed " + placed);
         assertTrue(megabits <= 9_000 * 0.5, "planned " + megabits + " Mbit/s");
     }
 
     /**
-     * After a death all gateways send their streams to the copies that are left. Each counts what its peers have under
-     * way, so the streams spread over both copies instead of filling the faster one until it runs out of memory.
+     * After the death of an engine all gateways send their streams to the remaining copies. Each gateway counts the loads
+     * of its peers. Guards against streams that fill the faster copy until it runs out of memory instead of spreading
+     * over both.
      */
     @Test
-    public void spreadsOverCopiesByWhatPeersHaveUnderWay() {
+    public void spreadsOverCopiesByTheLoadsOfPeers() {
         List<BackendServer> engines = new ArrayList<>(slowCopy("dc1"));
         engines.addAll(slowCopy("dc2"));
         EngineLoads loads = new EngineLoads();
         EngineLoads peer = new EngineLoads();
         for (int i = 0; i < 60; i++) {
             peer.add(
-                    PathFinder.find(SPEC, slowCopy("dc1"), peer, Engines.demand("dc1"))
+                    PathFinder.find(SPEC, slowCopy("dc1"), peer, EngineFixtures.demand("dc1"))
                             .orElseThrow(),
                     944);
         }
-        loads.peer("peer", peer.own(), 0, 0);
+        loads.updatePeer("peer", peer.ownLoads(), 0, 0);
         StagePath path =
-                PathFinder.find(SPEC, engines, loads, Engines.demand("dc1")).orElseThrow();
+                PathFinder.find(SPEC, engines, loads, EngineFixtures.demand("dc1")).orElseThrow();
         assertEquals(dataCentres(path), Set.of("dc2"));
     }
 
     @Test
     public void leavesOutAnEngineWithoutMemory() {
         EngineLoads loads = new EngineLoads();
-        List<BackendServer> engines = copy("dc1");
+        List<BackendServer> engines = fastCopy("dc1");
         int placed = 0;
-        Optional<StagePath> path = PathFinder.find(SPEC, engines, loads, Engines.demand("dc1"));
+        Optional<StagePath> path = PathFinder.find(SPEC, engines, loads, EngineFixtures.demand("dc1"));
         while (path.isPresent()) {
             loads.add(path.get(), 944);
             placed++;
-            path = PathFinder.find(SPEC, engines, loads, Engines.demand("dc1"));
+            path = PathFinder.find(SPEC, engines, loads, EngineFixtures.demand("dc1"));
         }
         double freeMb = 72_000 - 27 * 1_750;
         double takenMb = placed * 944.0 * 27 * SPEC.tokenLayerMb();
@@ -173,24 +175,24 @@
     }
 
     @Test
-    public void goesAroundASlowEngine() {
-        List<BackendServer> engines = copy("dc1");
-        engines.add(Engines.engine("twin", "dc1", "h100", 27, 54));
+    public void avoidsASlowEngine() {
+        List<BackendServer> engines = fastCopy("dc1");
+        engines.add(EngineFixtures.engine("twin", "dc1", "h100", 27, 54));
         EngineLoads loads = new EngineLoads();
-        loads.setPace(new BackendServerId("dc1-b"), 5, 0);
+        loads.setSlowdown(new BackendServerId("dc1-b"), 5, 0);
         StagePath path =
-                PathFinder.find(SPEC, engines, loads, Engines.demand("dc1")).orElseThrow();
+                PathFinder.find(SPEC, engines, loads, EngineFixtures.demand("dc1")).orElseThrow();
         assertTrue(path.hop(new BackendServerId("twin")).isPresent(), path.text());
-        loads.forgetPaces(60_000);
-        assertEquals(loads.pace(new BackendServerId("dc1-b")), 1.0);
+        loads.removeExpiredSlowdowns(60_000);
+        assertEquals(loads.slowdown(new BackendServerId("dc1-b")), 1.0);
     }
 
     @Test
     public void startsOnlyAtAnEngineThatMayTakeTheRequest() {
-        List<BackendServer> engines = copy("dc1");
-        engines.addAll(copy("dc2"));
-        PathFinder.Demand demand =
-                new PathFinder.Demand(Engines.demand("dc1").home(), 10, 20, Set.of(new BackendServerId("dc2-a")));
+        List<BackendServer> engines = fastCopy("dc1");
+        engines.addAll(fastCopy("dc2"));
+        PathFinder.Demand demand = new PathFinder.Demand(
+                EngineFixtures.demand("dc1").clientDataCentre(), 10, 20, Set.of(new BackendServerId("dc2-a")));
         StagePath path =
                 PathFinder.find(SPEC, engines, new EngineLoads(), demand).orElseThrow();
         assertEquals(path.first().id(), new BackendServerId("dc2-a"));
@@ -198,35 +200,35 @@
 
     @Test
     public void keepsTheFirstHopOfARunningRequest() {
-        List<BackendServer> engines = copy("dc1");
-        engines.add(Engines.engine("twin", "dc1", "h100", 27, 54));
+        List<BackendServer> engines = fastCopy("dc1");
+        engines.add(EngineFixtures.engine("twin", "dc1", "h100", 27, 54));
         Hop first = new Hop(engines.get(0), 0, 27);
         List<BackendServer> left = engines.stream()
                 .filter(one -> !one.id().value().equals("dc1-b"))
                 .toList();
-        StagePath path = PathFinder.findAfter(first, SPEC, left, new EngineLoads(), Engines.demand("dc1"))
+        StagePath path = PathFinder.findAfter(first, SPEC, left, new EngineLoads(), EngineFixtures.demand("dc1"))
                 .orElseThrow();
         assertEquals(path.hops().get(0), first);
         assertTrue(path.hop(new BackendServerId("twin")).isPresent(), path.text());
     }
 
     /**
-     * A chain of engines has died, and thirty streams start anew in the same moment. They spread over the two copies
-     * that are left by the prompts which each has still to read, so that none waits for thirty prompts.
+     * A chain of engines has died, and thirty streams restart at the same time. They spread over the two remaining copies
+     * by the prompts that each still has to read. Guards against a stream that waits for thirty prompts.
      */
     @Test
     public void spreadsPromptsThatAreReadAtOnce() {
         List<BackendServer> engines = new ArrayList<>(slowCopy("dc1"));
         engines.addAll(slowCopy("dc2"));
         EngineLoads loads = new EngineLoads();
-        int away = 0;
+        int onOtherCopy = 0;
         for (int i = 0; i < 30; i++) {
             StagePath path =
-                    PathFinder.find(SPEC, engines, loads, Engines.demand("dc1")).orElseThrow();
+                    PathFinder.find(SPEC, engines, loads, EngineFixtures.demand("dc1")).orElseThrow();
             loads.add(path, 944);
-            loads.reading(path, 772);
-            away += dataCentres(path).contains("dc2") ? 1 : 0;
+            loads.addPendingPromptTokens(path, 772);
+            onOtherCopy += dataCentres(path).contains("dc2") ? 1 : 0;
         }
-        assertTrue(away >= 10 && away <= 15, "sent to the other copy: " + away);
+        assertTrue(onOtherCopy >= 10 && onOtherCopy <= 15, "sent to the other copy: " + onOtherCopy);
     }
 }
--- a/core/src/test/java/org/cornelramp/core/placement/DeathsInABusyFleetTest.java
+++ b/core/src/test/java/org/cornelramp/core/placement/EngineDeathsUnderLoadTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.cornelramp.core.fleet.BackendServer;
 import org.cornelramp.core.path.EngineLoads;
-import org.cornelramp.core.path.Engines;
+import org.cornelramp.core.path.EngineFixtures;
 import org.cornelramp.core.path.PathFinder;
 import org.cornelramp.core.path.StagePath;
 import org.cornelramp.core.routing.EngineSpec;
@@ -20,19 +20,19 @@
 import org.testng.annotations.Test;
 
 /**
- * Pattern: engines die in a busy fleet of 130 cards. Streams come from five data centres at 228 a second, and five engines
- * die at once before anything is loaded elsewhere. Callers whose stream finds no path are refused.
+ * Guards against refused streams when five engines of a busy fleet of 130 cards die at once, before their layers are
+ * loaded elsewhere. Streams arrive from five data centres at 228 a second; one without a path is refused.
  */
-public class DeathsInABusyFleetTest {
-    private static final EngineSpec SPEC = Engines.spec(3_400);
+public class EngineDeathsUnderLoadTest {
+    private static final EngineSpec SPEC = EngineFixtures.spec(3_400);
     private static final List<String> DATA_CENTRES = List.of("norte", "mixco", "sur", "villa", "oriente");
     private static final double STREAMS_PER_SECOND = 228;
-    private static final long MILLIS = 20_000;
-    private static final int MOST_ANSWER = 324;
-    private static final int LEAST_ANSWER = 20;
+    private static final long DURATION_MILLIS = 20_000;
+    private static final int MAX_ANSWER_TOKENS = 324;
+    private static final int MIN_ANSWER_TOKENS = 20;
 
-    /** Time of a real token, as a part of the planned one: the search plans with waiting for each step. */
-    private static final double REAL_PART = 0.7;
+    /** Actual time for a token as a part of the planned time, as the search assumes a wait for each step. */
+    private static final double ACTUAL_TOKEN_TIME_PART = 0.7;
 
     private static List<BackendServer> fleet() {
         List<BackendServer> engines = new ArrayList<>();
@@ -51,25 +51,26 @@
         }
     }
 
-    /** What became of the streams of a run. */
-    private record Outcome(int sent, int refused, double meanHops) {}
+    /** Counts of the streams of a run. */
+    private record Result(int sent, int refused, double meanHops) {}
 
-    /** A stream under way, by its place in the list of all paths. */
-    private record UnderWay(double endMillis, StagePath path) {}
+    /** A stream in progress. */
+    private record ActiveStream(double endMillis, StagePath path) {}
 
-    private static Outcome play(List<BackendServer> engines, Random random) {
+    private static Result simulate(List<BackendServer> engines, Random random) {
         EngineLoads loads = new EngineLoads();
-        PriorityQueue<UnderWay> underWay = new PriorityQueue<>(Comparator.comparingDouble(UnderWay::endMillis));
+        PriorityQueue<ActiveStream> activeStreams =
+                new PriorityQueue<>(Comparator.comparingDouble(ActiveStream::endMillis));
         int sent = 0;
         int refused = 0;
         double hops = 0;
-        for (double now = 0; now < MILLIS; now += 1_000 / STREAMS_PER_SECOND) {
-            while (!underWay.isEmpty() && underWay.peek().endMillis() < now) {
-                loads.remove(underWay.poll().path(), SPEC.usualTokens());
+        for (double now = 0; now < DURATION_MILLIS; now += 1_000 / STREAMS_PER_SECOND) {
+            while (!activeStreams.isEmpty() && activeStreams.peek().endMillis() < now) {
+                loads.remove(activeStreams.poll().path(), SPEC.usualTokens());
             }
             String from = DATA_CENTRES.get(random.nextInt(DATA_CENTRES.size()));
-            int answer = LEAST_ANSWER + random.nextInt(MOST_ANSWER - LEAST_ANSWER);
-            Optional<StagePath> path = PathFinder.find(SPEC, engines, loads, Engines.demand(from));
+            int answer = MIN_ANSWER_TOKENS + random.nextInt(MAX_ANSWER_TOKENS - MIN_ANSWER_TOKENS);
+            Optional<StagePath> path = PathFinder.find(SPEC, engines, loads, EngineFixtures.demand(from));
             sent++;
             if (path.isEmpty()) {
                 refused++;
@@ -77,9 +78,10 @@
             }
             hops += path.get().hops().size();
             loads.add(path.get(), SPEC.usualTokens());
-            underWay.add(new UnderWay(now + answer * REAL_PART * path.get().tokenMillis(), path.get()));
+            activeStreams.add(new ActiveStream(
+                    now + answer * ACTUAL_TOKEN_TIME_PART * path.get().tokenMillis(), path.get()));
         }
-        return new Outcome(sent, refused, hops / (sent - refused));
+        return new Result(sent, refused, hops / (sent - refused));
     }
 
     @DataProvider
@@ -87,7 +89,7 @@
         return new Object[][] {{1L}, {2L}, {3L}};
     }
 
-    /** The layers of the dead have another holder, and the memory that is left takes all streams. */
+    /** The layers of the dead engines have other holders, and the remaining memory suffices for all streams. */
     @Test(dataProvider = "seeds")
     public void everyStreamFindsAPathAfterFiveDeaths(long seed) {
         Random random = new Random(seed);
@@ -95,14 +97,14 @@
         for (int i = 0; i < 5; i++) {
             left.remove(random.nextInt(left.size()));
         }
-        assertEquals(play(left, random).refused(), 0);
+        assertEquals(simulate(left, random).refused(), 0);
     }
 
-    /** Of paths as long as a tenth of the fleet, five deaths would meet four in ten. */
+    /** With paths as long as a tenth of the fleet, five deaths would interrupt four streams in ten. */
     @Test
     public void pathsAreShorterThanATenthOfTheFleet() {
         List<BackendServer> all = fleet();
-        double hops = play(all, new Random(1)).meanHops();
-        assertTrue(hops < all.size() / 10.0, "engines on a path, in the mean: " + hops);
+        double hops = simulate(all, new Random(1)).meanHops();
+        assertTrue(hops < all.size() / 10.0, "mean number of engines on a path: " + hops);
     }
 }
--- a/core/src/test/java/org/cornelramp/core/placement/PlannerTest.java
+++ b/core/src/test/java/org/cornelramp/core/placement/PlannerTest.java
@@ -14,16 +14,16 @@
 import java.util.stream.Collectors;
 import org.cornelramp.core.fleet.BackendServer;
 import org.cornelramp.core.model.BackendServerId;
-import org.cornelramp.core.path.Engines;
+import org.cornelramp.core.path.EngineFixtures;
 import org.cornelramp.core.routing.EngineSpec;
 import org.testng.annotations.Test;
 
-/** Which engine holds which layers, on the cards of the deployments of today. */
+/** Placement of the layers on the cards of the deployments. */
 public class PlannerTest {
-    private static final EngineSpec SPEC = Engines.spec(9_000);
+    private static final EngineSpec SPEC = EngineFixtures.spec(9_000);
 
-    /** The cards of today's three data centres, all empty. */
-    private static List<BackendServer> today() {
+    /** The cards of the three data centres of a deployment, all empty. */
+    private static List<BackendServer> emptyFleet() {
         List<BackendServer> engines = new ArrayList<>();
         add(engines, "norte", "a100s", 2);
         add(engines, "norte", "l4", 4);
@@ -40,7 +40,7 @@
 
     static void add(List<BackendServer> engines, String dataCentre, String card, int count) {
         for (int i = 0; i < count; i++) {
-            engines.add(Engines.engine(dataCentre + "-" + card + "-" + i, dataCentre, card, 0, 0));
+            engines.add(EngineFixtures.engine(dataCentre + "-" + card + "-" + i, dataCentre, card, 0, 0));
         }
     }
 
@@ -59,7 +59,7 @@
     }
 
     private static boolean covers(List<BackendServer> engines, String dataCentre) {
-        for (int layer = 0; layer < Engines.LAYERS; layer++) {
+        for (int layer = 0; layer < EngineFixtures.LAYERS; layer++) {
             int wanted = layer;
             boolean held =
                     engines.stream().anyMatch(one -> one.dataCentre().value().equals(dataCentre) && one.holds(wanted));
@@ -78,7 +78,7 @@
 
     @Test
     public void givesEachDataCentreAWholeCopy() {
-        List<BackendServer> placed = apply(today(), plan(today()));
+        List<BackendServer> placed = apply(emptyFleet(), plan(emptyFleet()));
         for (String dataCentre : List.of("norte", "mixco", "sur")) {
             assertTrue(covers(placed, dataCentre), dataCentre);
         }
@@ -86,7 +86,7 @@
 
     @Test
     public void ordersNoEngineMoreThanItsCardHolds() {
-        for (Placement order : plan(today())) {
+        for (Placement order : plan(emptyFleet())) {
             int layers = order.layers().to() - order.layers().from();
             double mb = SPEC.card(order.server().card()).orElseThrow().memoryMb();
             assertTrue(layers * SPEC.layerMb() < mb, order.toString());
@@ -94,25 +94,26 @@
     }
 
     @Test
-    public void isTheSameFromAnyOrderOfTheSameEngines() {
-        List<BackendServer> shuffled = today();
+    public void doesNotDependOnTheOrderOfTheEngines() {
+        List<BackendServer> shuffled = emptyFleet();
         Collections.shuffle(shuffled, new Random(5));
-        assertEquals(plan(shuffled), plan(today()));
+        assertEquals(plan(shuffled), plan(emptyFleet()));
     }
 
     @Test
-    public void leavesAFleetAloneThatHoldsItsPlan() {
-        List<BackendServer> placed = apply(today(), plan(today()));
+    public void ordersNothingOnceThePlanIsInPlace() {
+        List<BackendServer> placed = apply(emptyFleet(), plan(emptyFleet()));
         assertEquals(plan(placed), List.of());
     }
 
     /**
-     * An engine of a data centre dies while others there hold second copies. Its streams go elsewhere at once; the plan
-     * moves one spare engine, not the fast ones that the paths of all others run through, and moves nothing else.
+     * An engine dies while others in its data centre hold second copies, so its streams continue on these at once. Guards
+     * against plans that move the fast engines that all other paths contain, or more than one engine at a time: the plan
+     * moves one redundant engine.
      */
     @Test
-    public void mendsAHoleWithASpareEngine() {
-        List<BackendServer> placed = apply(today(), plan(today()));
+    public void fillsAGapWithARedundantEngine() {
+        List<BackendServer> placed = apply(emptyFleet(), plan(emptyFleet()));
         List<BackendServer> whole = List.copyOf(placed);
         BackendServer dead = whole.stream()
                 .filter(one -> !one.card().equals("h100") && isNeeded(one, whole, "mixco"))
@@ -131,13 +132,13 @@
     }
 
     /**
-     * In a release a new engine registers about a second before the old one says that it leaves. It is kept empty for
-     * the layers that become free, instead of loading a second copy first and then those.
+     * In a rolling release a new engine registers about a second before the old one announces that it leaves. Guards
+     * against a new engine that first loads a second copy and then the layers of the old one.
      */
     @Test
-    public void keepsANewcomerForTheLayersOfTheOneThatLeaves() {
-        List<BackendServer> placed = apply(today(), plan(today()));
-        BackendServer newcomer = Engines.engine("new", "sur", "l4", 0, 0);
+    public void reservesANewEngineForTheLayersOfALeavingOne() {
+        List<BackendServer> placed = apply(emptyFleet(), plan(emptyFleet()));
+        BackendServer newcomer = EngineFixtures.engine("new", "sur", "l4", 0, 0);
         placed.add(newcomer);
         assertEquals(Planner.plan(SPEC, placed, Set.of(), Set.of(newcomer.id())), List.of());
         BackendServer old = placed.stream()
@@ -152,19 +153,19 @@
 
     @Test
     public void ordersNothingFromAnEngineThatIsStillLoading() {
-        List<BackendServer> empty = today();
+        List<BackendServer> empty = emptyFleet();
         Set<BackendServerId> all = empty.stream().map(BackendServer::id).collect(Collectors.toSet());
         assertEquals(Planner.plan(SPEC, empty, all, Set.of()), List.of());
     }
 
     /**
-     * Engines have left for good, and no spare one is left in the data centre. Without this its copy would stay broken
-     * for the rest of the day and the others would carry its traffic. The engines beside the gap take its layers with
-     * memory that they kept for requests, step by step, and never give up a layer that nobody else holds.
+     * Engines do not return, and no redundant engine is left in the data centre. Guards against a copy that stays
+     * incomplete for the rest of the day while the other data centres serve its traffic. The engines beside the gap take
+     * its layers step by step with memory reserved for requests, and never drop a layer that no other engine holds.
      */
     @Test
-    public void theRestCloseAGapThatNoSpareEngineFills() {
-        List<BackendServer> placed = apply(today(), plan(today()));
+    public void extendsEnginesIntoAGapWithoutARedundantEngine() {
+        List<BackendServer> placed = apply(emptyFleet(), plan(emptyFleet()));
         for (String gone : List.of("norte-a100s-1", "norte-t4-6")) {
             placed.removeIf(one -> one.id().value().equals(gone));
         }
@@ -172,7 +173,7 @@
         for (int rounds = 0; rounds < 30 && !covers(placed, "norte"); rounds++) {
             List<Placement> orders = plan(placed);
             List<BackendServer> next = apply(placed, orders);
-            for (int layer = 0; layer < Engines.LAYERS; layer++) {
+            for (int layer = 0; layer < EngineFixtures.LAYERS; layer++) {
                 assertTrue(holders(next, layer) > 0 || holders(placed, layer) == 0, "layer " + layer + " " + orders);
             }
             for (Placement order : orders) {
--- a/core/src/test/java/org/cornelramp/core/poison/CrashingFleet.java
+++ b/core/src/test/java/org/cornelramp/core/poison/CrashingFleet.java
@@ -11,9 +11,9 @@
 import java.util.Set;
 
 /**
- * Servers that run several requests side by side, some of which crash the server they run on. Requests of a crashed
- * server are tried again elsewhere; a poison request is also sent again by its caller. Reports arrive late, twice
- * and out of order.
+ * Simulates servers that run several requests at once, some of which crash their server. Requests of a crashed server
+ * are retried on other servers; a poison request is also sent again by its caller. Crash reports arrive late, twice and
+ * out of order.
  */
 final class CrashingFleet {
     private static final int SLOTS = 8;
@@ -21,42 +21,43 @@
     private static final int MAX_ATTEMPTS = 2;
 
     private final Random random;
-    private final boolean apart;
-    private final int reportTicks;
+    private final boolean isolateSuspects;
+    private final int maxReportDelayTicks;
     private final List<List<Run>> servers = new ArrayList<>();
-    private final List<Late> late = new ArrayList<>();
-    private final SetAside setAside = new SetAside(Duration.ofMinutes(10), 256);
+    private final List<Delayed> delayed = new ArrayList<>();
+    private final PoisonDetector detector = new PoisonDetector(Duration.ofMinutes(10), 256);
     private final Map<String, Integer> crashes = new HashMap<>();
     private Instant now = Instant.ofEpochSecond(1_000);
     private int tick;
     private int next;
 
-    /** Innocent requests that were set aside by the rule, and that a plain count of two would set aside. */
-    final Set<String> wronged = new HashSet<>();
+    /** Innocent requests that were refused as poison. */
+    final Set<String> wronglyRefused = new HashSet<>();
 
-    final Set<String> wrongedByCount = new HashSet<>();
+    /** Innocent requests that would be refused if two crashes alone made a culprit. */
+    final Set<String> wronglyRefusedByCount = new HashSet<>();
 
-    CrashingFleet(int size, boolean apart, int reportTicks, Random random) {
+    CrashingFleet(int size, boolean isolateSuspects, int maxReportDelayTicks, Random random) {
         this.random = random;
-        this.apart = apart;
-        this.reportTicks = reportTicks;
+        this.isolateSuspects = isolateSuspects;
+        this.maxReportDelayTicks = maxReportDelayTicks;
         for (int i = 0; i < size; i++) {
             servers.add(new ArrayList<>());
         }
     }
 
     /**
-     * @param poisons poison requests, each sent again every two seconds until it is set aside
-     * @param popular part of the innocent requests that are all alike, in percent
-     * @param otherCrashesPerSecond crashes of servers for reasons of their own
+     * @param poisons number of poison requests, each sent every two seconds until it is refused
+     * @param popular share of the innocent requests that are identical, in percent
+     * @param otherCrashesPerSecond crashes of servers that no request causes
      */
     void run(int seconds, int poisons, int popular, double otherCrashesPerSecond) {
         for (tick = 0; tick < seconds * 1_000 / TICK_MILLIS; tick++) {
             now = now.plusMillis(TICK_MILLIS);
             deliver();
             for (int i = 0; i < servers.size() / 5; i++) {
-                String alike = random.nextInt(100) < popular ? "popular" : "i" + next++;
-                start(new Run(alike, 0, 2 + random.nextInt(50)));
+                String fingerprint = random.nextInt(100) < popular ? "popular" : "i" + next++;
+                start(new Run(fingerprint, 0, 2 + random.nextInt(50)));
             }
             for (int p = 0; p < poisons; p++) {
                 if ((tick + p * 7) % (2_000 / TICK_MILLIS) == 0) {
@@ -71,7 +72,7 @@
     }
 
     boolean isSetAside(String fingerprint) {
-        return setAside.isSetAside(fingerprint, now);
+        return detector.isPoison(fingerprint, now);
     }
 
     int crashesOf(String fingerprint) {
@@ -79,17 +80,17 @@
     }
 
     private void start(Run run) {
-        if (setAside.isSetAside(run.fingerprint, now)) {
+        if (detector.isPoison(run.fingerprint, now)) {
             if (!run.fingerprint.startsWith("poison")) {
-                wronged.add(run.fingerprint);
+                wronglyRefused.add(run.fingerprint);
             }
             return;
         }
         for (int i = 0; i < 5; i++) {
             List<Run> server = servers.get(random.nextInt(servers.size()));
             List<String> beside = server.stream().map(Run::fingerprint).toList();
-            boolean may = !apart || setAside.mayRunBeside(run.fingerprint, beside, now);
-            if (server.size() < SLOTS && may) {
+            boolean allowed = !isolateSuspects || detector.mayRunBeside(run.fingerprint, beside, now);
+            if (server.size() < SLOTS && allowed) {
                 server.add(run);
                 return;
             }
@@ -109,7 +110,7 @@
                 crash(s);
                 continue;
             }
-            server.stream().filter(r -> r.ticks <= 0).forEach(r -> setAside.completed(r.fingerprint, now));
+            server.stream().filter(r -> r.ticks <= 0).forEach(r -> detector.recordCompletion(r.fingerprint, now));
             server.removeIf(r -> r.ticks <= 0);
         }
     }
@@ -122,25 +123,25 @@
             suspects.add(r.fingerprint);
             boolean second = crashes.merge("at " + r.fingerprint, 1, Integer::sum) == 2;
             if (second && !r.fingerprint.startsWith("poison")) {
-                wrongedByCount.add(r.fingerprint);
+                wronglyRefusedByCount.add(r.fingerprint);
             }
         }
         CrashReport report = new CrashReport("crash" + tick + "-" + s, now, suspects);
-        late.add(new Late(tick + random.nextInt(reportTicks + 1), report));
-        late.add(new Late(tick + random.nextInt(2 * reportTicks + 1), report));
+        delayed.add(new Delayed(tick + random.nextInt(maxReportDelayTicks + 1), report));
+        delayed.add(new Delayed(tick + random.nextInt(2 * maxReportDelayTicks + 1), report));
         for (Run r : lost) {
             if (r.attempt + 1 < MAX_ATTEMPTS) {
-                late.add(new Late(tick + 2, new Run(r.fingerprint, r.attempt + 1, 2 + random.nextInt(50))));
+                delayed.add(new Delayed(tick + 2, new Run(r.fingerprint, r.attempt + 1, 2 + random.nextInt(50))));
             }
         }
     }
 
     private void deliver() {
-        List<Late> ready = late.stream().filter(l -> l.tick <= tick).toList();
-        late.removeAll(ready);
-        for (Late l : ready) {
+        List<Delayed> ready = delayed.stream().filter(l -> l.tick <= tick).toList();
+        delayed.removeAll(ready);
+        for (Delayed l : ready) {
             if (l.what instanceof CrashReport report) {
-                setAside.crashed(report, now);
+                detector.recordCrash(report, now);
             } else {
                 start((Run) l.what);
             }
@@ -149,5 +150,5 @@
 
     private record Run(String fingerprint, int attempt, int ticks) {}
 
-    private record Late(int tick, Object what) {}
+    private record Delayed(int tick, Object what) {}
 }
--- a/core/src/test/java/org/cornelramp/core/poison/SetAsideProperties.java
+++ b/core/src/test/java/org/cornelramp/core/poison/PoisonDetectorProperties.java
@@ -15,8 +15,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Reports in any order, any number of times, lead every process to the same; innocents beside a poison go on. */
-class SetAsideProperties {
+/** The order and number of crash reports do not matter, and innocent requests beside a poison request keep running. */
+class PoisonDetectorProperties {
     private static final Instant NOW = Instant.ofEpochSecond(1_000);
 
     @Property(seed = "4101", tries = 200)
@@ -30,53 +30,53 @@
             }
             reports.add(new CrashReport("c" + i % 20, NOW.minusMillis(random.nextInt(5_000)), suspects));
         }
-        SetAside one = told(reports);
+        PoisonDetector one = detectorWith(reports);
         List<CrashReport> again = new ArrayList<>(reports);
         again.addAll(reports.subList(0, random.nextInt(count)));
         Collections.shuffle(again, random);
-        assertEquals(told(again).marks(NOW), one.marks(NOW));
+        assertEquals(detectorWith(again).marks(NOW), one.marks(NOW));
     }
 
     @Property(seed = "4102", tries = 30)
-    void everyPoisonIsSetAsideAndHardlyAnInnocentIs(
+    void everyPoisonRequestIsFoundAndHardlyAnyOther(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 3) int poisons) {
         CrashingFleet fleet = new CrashingFleet(20, true, 10, new Random(seed));
         fleet.run(20, poisons, 10, 0);
         for (int p = 0; p < poisons; p++) {
             assertTrue(fleet.isSetAside("poison" + p));
-            // Two, and those that were under way before the second report came or when another request was beside it
-            // both times.
+            // Two crashes, plus those of runs that started before the second report arrived or when another request
+            // was in progress at both crashes.
             assertTrue(fleet.crashesOf("poison" + p) <= 4, "crashes " + fleet.crashesOf("poison" + p));
         }
-        assertTrue(fleet.wronged.size() <= 2, "innocents set aside: " + fleet.wronged);
+        assertTrue(fleet.wronglyRefused.size() <= 2, "innocent requests refused: " + fleet.wronglyRefused);
     }
 
     @Property(seed = "4103", tries = 10)
-    void serversThatCrashForReasonsOfTheirOwnSeldomCostAnInnocent(@ForAll long seed) {
+    void crashesWithoutAPoisonRequestSeldomBlameOne(@ForAll long seed) {
         CrashingFleet fleet = new CrashingFleet(20, true, 10, new Random(seed));
         fleet.run(30, 0, 20, 1);
         assertTrue(!fleet.isSetAside("popular"));
-        assertTrue(fleet.wronged.size() <= 2, "innocents set aside: " + fleet.wronged.size());
+        assertTrue(fleet.wronglyRefused.size() <= 2, "innocent requests refused: " + fleet.wronglyRefused.size());
     }
 
     @Property(seed = "4104", tries = 100)
-    void boundsHoldAndEverythingIsForgotten(@ForAll long seed) {
+    void boundsHoldAndEverythingExpires(@ForAll long seed) {
         Random random = new Random(seed);
-        SetAside setAside = new SetAside(Duration.ofSeconds(60), 16);
+        PoisonDetector detector = new PoisonDetector(Duration.ofSeconds(60), 16);
         Instant now = NOW;
         for (int i = 0; i < 100; i++) {
             now = now.plusMillis(random.nextInt(500));
-            setAside.crashed(new CrashReport("c" + i, now, Set.of("f" + random.nextInt(5))), now);
-            setAside.heard(List.of("x" + i + "@" + now.plusSeconds(999).toEpochMilli(), "junk", "@", "a@b"), now);
-            assertTrue(setAside.reportsSince(Instant.EPOCH).size() <= 16);
-            assertTrue(setAside.marks(now).size() <= SetAside.MAX_TOLD);
+            detector.recordCrash(new CrashReport("c" + i, now, Set.of("f" + random.nextInt(5))), now);
+            detector.addMarks(List.of("x" + i + "@" + now.plusSeconds(999).toEpochMilli(), "junk", "@", "a@b"), now);
+            assertTrue(detector.reportsSince(Instant.EPOCH).size() <= 16);
+            assertTrue(detector.marks(now).size() <= PoisonDetector.MAX_MARKS);
         }
-        assertEquals(setAside.marks(now.plusSeconds(61)), List.of());
+        assertEquals(detector.marks(now.plusSeconds(61)), List.of());
     }
 
-    private static SetAside told(List<CrashReport> reports) {
-        SetAside setAside = SetAside.standard();
-        reports.forEach(r -> setAside.crashed(CrashReport.parse(r.toString()), NOW));
-        return setAside;
+    private static PoisonDetector detectorWith(List<CrashReport> reports) {
+        PoisonDetector detector = PoisonDetector.standard();
+        reports.forEach(r -> detector.recordCrash(CrashReport.parse(r.toString()), NOW));
+        return detector;
     }
 }
--- a/core/src/test/java/org/cornelramp/core/retry/RetryBudgetProperties.java
+++ b/core/src/test/java/org/cornelramp/core/retry/OrganisationRetryBudgetProperties.java
@@ -9,14 +9,14 @@
 import net.jqwik.api.constraints.IntRange;
 import org.cornelramp.core.model.OrganisationId;
 
-/** Retries stay a share of the successes, however the failures come. */
-class RetryBudgetProperties {
-    private static final OrganisationId O = new OrganisationId("o");
+/** Retries stay within a share of the successes for any sequence of failures. */
+class OrganisationRetryBudgetProperties {
+    private static final OrganisationId ORGANISATION = new OrganisationId("o");
 
     @Property(seed = "6101", tries = 200)
     void retriesStayWithinTheBudget(@ForAll long seed, @ForAll @IntRange(min = 0, max = 100) int failing) {
         Random random = new Random(seed);
-        RetryBudget budget = RetryBudget.standard();
+        OrganisationRetryBudget budget = OrganisationRetryBudget.standard();
         Instant start = Instant.ofEpochSecond(1_000);
         Instant now = start;
         int successes = 0;
@@ -24,9 +24,9 @@
         for (int i = 0; i < 2_000; i++) {
             now = now.plusMillis(random.nextInt(20));
             if (random.nextInt(100) < failing) {
-                retries += budget.tryRetry(O, now) ? 1 : 0;
+                retries += budget.tryRetry(ORGANISATION, now) ? 1 : 0;
             } else {
-                budget.succeeded(O, now);
+                budget.recordSuccess(ORGANISATION, now);
                 successes++;
             }
             double seconds = (now.toEpochMilli() - start.toEpochMilli()) / 1e3;
@@ -35,11 +35,11 @@
     }
 
     @Property(seed = "6102", tries = 20)
-    void oneOrganisationsFailuresLeaveAnothersBudget(@ForAll @IntRange(min = 1, max = 1_000) int failures) {
-        RetryBudget budget = RetryBudget.standard();
+    void failuresOfOneOrganisationDoNotAffectAnother(@ForAll @IntRange(min = 1, max = 1_000) int failures) {
+        OrganisationRetryBudget budget = OrganisationRetryBudget.standard();
         Instant now = Instant.ofEpochSecond(1_000);
         for (int i = 0; i < failures; i++) {
-            budget.tryRetry(O, now);
+            budget.tryRetry(ORGANISATION, now);
         }
         assertTrue(budget.tryRetry(new OrganisationId("other"), now));
     }
--- a/core/src/test/java/org/cornelramp/core/retry/RunLimitProperties.java
+++ b/core/src/test/java/org/cornelramp/core/retry/RequestServerLimitProperties.java
@@ -12,8 +12,8 @@
 import net.jqwik.api.constraints.Size;
 import org.cornelramp.core.model.BackendServerId;
 
-/** On how many servers a request that keeps breaking off is run. */
-class RunLimitProperties {
+/** Number of servers on which a request runs that repeatedly breaks off. */
+class RequestServerLimitProperties {
     private static final int SERVERS = 12;
 
     private static BackendServerId server(int number) {
@@ -21,8 +21,8 @@
     }
 
     /**
-     * A client's stream breaks off again and again; each time it is started anew on a server that the limit allows,
-     * whichever that is, while servers die. The living servers that have run it are never more than the route allows.
+     * A stream breaks off repeatedly and is restarted each time on any server that the limit allows, while servers die.
+     * The number of live servers that have run it never exceeds the limit of the route.
      */
     @Property(seed = "20261203")
     void neverRunsOnMoreLivingServersThanAllowed(
@@ -32,7 +32,7 @@
         Set<BackendServerId> ran = new HashSet<>();
         Set<BackendServerId> dead = new HashSet<>();
         for (int i = 0; i < choices.size(); i++) {
-            Set<BackendServerId> allowed = RunLimit.allowed(ran, id -> !dead.contains(id), most);
+            Set<BackendServerId> allowed = RequestServerLimit.allowedServers(ran, id -> !dead.contains(id), most);
             BackendServerId wanted = server(choices.get(i));
             if (!dead.contains(wanted) && (allowed.isEmpty() || allowed.contains(wanted))) {
                 ran.add(wanted);
@@ -45,11 +45,11 @@
         }
     }
 
-    /** Two of two allowed servers have run the request; when one dies, any other may take its place. */
+    /** Two of two allowed servers have run the request; when one of them dies, any other server may run it. */
     @Property(tries = 1)
-    void aDeadServerMakesRoomForAnother() {
+    void aDeadServerDoesNotCount() {
         Set<BackendServerId> ran = Set.of(server(1), server(2));
-        assertEquals(RunLimit.allowed(ran, id -> true, 2), ran);
-        assertEquals(RunLimit.allowed(ran, id -> !id.equals(server(1)), 2), Set.of());
+        assertEquals(RequestServerLimit.allowedServers(ran, id -> true, 2), ran);
+        assertEquals(RequestServerLimit.allowedServers(ran, id -> !id.equals(server(1)), 2), Set.of());
     }
 }
--- a/core/src/test/java/org/cornelramp/core/retry/RetryRuleTest.java
+++ b/core/src/test/java/org/cornelramp/core/retry/RetryPolicyTest.java
@@ -12,37 +12,37 @@
 import org.cornelramp.core.model.ProblemKind;
 import org.testng.annotations.Test;
 
-/** A retry must be safe, may help and fit the deadline. */
-public class RetryRuleTest {
+/** A retry must be safe, may succeed and must fit the deadline. */
+public class RetryPolicyTest {
     private static final Instant NOW = Instant.ofEpochSecond(1_000);
 
     @Test
-    public void anUnknownOutcomeIsRepeatedOnlyIfIdempotent() {
+    public void anUnknownOutcomeIsRetriedOnlyIfIdempotent() {
         Problem lost = Problem.unknown(ProblemKind.BACKEND_LOST, "gone");
-        assertFalse(RetryRule.mayRetry(attempt(lost, false, 1), NOW));
-        assertTrue(RetryRule.mayRetry(attempt(lost, true, 1), NOW));
+        assertFalse(RetryPolicy.mayRetry(attempt(lost, false, 1), NOW));
+        assertTrue(RetryPolicy.mayRetry(attempt(lost, true, 1), NOW));
     }
 
     @Test
-    public void whatDidNotRunIsRetriedUntilTheAttemptsAreUsedUp() {
+    public void aRequestThatDidNotRunIsRetriedWithinAttemptsAndDeadline() {
         Problem full = Problem.notRun(ProblemKind.OVERLOADED, "full");
-        assertTrue(RetryRule.mayRetry(attempt(full, false, 2), NOW));
-        assertFalse(RetryRule.mayRetry(attempt(full, false, RetryRule.MAX_ATTEMPTS), NOW));
-        assertFalse(RetryRule.mayRetry(attempt(full, false, 1), NOW.plusSeconds(9)));
+        assertTrue(RetryPolicy.mayRetry(attempt(full, false, 2), NOW));
+        assertFalse(RetryPolicy.mayRetry(attempt(full, false, RetryPolicy.MAX_ATTEMPTS), NOW));
+        assertFalse(RetryPolicy.mayRetry(attempt(full, false, 1), NOW.plusSeconds(9)));
     }
 
     @Test
-    public void theSecondCrashIsTheLast() {
+    public void isNotRetriedAfterTheSecondCrash() {
         Problem lost = Problem.unknown(ProblemKind.BACKEND_LOST, "crashed");
-        assertTrue(RetryRule.mayRetry(new Attempt(lost, true, 1, 1, NOW.plusSeconds(2), Duration.ZERO), NOW));
-        assertFalse(RetryRule.mayRetry(new Attempt(lost, true, 2, 2, NOW.plusSeconds(2), Duration.ZERO), NOW));
+        assertTrue(RetryPolicy.mayRetry(new FailedAttempt(lost, true, 1, 1, NOW.plusSeconds(2), Duration.ZERO), NOW));
+        assertFalse(RetryPolicy.mayRetry(new FailedAttempt(lost, true, 2, 2, NOW.plusSeconds(2), Duration.ZERO), NOW));
     }
 
     @Test
-    public void refusalsOfTheRequestItselfStay() {
+    public void refusalsOfTheRequestItselfAreNotRetried() {
         Set<ProblemKind> retried = EnumSet.noneOf(ProblemKind.class);
         for (ProblemKind kind : ProblemKind.values()) {
-            if (RetryRule.mayRetry(attempt(Problem.notRun(kind, "why"), true, 1), NOW)) {
+            if (RetryPolicy.mayRetry(attempt(Problem.notRun(kind, "why"), true, 1), NOW)) {
                 retried.add(kind);
             }
         }
@@ -57,7 +57,7 @@
                         ProblemKind.BACKEND_LOST));
     }
 
-    private static Attempt attempt(Problem problem, boolean idempotent, int number) {
-        return new Attempt(problem, idempotent, number, 0, NOW.plusSeconds(2), Duration.ofMillis(100));
+    private static FailedAttempt attempt(Problem problem, boolean idempotent, int number) {
+        return new FailedAttempt(problem, idempotent, number, 0, NOW.plusSeconds(2), Duration.ofMillis(100));
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/Admission.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/Admission.java
@@ -12,7 +12,7 @@
 import org.cornelramp.core.model.Incarnation;
 import org.cornelramp.core.model.OrganisationId;
 import org.cornelramp.core.model.Problem;
-import org.cornelramp.core.retry.RetryBudget;
+import org.cornelramp.core.retry.OrganisationRetryBudget;
 import org.cornelramp.wire.message.Heartbeat;
 
 /**
@@ -25,7 +25,7 @@
 
     private final int maxInProgress;
     private final Limiter limiter;
-    private final RetryBudget retries = RetryBudget.standard();
+    private final OrganisationRetryBudget retries = OrganisationRetryBudget.standard();
     private final Poison poison;
     private final RandomGenerator random;
     private final Map<String, Admitted> admitted = new HashMap<>();
@@ -69,7 +69,7 @@
     /** A request has ended, whether or not it was let start. */
     void ended(CallerRequest request, boolean answered, int tokens, Instant now) {
         if (answered) {
-            retries.succeeded(request.row().key().organisation(), now);
+            retries.recordSuccess(request.row().key().organisation(), now);
         }
         Admitted one = admitted.remove(request.id());
         if (one == null) {
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/ChatRequestReader.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/ChatRequestReader.java
@@ -6,7 +6,7 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import org.cornelramp.core.model.Names;
+import org.cornelramp.core.model.NameValidator;
 import org.cornelramp.core.model.Problem;
 import org.cornelramp.core.model.ProblemKind;
 import org.cornelramp.core.model.ServiceName;
@@ -34,7 +34,7 @@
             return malformed("The body is not a JSON object.");
         }
         JsonNode model = root.path("model");
-        if (!model.isTextual() || !Names.isValid(model.textValue())) {
+        if (!model.isTextual() || !NameValidator.isValid(model.textValue())) {
             return malformed("model is not the name of a model.");
         }
         return contents(root.path("messages"))
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/KeyHandler.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/KeyHandler.java
@@ -8,7 +8,7 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import org.cornelramp.core.key.Ticket;
-import org.cornelramp.core.model.Names;
+import org.cornelramp.core.model.NameValidator;
 import org.cornelramp.core.model.Problem;
 import org.cornelramp.core.model.ProblemKind;
 import org.cornelramp.core.model.ServiceName;
@@ -51,7 +51,7 @@
     private static Either<Problem, ServiceName> service(byte[] body) {
         try {
             JsonNode name = JSON.readTree(body).path("service");
-            if (name.isTextual() && Names.isValid(name.textValue())) {
+            if (name.isTextual() && NameValidator.isValid(name.textValue())) {
                 return Either.right(new ServiceName(name.textValue()));
             }
         } catch (IOException e) {
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/Poison.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/Poison.java
@@ -15,7 +15,7 @@
 import org.cornelramp.core.model.Problem;
 import org.cornelramp.core.model.ProblemKind;
 import org.cornelramp.core.poison.CrashReport;
-import org.cornelramp.core.poison.SetAside;
+import org.cornelramp.core.poison.PoisonDetector;
 import org.cornelramp.ports.LogClient;
 import org.cornelramp.ports.LogRecord;
 import org.cornelramp.ports.LogStream;
@@ -33,7 +33,7 @@
     private static final Duration SUSPECT_TIME = Duration.ofSeconds(30);
     private static final long LONGEST_DELAY_MILLIS = 1_000;
 
-    private final SetAside state = SetAside.standard();
+    private final PoisonDetector state = PoisonDetector.standard();
     private final LogClient log;
     private final Router router;
     private final LogFollower follower;
@@ -52,7 +52,7 @@
 
     /** Why a request may not run; empty if it may. */
     Optional<Problem> refusal(String fingerprint, Instant now) {
-        if (!state.isSetAside(fingerprint, now)) {
+        if (!state.isPoison(fingerprint, now)) {
             return Optional.empty();
         }
         return Optional.of(
@@ -62,7 +62,7 @@
     /** Takes what an agent's heartbeat tells. */
     void heard(Heartbeat beat, Instant now) {
         if (!beat.setAside().isEmpty()) {
-            state.heard(beat.setAside(), now);
+            state.addMarks(beat.setAside(), now);
         }
         for (String text : beat.crashed()) {
             parse(text).ifPresent(report -> crashed(report, now));
@@ -71,7 +71,7 @@
 
     /** A request ran to its end, so it did not cause the crashes noticed until now. */
     void completed(String fingerprint, Instant now) {
-        state.completed(fingerprint, now);
+        state.recordCompletion(fingerprint, now);
     }
 
     /** Requests set aside, in the form that heartbeats carry. */
@@ -85,7 +85,7 @@
         for (String text : state.reportsSince(now.minus(SUSPECT_TIME))) {
             parse(text).ifPresent(report -> suspects.addAll(report.suspects()));
         }
-        return suspects.stream().limit(SetAside.MAX_TOLD).toList();
+        return suspects.stream().limit(PoisonDetector.MAX_MARKS).toList();
     }
 
     void tick(Instant now) {
@@ -109,30 +109,30 @@
     public void apply(LogRecord record, Instant now) {
         next = record.offset() + 1;
         parse(record.value().path(REPORT).asText()).ifPresent(report -> {
-            untold.remove(report.crash());
-            state.crashed(report, now);
+            untold.remove(report.crashId());
+            state.recordCrash(report, now);
         });
     }
 
     /** All entries hear of a crash at once; each waits for a random time, and most find it told by then. */
     private void crashed(CrashReport report, Instant now) {
-        if (state.crashed(report, now)) {
+        if (state.recordCrash(report, now)) {
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "entry: a backend server crashed; crash=" + report.crash() + " requests="
+                    "entry: a backend server crashed; crash=" + report.crashId() + " requests="
                             + report.suspects().size());
-            untold.put(report.crash(), new Untold(report, now.plusMillis(random.nextLong(LONGEST_DELAY_MILLIS))));
+            untold.put(report.crashId(), new Untold(report, now.plusMillis(random.nextLong(LONGEST_DELAY_MILLIS))));
         }
     }
 
     private void tell(CrashReport report) {
-        untold.remove(report.crash());
+        untold.remove(report.crashId());
         ObjectNode record = JsonNodeFactory.instance.objectNode();
         record.put("type", "crash").put(REPORT, report.toString());
         router.whenDone(log.append(LogStream.SET_ASIDE, List.of(record)), (offset, failure, now) -> {
             if (failure != null) {
                 // Heartbeats tell it round meanwhile; a record told twice counts once.
-                untold.put(report.crash(), new Untold(report, now.plusMillis(LONGEST_DELAY_MILLIS)));
+                untold.put(report.crashId(), new Untold(report, now.plusMillis(LONGEST_DELAY_MILLIS)));
             }
         });
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/ServiceHandler.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/ServiceHandler.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.cornelramp.core.key.IdempotencyKey;
-import org.cornelramp.core.model.Names;
+import org.cornelramp.core.model.NameValidator;
 import org.cornelramp.core.model.Problem;
 import org.cornelramp.core.model.ProblemKind;
 import org.cornelramp.core.model.ServiceName;
@@ -87,7 +87,7 @@
 
     private static Either<Problem, ServiceName> service(String path) {
         String name = path.substring(PREFIX.length()).split("[/?]", 2)[0];
-        if (Names.isValid(name)) {
+        if (NameValidator.isValid(name)) {
             return Either.right(new ServiceName(name));
         }
         return Either.left(Problem.notRun(ProblemKind.UNKNOWN_SERVICE, "The path names no service."));
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/EditEndpoint.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/EditEndpoint.java
@@ -9,14 +9,14 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.stream.Collectors;
-import org.cornelramp.core.model.Names;
+import org.cornelramp.core.model.NameValidator;
 import org.cornelramp.core.model.Problem;
 import org.cornelramp.core.model.ProblemKind;
 import org.cornelramp.core.operate.EditAnswer;
 import org.cornelramp.core.operate.EditDocument;
 import org.cornelramp.core.operate.EditRequest;
 import org.cornelramp.core.operate.EditResult;
-import org.cornelramp.core.operate.EditSettlement;
+import org.cornelramp.core.operate.EditResultResolver;
 import org.cornelramp.core.operate.OperatorJson;
 import org.cornelramp.core.table.ColumnFault;
 import org.cornelramp.core.table.FoldedTable;
@@ -77,7 +77,7 @@
         if (request == null || request.edits().isEmpty() || request.edits().size() > EditRequest.MAX_EDITS) {
             return Optional.of("Give 1 to " + EditRequest.MAX_EDITS + " edits.");
         }
-        if (!Names.isValid(request.id())) {
+        if (!NameValidator.isValid(request.id())) {
             return Optional.of("Give in id a name for the request that no other has, such as a UUID.");
         }
         if (request.by().isBlank() || request.by().length() > MAX_NAME) {
@@ -111,7 +111,7 @@
                     request.id() + "-" + i, document.key(), document.against(), document.values(), request.by());
             Optional<Verdict> verdict = rejection(table, edit);
             if (verdict.isPresent()) {
-                results[i] = EditSettlement.rejected(
+                results[i] = EditResultResolver.rejected(
                         table, edit, Optional.empty(), verdict.get().detail());
             } else {
                 passed.add(edit);
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/EditService.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/EditService.java
@@ -13,7 +13,7 @@
 import org.cornelramp.core.model.Problem;
 import org.cornelramp.core.model.ProblemKind;
 import org.cornelramp.core.operate.EditResult;
-import org.cornelramp.core.operate.EditSettlement;
+import org.cornelramp.core.operate.EditResultResolver;
 import org.cornelramp.core.table.FoldedTable;
 import org.cornelramp.core.table.LoggedRecord;
 import org.cornelramp.core.table.TableEdit;
@@ -69,7 +69,7 @@
     /** The answer to an edit against a version that is in force no more; it names the winner if the log tells it. */
     EditResult lost(FoldedTable table, TableEdit edit) throws InterruptedException {
         long start = startOfRace(table.offset(), edit.against());
-        return EditSettlement.lost(table, edit, back.read(start, table.offset()).orElse(List.of()));
+        return EditResultResolver.staleVersion(table, edit, back.read(start, table.offset()).orElse(List.of()));
     }
 
     /** The records since the edits were appended, and those that they may have lost to where the log keeps them. */
@@ -134,14 +134,14 @@
             int at = i;
             Optional<Long> offset = first.map(one -> one + at);
             if (offset.isPresent() && table.version(edit.key()) == offset.get()) {
-                results.add(EditSettlement.accepted(table, edit, offset.get()));
+                results.add(EditResultResolver.accepted(table, edit, offset.get()));
                 continue;
             }
             if (since.isEmpty()) {
                 since = readBack(edits, start, table.offset());
             }
-            results.add(since.map(records -> EditSettlement.settle(table, edit, records))
-                    .orElseGet(() -> EditSettlement.unknown(table, edit, offset)));
+            results.add(since.map(records -> EditResultResolver.resolve(table, edit, records))
+                    .orElseGet(() -> EditResultResolver.unknown(table, edit, offset)));
         }
         return results;
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/ServerFollower.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/ServerFollower.java
@@ -7,7 +7,7 @@
 import org.cornelramp.core.fleet.BackendServer;
 import org.cornelramp.core.fleet.ServerRegistry;
 import org.cornelramp.core.model.BackendServerId;
-import org.cornelramp.core.model.Names;
+import org.cornelramp.core.model.NameValidator;
 import org.cornelramp.gateway.route.Router;
 import org.cornelramp.gateway.route.RouterEvent;
 import org.cornelramp.platform.MetadataStore;
@@ -54,7 +54,7 @@
     private List<ServerRegistry.Registration> decode(MetadataStore.Page page) {
         List<ServerRegistry.Registration> registrations = new ArrayList<>();
         for (MetadataStore.KeyedRecord record : page.records()) {
-            if (!Names.isValid(record.key())) {
+            if (!NameValidator.isValid(record.key())) {
                 unreadable(record.offset(), "its key is no server's name");
                 continue;
             }
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerLink.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerLink.java
@@ -227,7 +227,7 @@
             directory.addSender(sender, clock.millis());
             locations.setLocation(sender, update.sender().dataCentre());
             versions.heard(sender.getHostString(), update.configVersion(), clock.millis());
-            if (!update.repeats().asks().isEmpty()) {
+            if (!update.repeats().loanRequests().isEmpty()) {
                 priorityPeers.add(sender);
             }
         }
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerNews.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerNews.java
@@ -7,7 +7,7 @@
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.model.DataCentre;
 import org.cornelramp.core.path.EngineLoads;
-import org.cornelramp.core.retry.RepeatNews;
+import org.cornelramp.core.retry.RetryLoanUpdate;
 import org.cornelramp.core.settings.HostPort;
 import org.cornelramp.gateway.follow.PeerVersions;
 import org.cornelramp.gateway.follow.ReadingShare;
@@ -35,7 +35,7 @@
         int crossings,
         Map<BackendServerId, Double> paces,
         Set<BackendServerId> suspects,
-        RepeatNews repeats,
+        RetryLoanUpdate repeats,
         List<HostPort> heard,
         Optional<ReadingShare.Reading> reading,
         long configVersion) {
@@ -70,7 +70,7 @@
             int crossings,
             Map<BackendServerId, Double> paces,
             Set<BackendServerId> suspects,
-            RepeatNews repeats) {
+            RetryLoanUpdate repeats) {
         return new PeerNews(
                 sender,
                 number,
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerUpdateCodec.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerUpdateCodec.java
@@ -13,7 +13,7 @@
 import org.cornelramp.core.model.DataCentre;
 import org.cornelramp.core.model.ServiceName;
 import org.cornelramp.core.path.EngineLoads;
-import org.cornelramp.core.retry.RepeatNews;
+import org.cornelramp.core.retry.RetryLoanUpdate;
 import org.cornelramp.core.settings.HostPort;
 import org.cornelramp.gateway.follow.ReadingShare;
 import org.msgpack.core.MessageBufferPacker;
@@ -74,9 +74,9 @@
         for (Map.Entry<BackendServerId, EngineLoads.Load> load : loads.entrySet()) {
             out.packString(load.getKey().value());
             out.packInt(load.getValue().requests());
-            out.packInt(load.getValue().asFirst());
+            out.packInt(load.getValue().asFirstEngine());
             out.packLong(load.getValue().tokenLayers());
-            out.packInt(load.getValue().reading());
+            out.packInt(load.getValue().pendingPromptTokens());
         }
     }
 
@@ -89,42 +89,42 @@
         return loads;
     }
 
-    private static void writeRepeats(RepeatNews repeats, MessageBufferPacker out) throws IOException {
-        out.packMapHeader(repeats.asks().size());
-        for (Map.Entry<ServiceName, RepeatNews.Ask> ask : repeats.asks().entrySet()) {
+    private static void writeRepeats(RetryLoanUpdate repeats, MessageBufferPacker out) throws IOException {
+        out.packMapHeader(repeats.loanRequests().size());
+        for (Map.Entry<ServiceName, RetryLoanUpdate.LoanRequest> ask : repeats.loanRequests().entrySet()) {
             out.packString(ask.getKey().value());
             out.packLong(ask.getValue().id());
             out.packInt(ask.getValue().amount());
         }
         out.packMapHeader(repeats.loans().size());
-        for (Map.Entry<ServiceName, List<RepeatNews.Loan>> loans :
+        for (Map.Entry<ServiceName, List<RetryLoanUpdate.Loan>> loans :
                 repeats.loans().entrySet()) {
             out.packString(loans.getKey().value());
             out.packArrayHeader(loans.getValue().size());
-            for (RepeatNews.Loan loan : loans.getValue()) {
-                out.packString(loan.to());
-                out.packLong(loan.ask());
+            for (RetryLoanUpdate.Loan loan : loans.getValue()) {
+                out.packString(loan.borrower());
+                out.packLong(loan.requestId());
                 out.packInt(loan.amount());
             }
         }
     }
 
-    private static RepeatNews readRepeats(MessageUnpacker in) throws IOException {
-        Map<ServiceName, RepeatNews.Ask> asks = new HashMap<>();
+    private static RetryLoanUpdate readRepeats(MessageUnpacker in) throws IOException {
+        Map<ServiceName, RetryLoanUpdate.LoanRequest> asks = new HashMap<>();
         for (int left = in.unpackMapHeader(); left > 0; left--) {
-            asks.put(new ServiceName(in.unpackString()), new RepeatNews.Ask(in.unpackLong(), in.unpackInt()));
+            asks.put(new ServiceName(in.unpackString()), new RetryLoanUpdate.LoanRequest(in.unpackLong(), in.unpackInt()));
         }
-        Map<ServiceName, List<RepeatNews.Loan>> loans = new HashMap<>();
+        Map<ServiceName, List<RetryLoanUpdate.Loan>> loans = new HashMap<>();
         for (int left = in.unpackMapHeader(); left > 0; left--) {
             loans.put(new ServiceName(in.unpackString()), readLoans(in));
         }
-        return new RepeatNews(asks, loans);
+        return new RetryLoanUpdate(asks, loans);
     }
 
-    private static List<RepeatNews.Loan> readLoans(MessageUnpacker in) throws IOException {
-        List<RepeatNews.Loan> loans = new ArrayList<>();
+    private static List<RetryLoanUpdate.Loan> readLoans(MessageUnpacker in) throws IOException {
+        List<RetryLoanUpdate.Loan> loans = new ArrayList<>();
         for (int left = in.unpackArrayHeader(); left > 0; left--) {
-            loans.add(new RepeatNews.Loan(in.unpackString(), in.unpackLong(), in.unpackInt()));
+            loans.add(new RetryLoanUpdate.Loan(in.unpackString(), in.unpackLong(), in.unpackInt()));
         }
         return loans;
     }
@@ -151,7 +151,7 @@
             for (int left = in.unpackArrayHeader(); left > 0; left--) {
                 suspects.add(new BackendServerId(in.unpackString()));
             }
-            RepeatNews repeats = readRepeats(in);
+            RetryLoanUpdate repeats = readRepeats(in);
             List<HostPort> heard = new ArrayList<>();
             for (int left = in.unpackArrayHeader(); left > 0; left--) {
                 heard.add(HostPort.parse(in.unpackString()));
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/UpdateUrgency.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/UpdateUrgency.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import org.cornelramp.core.model.BackendServerId;
-import org.cornelramp.core.retry.RepeatNews;
+import org.cornelramp.core.retry.RetryLoanUpdate;
 import org.cornelramp.gateway.follow.ReadingShare;
 
 /**
@@ -25,7 +25,7 @@
      * peers of a single turn may have none to lend.
      */
     boolean isUrgent(PeerNews update) {
-        Set<Long> askIds = askIds(update.repeats().asks().values());
+        Set<Long> askIds = askIds(update.repeats().loanRequests().values());
         boolean readingProgressed =
                 update.reading().isPresent() && !update.reading().equals(sentReading);
         boolean urgent = !sentSuspects.containsAll(update.suspects())
@@ -39,7 +39,7 @@
         return urgent;
     }
 
-    private static Set<Long> askIds(Collection<RepeatNews.Ask> asks) {
-        return asks.stream().map(RepeatNews.Ask::id).collect(Collectors.toSet());
+    private static Set<Long> askIds(Collection<RetryLoanUpdate.LoanRequest> asks) {
+        return asks.stream().map(RetryLoanUpdate.LoanRequest::id).collect(Collectors.toSet());
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/route/Dispatcher.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Dispatcher.java
@@ -9,7 +9,7 @@
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.path.PathFinder;
 import org.cornelramp.core.path.StagePath;
-import org.cornelramp.core.retry.RunLimit;
+import org.cornelramp.core.retry.RequestServerLimit;
 import org.cornelramp.core.routing.EngineSpec;
 import org.cornelramp.core.routing.ServiceSpec;
 import org.cornelramp.core.settings.GatewaySettings;
@@ -91,7 +91,7 @@
         int prompt = flight.exchange().call().head().promptTokens();
         load(flight, way);
         flight.setReading(prompt);
-        beliefs.loads().reading(way, prompt);
+        beliefs.loads().addPendingPromptTokens(way, prompt);
     }
 
     /** Whether engines could take the request now beside all that they have, itself included. */
@@ -114,7 +114,7 @@
     }
 
     private Set<BackendServerId> allowedFirsts(Flight flight) {
-        return RunLimit.allowed(
+        return RequestServerLimit.allowedServers(
                 flight.firsts(),
                 id -> beliefs.registry().server(id).isPresent(),
                 flight.route().maxAttempts());
@@ -130,7 +130,7 @@
     /** Notes that the engines have read the prompt. */
     void promptRead(Flight flight) {
         if (flight.reading() != 0) {
-            beliefs.loads().reading(flight.loaded(), -flight.reading());
+            beliefs.loads().addPendingPromptTokens(flight.loaded(), -flight.reading());
             flight.setReading(0);
         }
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/route/OverdueRuns.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/OverdueRuns.java
@@ -1,7 +1,7 @@
 package org.cornelramp.gateway.route;
 
 import java.util.Optional;
-import org.cornelramp.core.path.FirstEvents;
+import org.cornelramp.core.path.LostAnswerDetector;
 import org.cornelramp.core.routing.RouteKind;
 import org.cornelramp.gateway.request.Attempt;
 
@@ -18,7 +18,7 @@
 
     private final Repeats repeats;
     private final Dispatcher dispatcher;
-    private final FirstEvents firstEvents = new FirstEvents();
+    private final LostAnswerDetector firstEvents = new LostAnswerDetector();
 
     OverdueRuns(Repeats repeats, Dispatcher dispatcher) {
         this.repeats = repeats;
@@ -33,7 +33,7 @@
     /** Notes that events of the attempt have come; may be called again for the same one. */
     void begun(Flight flight, Attempt attempt, long now) {
         if (flight.markBegun()) {
-            attempt.path().ifPresent(path -> firstEvents.begun(path.first().id(), attempt.startMillis(), now));
+            attempt.path().ifPresent(path -> firstEvents.recordBegun(path.first().id(), attempt.startMillis(), now));
         }
     }
 
--- a/gateway/src/main/java/org/cornelramp/gateway/route/PeerTalk.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/PeerTalk.java
@@ -9,7 +9,7 @@
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.model.DataCentre;
 import org.cornelramp.core.path.EngineLoads;
-import org.cornelramp.core.retry.RepeatNews;
+import org.cornelramp.core.retry.RetryLoanUpdate;
 import org.cornelramp.gateway.peer.PeerLink;
 import org.cornelramp.gateway.peer.PeerNews;
 import org.cornelramp.gateway.peer.PeerTurns;
@@ -41,7 +41,7 @@
         this.beliefs = beliefs;
         this.repeats = repeats;
         this.ask = ask;
-        this.news = PeerNews.of(sender, 0, false, Map.of(), 0, Map.of(), Set.of(), RepeatNews.NONE);
+        this.news = PeerNews.of(sender, 0, false, Map.of(), 0, Map.of(), Set.of(), RetryLoanUpdate.NONE);
     }
 
     /** The news to tell now; may be called by any thread. */
@@ -67,10 +67,10 @@
     /** Makes the news of this moment, and forgets what is too old. */
     void prepare(long nowMillis) {
         EngineLoads loads = beliefs.loads();
-        loads.forgetPaces(nowMillis);
+        loads.removeExpiredSlowdowns(nowMillis);
         // News may lie unread for as long as this process ran late.
         long silence = PeerTurns.silenceMillis(loads.peerCount()) + beliefs.lagMillis();
-        loads.forgetSilent(silence, nowMillis);
+        loads.removeSilentPeers(silence, nowMillis);
         repeats.setPeers(loads.peerCount(), nowMillis);
         staying.values().removeIf(at -> nowMillis - at > silence);
         seenFail.values().removeIf(at -> nowMillis - at > TELL_MILLIS);
@@ -78,9 +78,9 @@
                 sender,
                 ++number,
                 leaving,
-                loads.own(),
+                loads.ownLoads(),
                 loads.ownCrossings(),
-                loads.unusualPaces(),
+                loads.slowdownFactors(),
                 seenFail.keySet(),
                 repeats.news(nowMillis));
     }
@@ -95,12 +95,12 @@
         EngineLoads loads = beliefs.loads();
         theirs.loads()
                 .ifPresentOrElse(
-                        told -> loads.peer(theirs.name(), told, theirs.crossings(), nowMillis),
-                        () -> loads.heard(theirs.name(), theirs.crossings(), nowMillis));
+                        told -> loads.updatePeer(theirs.name(), told, theirs.crossings(), nowMillis),
+                        () -> loads.keepPeer(theirs.name(), theirs.crossings(), nowMillis));
         repeats.told(theirs.name(), theirs.repeats(), nowMillis);
         theirs.paces().forEach((id, pace) -> {
-            if (loads.pace(id) == 1) {
-                loads.setPace(id, pace, nowMillis - PACE_AGE_MILLIS);
+            if (loads.slowdown(id) == 1) {
+                loads.setSlowdown(id, pace, nowMillis - PACE_AGE_MILLIS);
             }
         });
         // A gateway whose own link or processor is overloaded gets no answers and takes everyone for dead, so what it
