--- a/gateway/src/main/java/org/cornelramp/gateway/route/Repeats.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Repeats.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.random.RandomGenerator;
 import org.cornelramp.core.model.ServiceName;
-import org.cornelramp.core.retry.RepeatAccount;
-import org.cornelramp.core.retry.RepeatNews;
+import org.cornelramp.core.retry.ServiceRetryBudget;
+import org.cornelramp.core.retry.RetryLoanUpdate;
 import org.cornelramp.core.settings.GatewaySettings;
 import org.cornelramp.gateway.peer.PeerTurns;
 
@@ -24,7 +24,7 @@
     private final String name;
     private final GatewaySettings.Retries bounds;
     private final RandomGenerator ids;
-    private final Map<ServiceName, RepeatAccount> accounts = new HashMap<>();
+    private final Map<ServiceName, ServiceRetryBudget> accounts = new HashMap<>();
     private int peers;
     private int mostPeers;
     private long mostPeersMillis;
@@ -62,22 +62,22 @@
 
     /** Notes a client's request. */
     void request(ServiceName service, long nowMillis) {
-        account(service).request(nowMillis);
+        account(service).recordRequest(nowMillis);
     }
 
     /** Takes one repeat, for a begun answer or a fresh request; false if none is left now. */
     boolean tryRepeat(ServiceName service, boolean begun, long nowMillis) {
-        return account(service).tryRepeat(even(), begun, nowMillis);
+        return account(service).tryRetry(even(), begun, nowMillis);
     }
 
     /** Whether {@link #tryRepeat} would take one now. */
     boolean hasRepeat(ServiceName service, boolean begun, long nowMillis) {
-        return account(service).hasRepeat(even(), begun, nowMillis);
+        return account(service).hasRetry(even(), begun, nowMillis);
     }
 
     /** Repeats left now, rounded down. */
     long left(ServiceName service, long nowMillis) {
-        return (long) Math.floor(account(service).left(even(), nowMillis));
+        return (long) Math.floor(account(service).remaining(even(), nowMillis));
     }
 
     /**
@@ -90,33 +90,33 @@
         accounts.forEach((service, account) -> {
             int wanted = lacking.getOrDefault(service, 0) + account.shortage(even(), nowMillis);
             int each = (wanted + asked - 1) / asked;
-            account.ask(Math.min(MOST_ASKED, each), nowMillis);
+            account.requestLoan(Math.min(MOST_ASKED, each), nowMillis);
         });
     }
 
     /** What to tell the peers. */
-    RepeatNews news(long nowMillis) {
-        Map<ServiceName, RepeatNews.Ask> asks = new HashMap<>();
-        Map<ServiceName, List<RepeatNews.Loan>> loans = new HashMap<>();
+    RetryLoanUpdate news(long nowMillis) {
+        Map<ServiceName, RetryLoanUpdate.LoanRequest> asks = new HashMap<>();
+        Map<ServiceName, List<RetryLoanUpdate.Loan>> loans = new HashMap<>();
         accounts.forEach((service, account) -> {
-            account.asks().ifPresent(ask -> asks.put(service, ask));
-            List<RepeatNews.Loan> lent = account.loans(nowMillis);
+            account.loanRequest().ifPresent(ask -> asks.put(service, ask));
+            List<RetryLoanUpdate.Loan> lent = account.loansToSend(nowMillis);
             if (!lent.isEmpty()) {
                 loans.put(service, lent);
             }
         });
-        return new RepeatNews(asks, loans);
+        return new RetryLoanUpdate(asks, loans);
     }
 
     /** Takes a peer's news: what it lends to this process, and what it lacks. */
-    void told(String peer, RepeatNews theirs, long nowMillis) {
+    void told(String peer, RetryLoanUpdate theirs, long nowMillis) {
         theirs.loans().forEach((service, loans) -> loans.stream()
-                .filter(loan -> loan.to().equals(name))
-                .forEach(loan -> account(service).borrow(peer, loan, nowMillis)));
-        theirs.asks().forEach((service, ask) -> account(service).lend(peer, ask, even(), nowMillis));
+                .filter(loan -> loan.borrower().equals(name))
+                .forEach(loan -> account(service).acceptLoan(peer, loan, nowMillis)));
+        theirs.loanRequests().forEach((service, ask) -> account(service).lend(peer, ask, even(), nowMillis));
     }
 
-    private RepeatAccount account(ServiceName service) {
-        return accounts.computeIfAbsent(service, any -> new RepeatAccount(bounds.ratio(), bounds.windowMillis(), ids));
+    private ServiceRetryBudget account(ServiceName service) {
+        return accounts.computeIfAbsent(service, any -> new ServiceRetryBudget(bounds.ratio(), bounds.windowMillis(), ids));
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/route/Resender.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Resender.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 import org.cornelramp.core.model.ServiceName;
-import org.cornelramp.core.retry.RepeatQueue;
+import org.cornelramp.core.retry.RetryQueue;
 import org.cornelramp.gateway.request.Attempt;
 import org.cornelramp.gateway.request.AttemptEnd;
 
@@ -47,7 +47,7 @@
     private final Dispatcher dispatcher;
     private final Beliefs beliefs;
     private final FlightLog flightLog;
-    private final RepeatQueue<Flight> waiting = new RepeatQueue<>();
+    private final RetryQueue<Flight> waiting = new RetryQueue<>();
 
     Resender(Repeats repeats, Dispatcher dispatcher, Beliefs beliefs, FlightLog flightLog) {
         this.repeats = repeats;
@@ -101,7 +101,7 @@
 
     /** Takes out the requests that have waited long enough and have not begun. */
     List<Flight> takeOverdue(long now) {
-        return waiting.takeOverdue(now);
+        return waiting.removeOverdue(now);
     }
 
     /** Whether a request waits. */
@@ -178,8 +178,8 @@
         return flight.exchange().isCommitted() || lends || comesBack;
     }
 
-    private static RepeatQueue.Waiting how(Flight flight, long now) {
-        return new RepeatQueue.Waiting(
+    private static RetryQueue.WaitState how(Flight flight, long now) {
+        return new RetryQueue.WaitState(
                 flight.exchange().isCommitted(), flight.exchange().call().deadlineMillis(), now + FRESH_WAIT_MILLIS);
     }
 
--- a/gateway/src/main/java/org/cornelramp/gateway/route/ServerJudge.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/ServerJudge.java
@@ -76,9 +76,9 @@
             boolean good = end.kind() == AttemptEnd.Kind.ANSWERED && end.status() < SERVER_ERROR;
             beliefs.plain().ended(attempt.server().id(), good, now - attempt.startMillis());
         } else if (end.kind() == AttemptEnd.Kind.RELAYED) {
-            beliefs.loads().ended(attempt.server().id(), false);
+            beliefs.loads().recordOutcome(attempt.server().id(), false);
         } else if (isOwnFailure(attempt, end)) {
-            beliefs.loads().ended(attempt.server().id(), true);
+            beliefs.loads().recordOutcome(attempt.server().id(), true);
         }
     }
 
@@ -176,9 +176,9 @@
         }
         desk.answered(engine.id(), now);
         seenAlive(engine.id(), now, "it answers", now);
-        double before = beliefs.loads().pace(engine.id());
+        double before = beliefs.loads().slowdown(engine.id());
         double pace = report.get().pace();
-        beliefs.loads().setPace(engine.id(), pace, now);
+        beliefs.loads().setSlowdown(engine.id(), pace, now);
         if (Math.abs(pace - before) > PACE_CHANGE * before) {
             log.line("fleet", "pace")
                     .with("server", engine.id())
--- a/gateway/src/main/java/org/cornelramp/gateway/route/StreamWatch.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/StreamWatch.java
@@ -11,7 +11,7 @@
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.path.Hop;
 import org.cornelramp.core.path.PathFinder;
-import org.cornelramp.core.path.SilentEngines;
+import org.cornelramp.core.path.SilentEngineDetector;
 import org.cornelramp.core.path.StagePath;
 import org.cornelramp.core.routing.RoutingConfig;
 import org.cornelramp.core.routing.ServiceSpec;
@@ -76,18 +76,18 @@
             }
             check(flight, attempt, attempt.path().get(), config, now);
         }
-        List<SilentEngines.Stream> streams = streams(flights);
+        List<SilentEngineDetector.StreamActivity> streams = streams(flights);
         trustPassed(streams, now);
         askSilent(streams, now);
     }
 
     /** Ends doubts about engines that events have passed since. What a late process reads now may have been sent before. */
-    private void trustPassed(List<SilentEngines.Stream> streams, long now) {
+    private void trustPassed(List<SilentEngineDetector.StreamActivity> streams, long now) {
         if (beliefs.isLate(now) || !beliefs.suspicions().hasSilent(now)) {
             return;
         }
-        streams.stream().filter(SilentEngines.Stream::begun).forEach(stream -> stream.engines()
-                .forEach(id -> judge.passed(id, stream.lastMillis() - SilentEngines.AFTER_DEATH_MILLIS, now)));
+        streams.stream().filter(SilentEngineDetector.StreamActivity::begun).forEach(stream -> stream.engines()
+                .forEach(id -> judge.passed(id, stream.lastEventMillis() - SilentEngineDetector.MAX_DELAY_AFTER_DEATH_MILLIS, now)));
     }
 
     private static List<BackendServerId> engines(StagePath path) {
@@ -95,8 +95,8 @@
     }
 
     /** Asks the engines that may be dead, so that their streams go on elsewhere before their clients notice. */
-    private void askSilent(List<SilentEngines.Stream> streams, long now) {
-        for (BackendServerId id : SilentEngines.find(streams, beliefs.isLate(now), now)) {
+    private void askSilent(List<SilentEngineDetector.StreamActivity> streams, long now) {
+        for (BackendServerId id : SilentEngineDetector.findSuspects(streams, beliefs.isLate(now), now)) {
             if (!beliefs.suspicions().isLost(id, now)) {
                 beliefs.registry()
                         .server(id)
@@ -105,8 +105,8 @@
         }
     }
 
-    private static List<SilentEngines.Stream> streams(Collection<Flight> flights) {
-        List<SilentEngines.Stream> streams = new ArrayList<>();
+    private static List<SilentEngineDetector.StreamActivity> streams(Collection<Flight> flights) {
+        List<SilentEngineDetector.StreamActivity> streams = new ArrayList<>();
         for (Flight flight : flights) {
             if (flight.attempt() != null && flight.attempt().path().isPresent() && !flight.isMoving()) {
                 streams.add(
@@ -118,12 +118,12 @@
 
     /** Whether events pass an engine just now, so that it lives although it did not answer. */
     boolean isPassed(Collection<Flight> flights, BackendServerId engine, long now) {
-        return SilentEngines.isPassed(streams(flights), engine, now);
+        return SilentEngineDetector.hasRecentEvents(streams(flights), engine, now);
     }
 
-    private static SilentEngines.Stream stream(Flight flight, Attempt attempt, StagePath path) {
+    private static SilentEngineDetector.StreamActivity stream(Flight flight, Attempt attempt, StagePath path) {
         long lastEvent = flight.exchange().lastEventMillis();
-        return new SilentEngines.Stream(
+        return new SilentEngineDetector.StreamActivity(
                 engines(path),
                 Math.max(attempt.startMillis(), lastEvent),
                 lastEvent > attempt.startMillis(),
@@ -159,7 +159,7 @@
     /** Whether an engine of the path is held to be lost, and no event says otherwise, read or not. */
     private boolean hasStopped(Flight flight, Attempt attempt, StagePath path, long now) {
         return passes(path, id -> beliefs.isLost(id, now))
-                && !stream(flight, attempt, path).isFlowing(now)
+                && !stream(flight, attempt, path).isActive(now)
                 && !attempt.hasUnread();
     }
 
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/LentRetryTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/LentRetryTest.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.cornelramp.core.model.ServiceName;
-import org.cornelramp.core.retry.RepeatNews;
+import org.cornelramp.core.retry.RetryLoanUpdate;
 import org.cornelramp.core.settings.HostPort;
 import org.cornelramp.gateway.GatewayFixture;
 import org.cornelramp.platform.standin.StandInConfig;
@@ -34,7 +34,7 @@
     private final AtomicInteger updatesReceived = new AtomicInteger();
     private volatile boolean lends;
     private volatile boolean running = true;
-    private volatile Optional<RepeatNews.Ask> asked = Optional.empty();
+    private volatile Optional<RetryLoanUpdate.LoanRequest> asked = Optional.empty();
 
     @BeforeMethod
     public void start() throws Exception {
@@ -67,7 +67,7 @@
                 socket.receive(packet);
                 updatesReceived.incrementAndGet();
                 PeerUpdateCodec.read(buffer, packet.getLength())
-                        .forEach(update -> update.repeats().asks().values().forEach(ask -> asked = Optional.of(ask)));
+                        .forEach(update -> update.repeats().loanRequests().values().forEach(ask -> asked = Optional.of(ask)));
             } catch (SocketTimeoutException e) {
                 // the gateway sends only in its own rounds
             } catch (Exception e) {
@@ -77,9 +77,9 @@
     }
 
     private void sendUpdate(long number) throws Exception {
-        Map<ServiceName, List<RepeatNews.Loan>> loans = asked.filter(any -> lends)
+        Map<ServiceName, List<RetryLoanUpdate.Loan>> loans = asked.filter(any -> lends)
                 .map(ask ->
-                        Map.of(new ServiceName(StandInConfig.ENGINES), List.of(new RepeatNews.Loan("g1", ask.id(), 1))))
+                        Map.of(new ServiceName(StandInConfig.ENGINES), List.of(new RetryLoanUpdate.Loan("g1", ask.id(), 1))))
                 .orElse(Map.of());
         PeerNews update = PeerNews.of(
                 new PeerNews.Sender(PEER, 1, fixture.settings.dataCentre()),
@@ -89,7 +89,7 @@
                 0,
                 Map.of(),
                 Set.of(),
-                new RepeatNews(Map.of(), loans));
+                new RetryLoanUpdate(Map.of(), loans));
         byte[] bytes = PeerUpdateCodec.write(update);
         HostPort to = fixture.settings.peers();
         socket.send(new DatagramPacket(bytes, bytes.length, InetAddress.getLoopbackAddress(), to.port()));
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/PeerLinkTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/PeerLinkTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicLong;
 import org.cornelramp.core.model.DataCentre;
-import org.cornelramp.core.retry.RepeatNews;
+import org.cornelramp.core.retry.RetryLoanUpdate;
 import org.cornelramp.core.settings.HostPort;
 import org.cornelramp.gateway.GatewayFixture;
 import org.cornelramp.gateway.SteadyClock;
@@ -44,7 +44,7 @@
                         0,
                         Map.of(),
                         Set.of(),
-                        RepeatNews.NONE),
+                        RetryLoanUpdate.NONE),
                 received::add,
                 new ReadingShare(address),
                 new PeerVersions(() -> PeerVersions.NONE),
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/PeerUpdateCodecTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/PeerUpdateCodecTest.java
@@ -12,7 +12,7 @@
 import org.cornelramp.core.model.DataCentre;
 import org.cornelramp.core.model.ServiceName;
 import org.cornelramp.core.path.EngineLoads;
-import org.cornelramp.core.retry.RepeatNews;
+import org.cornelramp.core.retry.RetryLoanUpdate;
 import org.cornelramp.core.settings.HostPort;
 import org.cornelramp.gateway.follow.ReadingShare;
 import org.testng.annotations.Test;
@@ -30,9 +30,9 @@
             4,
             Map.of(ID, 2.5),
             Set.of(ID),
-            new RepeatNews(
-                    Map.of(SERVICE, new RepeatNews.Ask(1L << 60, 3)),
-                    Map.of(SERVICE, List.of(new RepeatNews.Loan("g2", -5, 2)))),
+            new RetryLoanUpdate(
+                    Map.of(SERVICE, new RetryLoanUpdate.LoanRequest(1L << 60, 3)),
+                    Map.of(SERVICE, List.of(new RetryLoanUpdate.Loan("g2", -5, 2)))),
             List.of(ADDRESS),
             Optional.of(new ReadingShare.Reading(ADDRESS, 12, 345, 2)),
             17);
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/UpdateUrgencyTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/UpdateUrgencyTest.java
@@ -7,16 +7,16 @@
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.model.DataCentre;
 import org.cornelramp.core.model.ServiceName;
-import org.cornelramp.core.retry.RepeatNews;
+import org.cornelramp.core.retry.RetryLoanUpdate;
 import org.testng.annotations.Test;
 
 /** Which updates go to all peers at once. */
 public class UpdateUrgencyTest {
     private static final ServiceName SERVICE = new ServiceName("llm");
 
-    private static PeerNews update(Set<BackendServerId> suspects, Map<ServiceName, RepeatNews.Ask> asks) {
+    private static PeerNews update(Set<BackendServerId> suspects, Map<ServiceName, RetryLoanUpdate.LoanRequest> asks) {
         PeerNews.Sender sender = new PeerNews.Sender("g1", 1, new DataCentre("dc1"));
-        return PeerNews.of(sender, 1, false, Map.of(), 0, Map.of(), suspects, new RepeatNews(asks, Map.of()));
+        return PeerNews.of(sender, 1, false, Map.of(), 0, Map.of(), suspects, new RetryLoanUpdate(asks, Map.of()));
     }
 
     /**
@@ -26,11 +26,11 @@
     @Test
     public void requestForRetriesIsUrgentOnce() {
         UpdateUrgency urgency = new UpdateUrgency();
-        Map<ServiceName, RepeatNews.Ask> first = Map.of(SERVICE, new RepeatNews.Ask(1, 30));
+        Map<ServiceName, RetryLoanUpdate.LoanRequest> first = Map.of(SERVICE, new RetryLoanUpdate.LoanRequest(1, 30));
         assertEquals(urgency.isUrgent(update(Set.of(), Map.of())), false);
         assertEquals(urgency.isUrgent(update(Set.of(), first)), true);
         assertEquals(urgency.isUrgent(update(Set.of(), first)), false);
-        assertEquals(urgency.isUrgent(update(Set.of(), Map.of(SERVICE, new RepeatNews.Ask(2, 5)))), true);
+        assertEquals(urgency.isUrgent(update(Set.of(), Map.of(SERVICE, new RetryLoanUpdate.LoanRequest(2, 5)))), true);
     }
 
     /** Guards against peers that send requests to a dead server until their turn comes. */
--- a/gateway/src/test/java/org/cornelramp/gateway/route/PeerTalkTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/route/PeerTalkTest.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import org.cornelramp.core.model.DataCentre;
-import org.cornelramp.core.retry.RepeatNews;
+import org.cornelramp.core.retry.RetryLoanUpdate;
 import org.cornelramp.core.settings.GatewaySettings;
 import org.cornelramp.gateway.peer.PeerNews;
 import org.cornelramp.gateway.peer.PeerTurns;
@@ -36,7 +36,7 @@
 
     private void hear(long now) {
         PeerNews.Sender peer = new PeerNews.Sender("g2", 1, HERE);
-        talk.told(PeerNews.of(peer, 1, false, Map.of(), 0, Map.of(), Set.of(), RepeatNews.NONE), now);
+        talk.told(PeerNews.of(peer, 1, false, Map.of(), 0, Map.of(), Set.of(), RetryLoanUpdate.NONE), now);
         talk.prepare(now);
         assertEquals(repeats.peers(), 1);
     }
