--- a/daemon/src/main/java/org/cornelramp/daemon/agent/EngineStepper.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/EngineStepper.java
@@ -10,7 +10,7 @@
 import java.util.function.Supplier;
 import org.cornelramp.core.model.ProblemKind;
 import org.cornelramp.core.settings.DaemonSettings;
-import org.cornelramp.core.step.StepRun;
+import org.cornelramp.core.step.InputBatch;
 import org.cornelramp.ports.EngineClient;
 import org.cornelramp.ports.EngineStep;
 import org.cornelramp.ports.EngineStepResult;
@@ -97,7 +97,7 @@
         Batch batch = new Batch(now.nanos());
         for (Stage stage : candidates) {
             ready.remove(stage);
-            Optional<StepRun> run = stage.session.nextRun(MAX_POSITIONS);
+            Optional<InputBatch> run = stage.session.nextRun(MAX_POSITIONS);
             run.ifPresent(r -> batch.entries.add(new Entry(stage, r)));
             if (batch.entries.size() >= slots) {
                 break;
@@ -162,7 +162,7 @@
             handler.lost(stage, ProblemKind.BACKEND_FAILED, "The engine gave another number of outputs than inputs");
             return;
         }
-        stage.session.ran(outputs);
+        stage.session.completeRun(outputs);
         handler.exportIfStill(stage);
         sender.pump(stage, now);
         if (stage.session.isReady()) {
@@ -179,7 +179,7 @@
                 continue;
             }
             if (kind == PlatformException.Kind.REFUSED) {
-                entry.stage.session.putBack();
+                entry.stage.session.cancelRun();
                 ready.add(entry.stage);
             } else {
                 suspects.lostAnswer(entry.stage.open.fingerprint(), now);
@@ -254,5 +254,5 @@
     }
 
     /** One session's share of a batch. */
-    private record Entry(Stage stage, StepRun run) {}
+    private record Entry(Stage stage, InputBatch run) {}
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/ChatRun.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/ChatRun.java
@@ -13,10 +13,10 @@
 import org.cornelramp.core.model.ProblemKind;
 import org.cornelramp.core.route.Candidate;
 import org.cornelramp.core.route.Choice;
-import org.cornelramp.core.route.Work;
+import org.cornelramp.core.route.RoutingRequest;
 import org.cornelramp.core.session.PipelineSession;
 import org.cornelramp.core.session.SessionAction;
-import org.cornelramp.core.text.Vocabulary;
+import org.cornelramp.core.text.Tokenizer;
 import org.cornelramp.wire.message.CloseStage;
 import org.cornelramp.wire.message.Message;
 import org.cornelramp.wire.message.OpenStage;
@@ -71,7 +71,7 @@
         this.parts = parts;
         this.agents = parts.agents();
         this.ends = parts.ends();
-        long[] prompt = Vocabulary.encode(chat.contents());
+        long[] prompt = Tokenizer.encode(chat.contents());
         this.promptTokens = prompt.length;
         this.state = new PipelineSession(prompt, chat.maxTokens(), MAX_REBUILDS);
         this.text = new ChatText(request.id(), request.arrived(), chat.model());
@@ -83,22 +83,22 @@
     }
 
     void on(StageOpened message, Instant now) {
-        apply(state.opened(message.epoch(), message.stage(), message.position()), now);
+        apply(state.onOpened(message.epoch(), message.stage(), message.position()), now);
     }
 
     void on(StageRefused message, Instant now) {
         Problem why = Problem.notRun(message.kind(), message.detail())
                 .withRetryAfter(Duration.ofMillis(Math.max(0, message.retryAfterMillis())));
-        apply(state.lost(message.epoch(), message.stage(), why), now);
+        apply(state.onLost(message.epoch(), message.stage(), why), now);
     }
 
     void on(StageLost message, Instant now) {
         noteFailure(message, now);
-        apply(state.lost(message.epoch(), message.stage(), Problem.notRun(message.kind(), message.detail())), now);
+        apply(state.onLost(message.epoch(), message.stage(), Problem.notRun(message.kind(), message.detail())), now);
     }
 
     private void noteFailure(StageLost message, Instant now) {
-        boolean present = message.epoch() == state.epoch() && !state.isChoosing();
+        boolean present = message.epoch() == state.epoch() && !state.isAwaitingStages();
         if (present && message.stage() >= 0 && message.stage() < state.stages().size()) {
             losses++;
             parts.health().failed(state.stages().get(message.stage()), now);
@@ -106,17 +106,17 @@
     }
 
     void on(Token message, Instant now) {
-        apply(state.generated(message.epoch(), message.position(), message.tokens()), now);
+        apply(state.onGenerated(message.epoch(), message.position(), message.tokens()), now);
     }
 
     /** The link to an agent is lost; the agent may live. */
     void unlinked(Incarnation agent, String detail, Instant now) {
-        apply(state.unlinked(agent, Problem.notRun(ProblemKind.BACKEND_LOST, detail)), now);
+        apply(state.onLinkLost(agent, Problem.notRun(ProblemKind.BACKEND_LOST, detail)), now);
     }
 
     /** The life of an agent has ended. */
     void lost(Incarnation agent, String detail, Instant now) {
-        apply(state.lost(agent, Problem.notRun(ProblemKind.BACKEND_LOST, detail)), now);
+        apply(state.onLost(agent, Problem.notRun(ProblemKind.BACKEND_LOST, detail)), now);
     }
 
     /** Time passes. */
@@ -132,7 +132,7 @@
 
     /** Ends the session: its caller is gone, or the process stops. */
     void giveUp(Problem problem, Instant now) {
-        apply(state.giveUp(problem), now);
+        apply(state.fail(problem), now);
     }
 
     boolean isEnded() {
@@ -141,7 +141,7 @@
 
     private void use(Either<Problem, Choice> choice, Instant now) {
         if (choice.isLeft()) {
-            apply(state.giveUp(choice.getLeft()), now);
+            apply(state.fail(choice.getLeft()), now);
             return;
         }
         List<Incarnation> stages =
@@ -151,9 +151,9 @@
                 now,
                 "chosen",
                 "epoch=" + (state.epoch() + 1) + " stages=" + stages + " expected_millis="
-                        + choice.get().expected().toMillis());
+                        + choice.get().expectedTime().toMillis());
         count(stages, now);
-        apply(state.use(stages), now);
+        apply(state.assignStages(stages), now);
     }
 
     private void count(List<Incarnation> stages, Instant now) {
@@ -163,9 +163,9 @@
         counted = stages;
     }
 
-    private Work work() {
+    private RoutingRequest work() {
         int left = Math.max(1, chat.maxTokens() - state.generatedTokens());
-        return new Work(chat.model(), promptTokens, left, request.deadline(), "", state.failed());
+        return new RoutingRequest(chat.model(), promptTokens, left, request.deadline(), "", state.failedAgents());
     }
 
     /** A send that fails adds to the actions, so they are done from a list and not by recursion. */
@@ -187,9 +187,9 @@
             send(0, new Step(session, feed.epoch(), feed.position(), feed.tokens()), feed.epoch());
         } else if (action instanceof SessionAction.Emit emit) {
             emit(emit.tokens(), now);
-        } else if (action instanceof SessionAction.Rechoose rechoose) {
+        } else if (action instanceof SessionAction.SelectStages rechoose) {
             lostAt = lostAt.or(() -> Optional.of(now));
-            ends.decided(request, now, "rebuild", "why=" + rechoose.why() + " failed=" + state.failed());
+            ends.decided(request, now, "rebuild", "why=" + rechoose.reason() + " failed=" + state.failedAgents());
             rechooseOrWait(now);
         } else if (action instanceof SessionAction.Close close) {
             agents.close(close.agent(), new CloseStage(session, close.epoch()), request.deadline());
@@ -220,7 +220,7 @@
     }
 
     private void rechoose(Instant now) {
-        if (!state.isChoosing()) {
+        if (!state.isAwaitingStages()) {
             return;
         }
         Optional<Problem> stop = parts.admission().stop(fingerprint, now);
@@ -246,7 +246,7 @@
         return patient
                 && state.stages().stream()
                         .anyMatch(agent ->
-                                !agents.isLinked(agent) && !state.failed().contains(agent));
+                                !agents.isLinked(agent) && !state.failedAgents().contains(agent));
     }
 
     private void open(SessionAction.Open open, Instant now) {
@@ -278,20 +278,20 @@
     }
 
     private void send(int stage, Message message, int epoch) {
-        if (epoch != state.epoch() || state.isEnded() || state.isChoosing()) {
+        if (epoch != state.epoch() || state.isEnded() || state.isAwaitingStages()) {
             return;
         }
         if (!agents.send(state.stages().get(stage), message)) {
             Problem why = Problem.notRun(ProblemKind.BACKEND_LOST, "The link to a stage refused a message.");
             refusedByLink = true;
-            todo.addAll(state.unlinked(state.stages().get(stage), why));
+            todo.addAll(state.onLinkLost(state.stages().get(stage), why));
         }
     }
 
     private void emit(int[] tokens, Instant now) {
         StringBuilder piece = new StringBuilder();
         for (int token : tokens) {
-            piece.append(Vocabulary.render(token));
+            piece.append(Tokenizer.decode(token));
         }
         emitted += tokens.length;
         lostAt.ifPresent(at -> resumed(Duration.between(at, now), now));
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/EntryPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/EntryPlugin.java
@@ -113,7 +113,7 @@
                 new Admission(settings.bounds().inProgress(), settings.timing().heartbeatMillis(), poison, random);
         Health health = new Health();
         Agents agents = new Agents(new Lives(keyWindow, IdempotencyKey.CLOCK_SKEW), health);
-        Chooser chooser = settings.choice().chooser(PrefixHints.NONE);
+        Chooser chooser = settings.choice().newChooser(PrefixHints.NONE);
         Selection selection = new Selection(agents, chooser, settings.dataCentre(), StaticLinkCosts.DEFAULTS, random);
         Ends ends = new Ends(registry.need(RequestRecorder.class), registry.meters(), admission);
         WaitingRoom waiting =
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/RequestIntake.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/RequestIntake.java
@@ -15,8 +15,8 @@
 import org.cornelramp.core.model.Problem;
 import org.cornelramp.core.model.ProblemKind;
 import org.cornelramp.core.route.Choice;
-import org.cornelramp.core.route.Work;
-import org.cornelramp.core.text.Vocabulary;
+import org.cornelramp.core.route.RoutingRequest;
+import org.cornelramp.core.text.Tokenizer;
 
 /**
  * Takes callers' requests to the router: refuses what may not start, binds keys, and starts the rest.
@@ -61,9 +61,9 @@
     }
 
     private void startOrWait(long session, CallerRequest request, ChatRequest chat, String fingerprint, Instant now) {
-        Work work = new Work(
+        RoutingRequest work = new RoutingRequest(
                 chat.model(),
-                Vocabulary.encode(chat.contents()).length,
+                Tokenizer.encode(chat.contents()).length,
                 chat.maxTokens(),
                 request.deadline(),
                 "",
@@ -136,7 +136,7 @@
     }
 
     private Either<Problem, Incarnation> agent(CallerRequest request, Instant now) {
-        Work work = new Work(request.row().key().service(), 0, 0, request.deadline(), "", Set.of());
+        RoutingRequest work = new RoutingRequest(request.row().key().service(), 0, 0, request.deadline(), "", Set.of());
         Either<Problem, Choice> choice = parts.selection().choose(work, now);
         return choice.map(chosen -> chosen.stages().get(0).incarnation());
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/Selection.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/Selection.java
@@ -18,7 +18,7 @@
 import org.cornelramp.core.route.Choice;
 import org.cornelramp.core.route.Chooser;
 import org.cornelramp.core.route.LinkCosts;
-import org.cornelramp.core.route.Work;
+import org.cornelramp.core.route.RoutingRequest;
 
 /** Chooses backend servers among the agents that are known. Confined to the router's thread. */
 final class Selection {
@@ -39,7 +39,7 @@
     }
 
     /** Chooses for new work that may run at most once where it is sent. */
-    Either<Problem, Choice> choose(Work work, Instant now) {
+    Either<Problem, Choice> choose(RoutingRequest work, Instant now) {
         return choose(agents.candidates(now), work, now);
     }
 
@@ -47,9 +47,9 @@
      * Chooses for new work that may safely run again elsewhere. An ejected agent that is due a probe gets it: only
      * such work tells whether the agent is well again, and it has all its retries left.
      */
-    Either<Problem, Choice> chooseRepeatable(Work work, Instant now) {
+    Either<Problem, Choice> chooseRepeatable(RoutingRequest work, Instant now) {
         List<Candidate> candidates = agents.candidates(now);
-        Optional<Candidate> probe = agents.probe(work.service(), work.avoid(), now);
+        Optional<Candidate> probe = agents.probe(work.service(), work.excludedAgents(), now);
         if (probe.isPresent()) {
             candidates.removeIf(candidate ->
                     candidate.offer().layers().equals(probe.get().offer().layers())
@@ -60,7 +60,7 @@
     }
 
     /** Chooses as if no backend server had any work, to tell how long the request itself takes. */
-    Either<Problem, Choice> chooseAsIfIdle(Work work, Instant now) {
+    Either<Problem, Choice> chooseAsIfIdle(RoutingRequest work, Instant now) {
         List<Candidate> idle =
                 agents.candidates(now).stream().map(Selection::asIfIdle).toList();
         return choose(idle, work, now);
@@ -70,18 +70,18 @@
      * Chooses for a session that lost a stage: the stages that live stay, since they hold the session's state, and
      * others may come only in place of lost ones. Where that gives no whole pipeline, all are chosen anew.
      */
-    Either<Problem, Choice> replace(Work lost, List<Incarnation> stages, Instant now) {
+    Either<Problem, Choice> replace(RoutingRequest lost, List<Incarnation> stages, Instant now) {
         // A prediction must not cut a stream under way that may still be in time: only its deadline ends it. Speeds
         // measured in the seconds after a fault are low, and streams were given up on with half their time left.
-        Work work = new Work(
+        RoutingRequest work = new RoutingRequest(
                 lost.service(),
                 lost.promptTokens(),
                 lost.maxTokens(),
                 now.plus(UNHURRIED),
-                lost.prefix(),
-                lost.avoid());
+                lost.prefixHash(),
+                lost.excludedAgents());
         Set<Incarnation> kept = new HashSet<>(stages);
-        kept.removeAll(work.avoid());
+        kept.removeAll(work.excludedAgents());
         List<Candidate> survivors = agents.linked(kept);
         List<Candidate> mixed = new ArrayList<>(survivors);
         agents.candidates(now).stream()
@@ -91,7 +91,7 @@
         return choice.isRight() ? choice : choose(work, now);
     }
 
-    private Either<Problem, Choice> choose(List<Candidate> candidates, Work work, Instant now) {
+    private Either<Problem, Choice> choose(List<Candidate> candidates, RoutingRequest work, Instant now) {
         return chooser.choose(candidates, work, here, costs, now, random);
     }
 
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/WaitingRoom.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/WaitingRoom.java
@@ -19,7 +19,7 @@
 import org.cornelramp.core.model.ServiceName;
 import org.cornelramp.core.route.Candidate;
 import org.cornelramp.core.route.Choice;
-import org.cornelramp.core.route.Work;
+import org.cornelramp.core.route.RoutingRequest;
 import org.cornelramp.core.table.Row;
 
 /**
@@ -55,7 +55,7 @@
     }
 
     /** Whether a request for this work has to wait for a slot. */
-    boolean mustWait(Work work, Instant now) {
+    boolean mustWait(RoutingRequest work, Instant now) {
         FairQueue<WaitingChat> queue = queues.get(work.service());
         return (queue != null && queue.size() > 0) || isFull(work.service(), now);
     }
@@ -68,13 +68,13 @@
      * @param refuser told of another request that had to make room
      */
     Optional<Problem> offer(
-            long id, CallerRequest request, Work work, Consumer<Instant> start, Refuser refuser, Instant now) {
+            long id, CallerRequest request, RoutingRequest work, Consumer<Instant> start, Refuser refuser, Instant now) {
         Either<Problem, Choice> idle = selection.chooseAsIfIdle(work, now);
         if (idle.isLeft()) {
             return Optional.of(idle.getLeft());
         }
         Waiting<WaitingChat> waiting =
-                waiting(id, request, work, idle.get().expected(), new WaitingChat(request, start));
+                waiting(id, request, work, idle.get().expectedTime(), new WaitingChat(request, start));
         Either<Problem, List<Refusal<WaitingChat>>> taken = queues.computeIfAbsent(
                         work.service(), service -> new FairQueue<>(capacity, random))
                 .offer(waiting, now);
@@ -109,7 +109,7 @@
     }
 
     private static Waiting<WaitingChat> waiting(
-            long id, CallerRequest request, Work work, Duration runTime, WaitingChat chat) {
+            long id, CallerRequest request, RoutingRequest work, Duration runTime, WaitingChat chat) {
         Row row = request.row();
         return new Waiting<>(
                 id,
@@ -146,7 +146,7 @@
                 .orElse(1);
         int entries = Math.max(1, candidate.load().linkedEntries());
         int part = Math.max(1, candidate.offer().slots() * stages / entries);
-        return candidate.sentCalls() < part;
+        return candidate.outstandingCalls() < part;
     }
 
     private static boolean isWhole(List<Candidate> candidates) {
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/EditService.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/EditService.java
@@ -68,14 +68,14 @@
 
     /** The answer to an edit against a version that is in force no more; it names the winner if the log tells it. */
     EditResult lost(FoldedTable table, TableEdit edit) throws InterruptedException {
-        long start = startOfRace(table.offset(), edit.against());
+        long start = startOfRace(table.offset(), edit.baseVersion());
         return EditResultResolver.staleVersion(table, edit, back.read(start, table.offset()).orElse(List.of()));
     }
 
     /** The records since the edits were appended, and those that they may have lost to where the log keeps them. */
     private Optional<List<LoggedRecord>> readBack(List<TableEdit> edits, long start, long end)
             throws InterruptedException {
-        long early = edits.stream().mapToLong(TableEdit::against).reduce(start, this::startOfRace);
+        long early = edits.stream().mapToLong(TableEdit::baseVersion).reduce(start, this::startOfRace);
         Optional<List<LoggedRecord>> records = back.read(early, end);
         return records.isPresent() || early == start ? records : back.read(start, end);
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/table/TableFollower.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/table/TableFollower.java
@@ -12,8 +12,8 @@
 import org.cornelramp.core.table.FoldedTable;
 import org.cornelramp.core.table.LogBounds;
 import org.cornelramp.core.table.LoggedRecord;
-import org.cornelramp.core.table.SnapshotPlan;
-import org.cornelramp.core.table.TableReading;
+import org.cornelramp.core.table.SnapshotSchedule;
+import org.cornelramp.core.table.TableReadState;
 import org.cornelramp.core.table.TableRecords;
 import org.cornelramp.core.table.TableSnapshotCodec;
 import org.cornelramp.daemon.kernel.Component;
@@ -45,8 +45,8 @@
     private final Thread thread = new Thread(this::run, "table");
     private volatile boolean running = true;
     private volatile String trouble = "";
-    private volatile TableReading reading = TableReading.start();
-    private SnapshotPlan plan = SnapshotPlan.start();
+    private volatile TableReadState reading = TableReadState.start();
+    private SnapshotSchedule plan = SnapshotSchedule.start();
     private long pauseMillis = FIRST_PAUSE_MILLIS;
 
     TableFollower(
@@ -87,7 +87,7 @@
 
     /** What operators see of the log. */
     ObjectNode status() {
-        TableReading now = reading;
+        TableReadState now = reading;
         ObjectNode node = JsonNodeFactory.instance.objectNode();
         node.put("reachable", trouble.isEmpty());
         node.put("trouble", trouble);
@@ -95,8 +95,8 @@
         node.put("offset", now.table().offset());
         node.put("oldest", now.bounds().oldest());
         now.newestSnapshot()
-                .ifPresent(mark -> node.put("snapshotCovers", mark.covers()).put("snapshotAt", mark.at()));
-        node.put("divergences", now.divergences());
+                .ifPresent(mark -> node.put("snapshotCovers", mark.coveredOffset()).put("snapshotAt", mark.appendedAtMillis()));
+        node.put("divergences", now.divergentSnapshots());
         return node;
     }
 
@@ -106,7 +106,7 @@
                 follow();
                 setTrouble(troubleOf(reading));
                 pauseMillis = FIRST_PAUSE_MILLIS;
-                if (reading.phase() == TableReading.Phase.STUCK) {
+                if (reading.phase() == TableReadState.Phase.STUCK) {
                     pause();
                 }
             } catch (InterruptedException e) {
@@ -120,22 +120,22 @@
     }
 
     private void follow() throws InterruptedException, ExecutionException, TimeoutException {
-        TableReading before = reading.onPeerTable(keeper.folded());
-        TableReading after = read(before);
+        TableReadState before = reading.onPeerTable(keeper.folded());
+        TableReadState after = read(before);
         reading = after;
         check(before, after);
         // Older states, as seen while reading up to the end at the start, were in force once and are not now.
         if (after.isAtEnd() || keeper.isReady()) {
             keeper.take(after.table());
         }
-        SnapshotPlan.Step step = plan.look(after, snapshotAge, process, clock.instant());
-        plan = step.plan();
+        SnapshotSchedule.Decision step = plan.evaluate(after, snapshotAge, process, clock.instant());
+        plan = step.schedule();
         if (step.write()) {
             writeSnapshot(after.table());
         }
     }
 
-    private TableReading read(TableReading from) throws InterruptedException, ExecutionException, TimeoutException {
+    private TableReadState read(TableReadState from) throws InterruptedException, ExecutionException, TimeoutException {
         long wait = from.isAtEnd() ? WAIT_MILLIS : 0;
         try {
             LogPage page = log.read(LogStream.TABLE, from.readFrom(), PAGE, wait)
@@ -143,16 +143,16 @@
             return from.onPage(boundsOf(page), recordsOf(page));
         } catch (ExecutionException e) {
             if (e.getCause() instanceof PlatformException fault && fault.kind() == PlatformException.Kind.GONE) {
-                return from.onGone(boundsOf(log.bounds(LogStream.TABLE).get(ANSWER_MILLIS, TimeUnit.MILLISECONDS)));
+                return from.onRecordsGone(boundsOf(log.bounds(LogStream.TABLE).get(ANSWER_MILLIS, TimeUnit.MILLISECONDS)));
             }
             throw e;
         }
     }
 
     /** Two folds of the same records that differ would put two tables in force, so it is checked where it can be. */
-    private void check(TableReading before, TableReading after) {
+    private void check(TableReadState before, TableReadState after) {
         boolean moved = after.table().offset() > before.table().offset();
-        if (after.divergences() > before.divergences() || (moved && keeper.differsFrom(after.table()))) {
+        if (after.divergentSnapshots() > before.divergentSnapshots() || (moved && keeper.differsFrom(after.table()))) {
             meters.diverged();
             LOG.log(
                     System.Logger.Level.ERROR,
@@ -186,8 +186,8 @@
                 .toList();
     }
 
-    private static String troubleOf(TableReading reading) {
-        if (reading.phase() == TableReading.Phase.STUCK) {
+    private static String troubleOf(TableReadState reading) {
+        if (reading.phase() == TableReadState.Phase.STUCK) {
             return "the log lacks records from " + reading.table().offset()
                     + " on and holds no snapshot of them; a peer with a newer table helps";
         }
