--- a/daemon/src/main/java/org/cornelramp/daemon/agent/OrderHandler.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/OrderHandler.java
@@ -60,17 +60,17 @@
         }
         // A claim's term is the offset of its record.
         terms.learned(page.next() - 1);
-        LOG.log(System.Logger.Level.INFO, "agent: the newest term is known; term=" + terms.newest());
+        LOG.log(System.Logger.Level.INFO, "agent: the newest term is known; term=" + terms.newestTerm());
     }
 
     /** Notes a term that a peer knows. */
     void heard(long term) {
-        terms.heard(term);
+        terms.observe(term);
     }
 
     /** The newest term known. */
     long newestTerm() {
-        return terms.newest();
+        return terms.newestTerm();
     }
 
     /** Takes an order. */
@@ -103,7 +103,7 @@
         LOG.log(
                 System.Logger.Level.INFO,
                 "agent: an order was refused; decision=" + decision + " term=" + order.term() + " newest="
-                        + terms.newest() + " by=" + asked.link.peer().process());
+                        + terms.newestTerm() + " by=" + asked.link.peer().process());
         if (decision == Decision.STALE) {
             answer(asked, OrderOutcome.STALE, "A newer term is known; claim a term anew before giving orders");
         } else {
@@ -131,7 +131,7 @@
     }
 
     private void answer(Asked asked, OrderOutcome outcome, String detail) {
-        asked.link.send(new OrderResult(asked.order.call(), outcome, terms.newest(), detail));
+        asked.link.send(new OrderResult(asked.order.call(), outcome, terms.newestTerm(), detail));
     }
 
     /** An order and the link that it came on. */
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/SettlementWriter.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/SettlementWriter.java
@@ -117,7 +117,7 @@
             return;
         }
         for (LogRecord record : page.records()) {
-            SettledRecords.partOf(record.value(), life).ifPresent(unwritten::remove);
+            SettledRecords.partNumber(record.value(), life).ifPresent(unwritten::remove);
         }
         readFrom += page.records().size();
         if (page.records().isEmpty() || readFrom >= page.next()) {
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/Admission.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/Admission.java
@@ -75,7 +75,7 @@
         if (one == null) {
             return;
         }
-        limiter.finished(one.permit(), tokens, now);
+        limiter.release(one.permit(), tokens, now);
         if (answered) {
             poison.completed(one.fingerprint(), now);
         }
@@ -88,13 +88,13 @@
 
     /** Takes what an agent's heartbeat tells of limits and crashes. */
     void heard(Incarnation agent, Heartbeat beat, Instant now) {
-        limiter.told(agent, beat.entryDemand(), Math.max(1, beat.load().linkedEntries()), now);
+        limiter.recordReport(agent, beat.entryDemand(), Math.max(1, beat.load().linkedEntries()), now);
         poison.heard(beat, now);
     }
 
     /** The link to an agent is lost. */
     void lost(Incarnation agent) {
-        limiter.lost(agent);
+        limiter.removeReport(agent);
     }
 
     /** Demand of this entry for each limited row, for its heartbeats. */
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/AgentWords.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/AgentWords.java
@@ -1,7 +1,7 @@
 package org.cornelramp.daemon.entry;
 
 import java.time.Duration;
-import org.cornelramp.core.call.AgentWord;
+import org.cornelramp.core.call.AgentReply;
 import org.cornelramp.core.call.CallResult;
 import org.cornelramp.core.model.Outcome;
 import org.cornelramp.core.model.Problem;
@@ -12,12 +12,12 @@
 final class AgentWords {
     private AgentWords() {}
 
-    static AgentWord of(InvokeResult result) {
+    static AgentReply of(InvokeResult result) {
         if (result.outcome() == Outcome.ANSWERED) {
-            return AgentWord.of(new CallResult(result.status(), result.contentType(), result.body()));
+            return AgentReply.of(new CallResult(result.status(), result.contentType(), result.body()));
         }
         ProblemKind kind = result.kind().orElse(ProblemKind.BACKEND_FAILED);
         Duration wait = Duration.ofMillis(Math.max(0, result.retryAfterMillis()));
-        return AgentWord.of(new Problem(kind, result.outcome(), result.detail(), wait));
+        return AgentReply.of(new Problem(kind, result.outcome(), result.detail(), wait));
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/Agents.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/Agents.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.cornelramp.core.member.Lives;
+import org.cornelramp.core.member.IncarnationHistory;
 import org.cornelramp.core.member.Member;
 import org.cornelramp.core.member.Membership;
 import org.cornelramp.core.model.Incarnation;
@@ -35,18 +35,18 @@
     private static final int MOST_UNCLOSED = 1_024;
 
     private final Membership membership = new Membership();
-    private final Lives lives;
+    private final IncarnationHistory lives;
     private final Health health;
     private final Map<Incarnation, Link> links = new HashMap<>();
     private final Map<Incarnation, Sent> sent = new HashMap<>();
     private final Map<Incarnation, Deque<Unclosed>> unclosed = new HashMap<>();
 
-    Agents(Lives lives, Health health) {
+    Agents(IncarnationHistory lives, Health health) {
         this.lives = lives;
         this.health = health;
     }
 
-    Lives lives() {
+    IncarnationHistory lives() {
         return lives;
     }
 
@@ -64,7 +64,7 @@
         }
         lives.seen(agent, peer.offer().map(Offer::service), now);
         health.seen(agent, peer.offer(), now);
-        Optional<Incarnation> ended = membership.opened(agent, peer.dataCentre(), peer.address(), peer.offer(), now);
+        Optional<Incarnation> ended = membership.linkOpened(agent, peer.dataCentre(), peer.address(), peer.offer(), now);
         ended.ifPresent(health::gone);
         ended.ifPresent(unclosed::remove);
         closeLeft(agent, now);
@@ -77,8 +77,8 @@
         if (!links.remove(agent, link)) {
             return false;
         }
-        membership.lost(agent);
-        lives.unlinked(agent);
+        membership.linkLost(agent);
+        lives.linkLost(agent);
         return true;
     }
 
@@ -87,7 +87,7 @@
         if (!links.containsKey(agent)) {
             return;
         }
-        membership.heard(agent, beat.state(), beat.load(), beat.offer(), now);
+        membership.recordHeartbeat(agent, beat.state(), beat.load(), beat.offer(), now);
         lives.seen(agent, beat.offer().map(Offer::service), now);
         health.seen(agent, beat.offer(), now);
         Sent work = sent.get(agent);
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/CallRun.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/CallRun.java
@@ -7,7 +7,7 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.Optional;
-import org.cornelramp.core.call.AgentWord;
+import org.cornelramp.core.call.AgentReply;
 import org.cornelramp.core.call.CallAction;
 import org.cornelramp.core.call.CallResult;
 import org.cornelramp.core.call.PlainCall;
@@ -64,9 +64,9 @@
         apply(state.startRefused(why), now, isBoundGone(now));
     }
 
-    void said(AgentWord word, Instant now) {
+    void said(AgentReply word, Instant now) {
         noteHealth(word, now);
-        apply(state.said(word, now), now, false);
+        apply(state.replyReceived(word, now), now, false);
     }
 
     void linkLost(Incarnation agent, Instant now) {
@@ -84,7 +84,7 @@
         apply(state.incarnationGone(agent, now), now, false);
     }
 
-    void lookedUp(Optional<AgentWord> word, Instant now) {
+    void lookedUp(Optional<AgentReply> word, Instant now) {
         apply(state.lookedUp(word), now, false);
     }
 
@@ -106,7 +106,7 @@
         }
         Incarnation agent = bound.get().agent();
         return parts.settled().isSettled(agent)
-                || agents.membership().isGone(agent, bound.get().at(), now);
+                || agents.membership().hasEnded(agent, bound.get().at(), now);
     }
 
     private void apply(List<CallAction> actions, Instant now, boolean targetGone) {
@@ -156,7 +156,7 @@
         }
     }
 
-    private void noteHealth(AgentWord word, Instant now) {
+    private void noteHealth(AgentReply word, Instant now) {
         if (counted.isEmpty()) {
             return;
         }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/DenialRun.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/DenialRun.java
@@ -4,15 +4,15 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.List;
-import org.cornelramp.core.call.AgentWord;
+import org.cornelramp.core.call.AgentReply;
 import org.cornelramp.core.call.CallAction;
-import org.cornelramp.core.call.Denial;
+import org.cornelramp.core.call.UnboundCallRefusal;
 import org.cornelramp.core.model.Incarnation;
 import org.cornelramp.core.model.Problem;
 import org.cornelramp.wire.message.Settle;
 
 /**
- * One call that is refused because its key cannot be bound: does what its {@link Denial} decides.
+ * One call that is refused because its key cannot be bound: does what its {@link UnboundCallRefusal} decides.
  *
  * <p>Confined to the router's thread. Invariant: the caller gets one final answer.
  */
@@ -21,7 +21,7 @@
     private final ServiceRequest call;
     private final Agents agents;
     private final Ends ends;
-    private final Denial state;
+    private final UnboundCallRefusal state;
     private final Deque<CallAction> todo = new ArrayDeque<>();
 
     DenialRun(long number, ServiceRequest call, Problem reason, Parts parts) {
@@ -29,11 +29,11 @@
         this.call = call;
         this.agents = parts.agents();
         this.ends = parts.ends();
-        this.state = new Denial(reason, call.request().deadline());
+        this.state = new UnboundCallRefusal(reason, call.request().deadline());
     }
 
-    void said(Incarnation agent, AgentWord word, Instant now) {
-        apply(state.said(agent, word), now);
+    void said(Incarnation agent, AgentReply word, Instant now) {
+        apply(state.replyReceived(agent, word), now);
     }
 
     void linkLost(Incarnation agent, Instant now) {
@@ -45,7 +45,7 @@
         Instant arrived = call.request().arrived();
         if (state.isWaiting() && agents.lives().isListReadSince(arrived)) {
             apply(
-                    state.ask(agents.lives().holders(call.request().row().key().service(), call.keyMadeAt(), arrived)),
+                    state.ask(agents.lives().possibleHolders(call.request().row().key().service(), call.keyMadeAt(), arrived)),
                     now);
         }
         apply(state.tick(now), now);
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/EntryPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/EntryPlugin.java
@@ -11,7 +11,7 @@
 import java.util.random.RandomGenerator;
 import org.cornelramp.core.key.IdempotencyKey;
 import org.cornelramp.core.key.KeyIndex;
-import org.cornelramp.core.member.Lives;
+import org.cornelramp.core.member.IncarnationHistory;
 import org.cornelramp.core.model.AgentLoad;
 import org.cornelramp.core.model.AgentState;
 import org.cornelramp.core.model.BackendServerId;
@@ -112,7 +112,7 @@
         Admission admission =
                 new Admission(settings.bounds().inProgress(), settings.timing().heartbeatMillis(), poison, random);
         Health health = new Health();
-        Agents agents = new Agents(new Lives(keyWindow, IdempotencyKey.CLOCK_SKEW), health);
+        Agents agents = new Agents(new IncarnationHistory(keyWindow, IdempotencyKey.CLOCK_SKEW), health);
         Chooser chooser = settings.choice().newChooser(PrefixHints.NONE);
         Selection selection = new Selection(agents, chooser, settings.dataCentre(), StaticLinkCosts.DEFAULTS, random);
         Ends ends = new Ends(registry.need(RequestRecorder.class), registry.meters(), admission);
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/Health.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/Health.java
@@ -37,26 +37,26 @@
         boolean wasThere = now.isBefore(firstAt.plus(rampUp));
         String group = group(offer.get());
         groups.put(agent, group);
-        fleet.joined(agent, group, wasThere ? now.minus(rampUp) : now);
+        fleet.add(agent, group, wasThere ? now.minus(rampUp) : now);
         renewAt = now;
     }
 
     void gone(Incarnation agent) {
         groups.remove(agent);
-        fleet.left(agent);
+        fleet.remove(agent);
     }
 
     void succeeded(Incarnation agent, Duration observed, Duration expected, Instant now) {
-        fleet.succeeded(agent, observed, expected, now);
+        fleet.recordSuccess(agent, observed, expected, now);
     }
 
     /** Notes a success whose time says nothing of this one agent. */
     void succeeded(Incarnation agent, Instant now) {
-        fleet.succeeded(agent, Duration.ofMillis(1), Duration.ofMillis(1), now);
+        fleet.recordSuccess(agent, Duration.ofMillis(1), Duration.ofMillis(1), now);
     }
 
     void failed(Incarnation agent, Instant now) {
-        fleet.failed(agent, now);
+        fleet.recordFailure(agent, now);
         renewAt = now;
     }
 
@@ -74,10 +74,10 @@
     /** Names the group of an ejected agent that is due a probe, and notes that it gets one. */
     boolean takeProbe(Incarnation agent, Instant now) {
         String group = groups.get(agent);
-        if (group == null || !fleet.probe(group, now).equals(Optional.of(agent))) {
+        if (group == null || !fleet.dueProbe(group, now).equals(Optional.of(agent))) {
             return false;
         }
-        fleet.probeSent(agent, now);
+        fleet.recordProbe(agent, now);
         return true;
     }
 
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/KeyBinder.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/KeyBinder.java
@@ -103,7 +103,7 @@
 
     /** Starts the calls whose bindings have been read back. */
     void progressed(Instant now) {
-        appended.removeIf(wanted -> wanted.offset < stream.index().next() && settleFromIndex(wanted, now));
+        appended.removeIf(wanted -> wanted.offset < stream.index().nextOffset() && settleFromIndex(wanted, now));
         queue.removeIf(wanted -> settleFromIndex(wanted, now));
     }
 
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/KeyStream.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/KeyStream.java
@@ -48,15 +48,15 @@
     @Override
     public void lookUp(Incarnation agent, String key, long call) {
         if (index.isSettled(agent)) {
-            router.later(now -> router.lookedUp(call, index.settled(agent, key), now));
+            router.later(now -> router.lookedUp(call, index.settledReply(agent, key), now));
         } else {
-            readToEnd(read -> router.later(now -> router.lookedUp(call, index.settled(agent, key), now)));
+            readToEnd(read -> router.later(now -> router.lookedUp(call, index.settledReply(agent, key), now)));
         }
     }
 
     @Override
     public long next() {
-        return index.next();
+        return index.nextOffset();
     }
 
     @Override
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/RequestIntake.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/RequestIntake.java
@@ -9,7 +9,7 @@
 import org.cornelramp.core.key.IdempotencyKey;
 import org.cornelramp.core.key.KeyIndex;
 import org.cornelramp.core.key.KeyRecord;
-import org.cornelramp.core.key.OwnKey;
+import org.cornelramp.core.key.UuidKey;
 import org.cornelramp.core.key.Ticket;
 import org.cornelramp.core.model.Incarnation;
 import org.cornelramp.core.model.Problem;
@@ -92,7 +92,7 @@
                 router.startCall(call, Optional.empty(), why, now);
             } else if (key.get() instanceof Ticket ticket) {
                 router.startCall(call, Optional.of(new Bound(ticket.incarnation(), ticket.madeAt())), why, now);
-            } else if (key.get() instanceof OwnKey own) {
+            } else if (key.get() instanceof UuidKey own) {
                 bind(call, own, why, now);
             }
         });
@@ -124,7 +124,7 @@
         router.startCall(call, Optional.of(new Bound(binding.incarnation(), binding.boundAt())), refusal, now);
     }
 
-    private void bind(ServiceRequest call, OwnKey key, Optional<Problem> refusal, Instant now) {
+    private void bind(ServiceRequest call, UuidKey key, Optional<Problem> refusal, Instant now) {
         Either<Problem, Incarnation> agent = agent(call.request(), now);
         if (agent.isLeft()) {
             binder.denyUnlessBound(call, agent.getLeft(), now);
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/Router.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/Router.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import org.cornelramp.core.call.AgentWord;
+import org.cornelramp.core.call.AgentReply;
 import org.cornelramp.core.model.Incarnation;
 import org.cornelramp.core.model.Problem;
 import org.cornelramp.daemon.kernel.Duty;
@@ -149,7 +149,7 @@
     }
 
     /** Tells a call what the log holds of its key. */
-    void lookedUp(long call, Optional<AgentWord> word, Instant now) {
+    void lookedUp(long call, Optional<AgentReply> word, Instant now) {
         CallRun run = calls.get(call);
         if (run != null) {
             run.lookedUp(word, now);
