--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerLink.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerLink.java
@@ -20,8 +20,8 @@
 import org.cornelramp.core.model.DataCentre;
 import org.cornelramp.core.settings.HostPort;
 import org.cornelramp.gateway.SteadyClock;
-import org.cornelramp.gateway.follow.PeerVersions;
-import org.cornelramp.gateway.follow.ReadingShare;
+import org.cornelramp.gateway.follow.PeerConfigVersions;
+import org.cornelramp.gateway.follow.ReadCoordinator;
 import org.cornelramp.gateway.log.EventLog;
 
 /**
@@ -38,8 +38,8 @@
     private final HostPort address;
     private final Supplier<PeerNews> ownUpdate;
     private final Consumer<PeerNews> onUpdate;
-    private final ReadingShare share;
-    private final PeerVersions versions;
+    private final ReadCoordinator share;
+    private final PeerConfigVersions versions;
     private final BooleanSupplier isLeader;
     private final SteadyClock clock;
     private final EventLog log;
@@ -69,8 +69,8 @@
             DataCentre dataCentre,
             Supplier<PeerNews> ownUpdate,
             Consumer<PeerNews> onUpdate,
-            ReadingShare share,
-            PeerVersions versions,
+            ReadCoordinator share,
+            PeerConfigVersions versions,
             BooleanSupplier isLeader,
             SteadyClock clock,
             EventLog log) {
@@ -164,8 +164,8 @@
         PeerNews update = ownUpdate
                 .get()
                 .withRecentPeers(peersToIntroduce())
-                .withReading(share.own(isLeader.getAsBoolean(), clock.millis()))
-                .withConfigVersion(versions.own());
+                .withReading(share.ownPosition(isLeader.getAsBoolean(), clock.millis()))
+                .withConfigVersion(versions.ownVersion());
         Set<InetSocketAddress> selected = new LinkedHashSet<>(rotation.select(
                 known, urgency.isUrgent(update), update.reading().isPresent()));
         selected.addAll(priorityPeers.nextRound());
@@ -226,7 +226,7 @@
         if (from instanceof InetSocketAddress sender) {
             directory.addSender(sender, clock.millis());
             locations.setLocation(sender, update.sender().dataCentre());
-            versions.heard(sender.getHostString(), update.configVersion(), clock.millis());
+            versions.recordVersion(sender.getHostString(), update.configVersion(), clock.millis());
             if (!update.repeats().loanRequests().isEmpty()) {
                 priorityPeers.add(sender);
             }
@@ -238,7 +238,7 @@
         boolean outdated = previous != null && previous[0] == update.sender().life() && previous[1] >= update.number();
         if (!outdated) {
             latestReceived.put(update.name(), new long[] {update.sender().life(), update.number()});
-            update.reading().ifPresent(reading -> share.heard(reading, clock.millis()));
+            update.reading().ifPresent(reading -> share.receivePosition(reading, clock.millis()));
             onUpdate.accept(update);
         }
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/UpdateUrgency.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/UpdateUrgency.java
@@ -6,7 +6,7 @@
 import java.util.stream.Collectors;
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.retry.RetryLoanUpdate;
-import org.cornelramp.gateway.follow.ReadingShare;
+import org.cornelramp.gateway.follow.ReadCoordinator;
 
 /**
  * Decides which updates are sent to every peer at once instead of in turn. Confined to one thread.
@@ -17,7 +17,7 @@
     private Set<BackendServerId> sentSuspects = Set.of();
     private Set<Long> sentAskIds = Set.of();
     private boolean sentLeaving;
-    private Optional<ReadingShare.Reading> sentReading = Optional.empty();
+    private Optional<ReadCoordinator.ReadPosition> sentReading = Optional.empty();
 
     /**
      * Whether the update reports one of these for the first time: a failed server, the shutdown of this gateway,
--- a/gateway/src/main/java/org/cornelramp/gateway/request/ClientRequestHandler.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/ClientRequestHandler.java
@@ -146,7 +146,7 @@
                 resolved.now(),
                 resolved.now() + timeoutMillis);
         Exchange exchange = new Exchange(call, response, callback, closing, ClientDisconnectProbe.of(request));
-        if (!router.offer(new RouterEvent.Arrived(exchange))) {
+        if (!router.offer(new RouterEvent.RequestReceived(exchange))) {
             exchange.refuse(Refusal.OVERLOADED, Refusal.OVERLOADED.retryMillis());
             logRefused(resolved.head(), Refusal.OVERLOADED, "the router's event queue is full");
         }
--- a/gateway/src/main/java/org/cornelramp/gateway/request/GatewayHttpServer.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/GatewayHttpServer.java
@@ -117,7 +117,7 @@
     }
 
     private boolean isReady() {
-        return !shuttingDown && config.current().isPresent() && router.view().known();
+        return !shuttingDown && config.current().isPresent() && router.view().initialised();
     }
 
     /** Starts to accept connections. */
