--- a/core/src/main/java/org/cornelramp/core/path/SilentEngineDetector.java
+++ b/core/src/main/java/org/cornelramp/core/path/SilentEngineDetector.java
@@ -70,7 +70,8 @@
      * @param begun whether an event has arrived since it was sent
      * @param usualIntervalMillis usual time between two of its events; 0 if not known
      */
-    public record StreamActivity(List<BackendServerId> engines, long lastEventMillis, boolean begun, double usualIntervalMillis) {
+    public record StreamActivity(
+            List<BackendServerId> engines, long lastEventMillis, boolean begun, double usualIntervalMillis) {
         public StreamActivity {
             engines = List.copyOf(engines);
         }
@@ -100,8 +101,8 @@
      */
     public static boolean hasRecentEvents(Collection<StreamActivity> streams, BackendServerId engine, long nowMillis) {
         return streams.stream()
-                .filter(stream ->
-                        stream.begun() && nowMillis - stream.lastEventMillis() <= MIN_SILENCE_MILLIS - MAX_DELAY_AFTER_DEATH_MILLIS)
+                .filter(stream -> stream.begun()
+                        && nowMillis - stream.lastEventMillis() <= MIN_SILENCE_MILLIS - MAX_DELAY_AFTER_DEATH_MILLIS)
                 .anyMatch(stream -> stream.engines().contains(engine));
     }
 
--- a/core/src/test/java/org/cornelramp/core/path/EngineLoadsProperties.java
+++ b/core/src/test/java/org/cornelramp/core/path/EngineLoadsProperties.java
@@ -27,7 +27,10 @@
         return new StagePath(
                 List.of(
                         new Hop(EngineFixtures.engine("e" + first, "dc1", "l4", 0, cut), 0, cut),
-                        new Hop(EngineFixtures.engine("e" + second, "dc1", "l4", cut, EngineFixtures.LAYERS), cut, EngineFixtures.LAYERS)),
+                        new Hop(
+                                EngineFixtures.engine("e" + second, "dc1", "l4", cut, EngineFixtures.LAYERS),
+                                cut,
+                                EngineFixtures.LAYERS)),
                 1,
                 1);
     }
--- a/core/src/test/java/org/cornelramp/core/path/PathFinderTest.java
+++ b/core/src/test/java/org/cornelramp/core/path/PathFinderTest.java
@@ -41,10 +41,12 @@
     public void prefersFewerEnginesOfAboutTheSameSpeed() {
         List<BackendServer> engines = new ArrayList<>();
         for (int from = 0; from < EngineFixtures.LAYERS; from += 6) {
-            engines.add(EngineFixtures.engine("small-" + from, "dc1", "t4", from, Math.min(from + 6, EngineFixtures.LAYERS)));
+            engines.add(EngineFixtures.engine(
+                    "small-" + from, "dc1", "t4", from, Math.min(from + 6, EngineFixtures.LAYERS)));
         }
         for (int from = 0; from < EngineFixtures.LAYERS; from += 9) {
-            engines.add(EngineFixtures.engine("large-" + from, "dc1", "l4", from, Math.min(from + 9, EngineFixtures.LAYERS)));
+            engines.add(EngineFixtures.engine(
+                    "large-" + from, "dc1", "l4", from, Math.min(from + 9, EngineFixtures.LAYERS)));
         }
         StagePath path = PathFinder.find(SPEC, engines, new EngineLoads(), EngineFixtures.demand("dc1"))
                 .orElseThrow();
@@ -96,8 +98,8 @@
         for (int i = 0; i < 20; i++) {
             loads.recordOutcome(new BackendServerId("dc1-a"), i % 5 < 2);
         }
-        StagePath path =
-                PathFinder.find(SPEC, engines, loads, EngineFixtures.demand("dc1")).orElseThrow();
+        StagePath path = PathFinder.find(SPEC, engines, loads, EngineFixtures.demand("dc1"))
+                .orElseThrow();
         assertEquals(dataCentres(path), Set.of("dc2"));
         StagePath only = PathFinder.find(SPEC, fastCopy("dc1"), loads, EngineFixtures.demand("dc1"))
                 .orElseThrow();
@@ -152,8 +154,8 @@
                     944);
         }
         loads.updatePeer("peer", peer.ownLoads(), 0, 0);
-        StagePath path =
-                PathFinder.find(SPEC, engines, loads, EngineFixtures.demand("dc1")).orElseThrow();
+        StagePath path = PathFinder.find(SPEC, engines, loads, EngineFixtures.demand("dc1"))
+                .orElseThrow();
         assertEquals(dataCentres(path), Set.of("dc2"));
     }
 
@@ -180,8 +182,8 @@
         engines.add(EngineFixtures.engine("twin", "dc1", "h100", 27, 54));
         EngineLoads loads = new EngineLoads();
         loads.setSlowdown(new BackendServerId("dc1-b"), 5, 0);
-        StagePath path =
-                PathFinder.find(SPEC, engines, loads, EngineFixtures.demand("dc1")).orElseThrow();
+        StagePath path = PathFinder.find(SPEC, engines, loads, EngineFixtures.demand("dc1"))
+                .orElseThrow();
         assertTrue(path.hop(new BackendServerId("twin")).isPresent(), path.text());
         loads.removeExpiredSlowdowns(60_000);
         assertEquals(loads.slowdown(new BackendServerId("dc1-b")), 1.0);
@@ -223,8 +225,8 @@
         EngineLoads loads = new EngineLoads();
         int onOtherCopy = 0;
         for (int i = 0; i < 30; i++) {
-            StagePath path =
-                    PathFinder.find(SPEC, engines, loads, EngineFixtures.demand("dc1")).orElseThrow();
+            StagePath path = PathFinder.find(SPEC, engines, loads, EngineFixtures.demand("dc1"))
+                    .orElseThrow();
             loads.add(path, 944);
             loads.addPendingPromptTokens(path, 772);
             onOtherCopy += dataCentres(path).contains("dc2") ? 1 : 0;
--- a/core/src/test/java/org/cornelramp/core/retry/ServiceRetryBudgetProperties.java
+++ b/core/src/test/java/org/cornelramp/core/retry/ServiceRetryBudgetProperties.java
@@ -32,7 +32,8 @@
     }
 
     /** A peer update in transit from one process to another. */
-    private record PeerUpdate(String from, Optional<RetryLoanUpdate.LoanRequest> ask, List<RetryLoanUpdate.Loan> loans, int to) {}
+    private record PeerUpdate(
+            String from, Optional<RetryLoanUpdate.LoanRequest> ask, List<RetryLoanUpdate.Loan> loans, int to) {}
 
     private final List<Peer> peers = new ArrayList<>();
     private final List<PeerUpdate> inTransit = new ArrayList<>();
@@ -94,8 +95,8 @@
     private void sendUpdates(Random random, long now) {
         for (int i = 0; i < 12; i++) {
             Peer from = peers.get(random.nextInt(peers.size()));
-            PeerUpdate update =
-                    new PeerUpdate(from.name, from.budget.loanRequest(), from.budget.loansToSend(now), random.nextInt(peers.size()));
+            PeerUpdate update = new PeerUpdate(
+                    from.name, from.budget.loanRequest(), from.budget.loansToSend(now), random.nextInt(peers.size()));
             inTransit.add(update);
             if (random.nextInt(5) == 0) {
                 inTransit.add(update);
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/Agents.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/Agents.java
@@ -64,7 +64,8 @@
         }
         lives.seen(agent, peer.offer().map(Offer::service), now);
         health.seen(agent, peer.offer(), now);
-        Optional<Incarnation> ended = membership.linkOpened(agent, peer.dataCentre(), peer.address(), peer.offer(), now);
+        Optional<Incarnation> ended =
+                membership.linkOpened(agent, peer.dataCentre(), peer.address(), peer.offer(), now);
         ended.ifPresent(health::gone);
         ended.ifPresent(unclosed::remove);
         closeLeft(agent, now);
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/CallRun.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/CallRun.java
@@ -146,7 +146,8 @@
             todo.addAll(state.notChosen(Refusals.overloaded("The organisation's retries are used up.")));
             return;
         }
-        RoutingRequest work = new RoutingRequest(row.service(), 0, 0, call.request().deadline(), "", state.failed());
+        RoutingRequest work =
+                new RoutingRequest(row.service(), 0, 0, call.request().deadline(), "", state.failed());
         Either<Problem, Choice> choice = parts.selection().chooseRepeatable(work, now);
         if (choice.isLeft()) {
             todo.addAll(state.notChosen(choice.getLeft()));
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/DenialRun.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/DenialRun.java
@@ -45,7 +45,8 @@
         Instant arrived = call.request().arrived();
         if (state.isWaiting() && agents.lives().isListReadSince(arrived)) {
             apply(
-                    state.ask(agents.lives().possibleHolders(call.request().row().key().service(), call.keyMadeAt(), arrived)),
+                    state.ask(agents.lives()
+                            .possibleHolders(call.request().row().key().service(), call.keyMadeAt(), arrived)),
                     now);
         }
         apply(state.tick(now), now);
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/EditService.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/EditService.java
@@ -69,7 +69,8 @@
     /** The answer to an edit against a version that is in force no more; it names the winner if the log tells it. */
     EditResult lost(FoldedTable table, TableEdit edit) throws InterruptedException {
         long start = startOfRace(table.offset(), edit.baseVersion());
-        return EditResultResolver.staleVersion(table, edit, back.read(start, table.offset()).orElse(List.of()));
+        return EditResultResolver.staleVersion(
+                table, edit, back.read(start, table.offset()).orElse(List.of()));
     }
 
     /** The records since the edits were appended, and those that they may have lost to where the log keeps them. */
--- a/daemon/src/main/java/org/cornelramp/daemon/table/TableFollower.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/table/TableFollower.java
@@ -94,8 +94,8 @@
         node.put("reading", now.phase().name().toLowerCase(java.util.Locale.ROOT));
         node.put("offset", now.table().offset());
         node.put("oldest", now.bounds().oldest());
-        now.newestSnapshot()
-                .ifPresent(mark -> node.put("snapshotCovers", mark.coveredOffset()).put("snapshotAt", mark.appendedAtMillis()));
+        now.newestSnapshot().ifPresent(mark -> node.put("snapshotCovers", mark.coveredOffset())
+                .put("snapshotAt", mark.appendedAtMillis()));
         node.put("divergences", now.divergentSnapshots());
         return node;
     }
@@ -143,7 +143,8 @@
             return from.onPage(boundsOf(page), recordsOf(page));
         } catch (ExecutionException e) {
             if (e.getCause() instanceof PlatformException fault && fault.kind() == PlatformException.Kind.GONE) {
-                return from.onRecordsGone(boundsOf(log.bounds(LogStream.TABLE).get(ANSWER_MILLIS, TimeUnit.MILLISECONDS)));
+                return from.onRecordsGone(
+                        boundsOf(log.bounds(LogStream.TABLE).get(ANSWER_MILLIS, TimeUnit.MILLISECONDS)));
             }
             throw e;
         }
--- a/gateway/src/main/java/org/cornelramp/gateway/Gateway.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/Gateway.java
@@ -7,23 +7,23 @@
 import org.cornelramp.core.routing.RoutingConfig;
 import org.cornelramp.core.settings.GatewaySettings;
 import org.cornelramp.gateway.follow.ConfigFollower;
-import org.cornelramp.gateway.follow.TopicFollower;
+import org.cornelramp.gateway.follow.PeerConfigVersions;
 import org.cornelramp.gateway.follow.PeerRecordsClient;
 import org.cornelramp.gateway.follow.PeerRecordsHandler;
-import org.cornelramp.gateway.follow.PeerConfigVersions;
 import org.cornelramp.gateway.follow.ReadCoordinator;
 import org.cornelramp.gateway.follow.RecordCache;
 import org.cornelramp.gateway.follow.ServerFollower;
 import org.cornelramp.gateway.follow.StoreAvailability;
+import org.cornelramp.gateway.follow.TopicFollower;
 import org.cornelramp.gateway.log.EventLog;
 import org.cornelramp.gateway.metrics.Meters;
 import org.cornelramp.gateway.peer.PeerLink;
-import org.cornelramp.gateway.place.LeaderLease;
 import org.cornelramp.gateway.place.LayerPlacer;
+import org.cornelramp.gateway.place.LeaderLease;
 import org.cornelramp.gateway.request.GatewayHttpServer;
 import org.cornelramp.gateway.request.InternalHandler;
-import org.cornelramp.gateway.route.ConfigHolder;
 import org.cornelramp.gateway.route.AsyncEngineControl;
+import org.cornelramp.gateway.route.ConfigHolder;
 import org.cornelramp.gateway.route.Router;
 import org.cornelramp.platform.EngineControl;
 import org.cornelramp.platform.MetadataStore;
@@ -155,7 +155,9 @@
     public void awaitStop() throws Exception {
         stop.await();
         long beganMillis = clock.millis();
-        log.line("process", "stop begins").with("underWay", router.activeRequestCount()).write();
+        log.line("process", "stop begins")
+                .with("underWay", router.activeRequestCount())
+                .write();
         server.beginShutdown();
         router.announceStop();
         placement.stop();
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerUpdateCodec.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerUpdateCodec.java
@@ -91,7 +91,8 @@
 
     private static void writeRepeats(RetryLoanUpdate repeats, MessageBufferPacker out) throws IOException {
         out.packMapHeader(repeats.loanRequests().size());
-        for (Map.Entry<ServiceName, RetryLoanUpdate.LoanRequest> ask : repeats.loanRequests().entrySet()) {
+        for (Map.Entry<ServiceName, RetryLoanUpdate.LoanRequest> ask :
+                repeats.loanRequests().entrySet()) {
             out.packString(ask.getKey().value());
             out.packLong(ask.getValue().id());
             out.packInt(ask.getValue().amount());
@@ -112,7 +113,9 @@
     private static RetryLoanUpdate readRepeats(MessageUnpacker in) throws IOException {
         Map<ServiceName, RetryLoanUpdate.LoanRequest> asks = new HashMap<>();
         for (int left = in.unpackMapHeader(); left > 0; left--) {
-            asks.put(new ServiceName(in.unpackString()), new RetryLoanUpdate.LoanRequest(in.unpackLong(), in.unpackInt()));
+            asks.put(
+                    new ServiceName(in.unpackString()),
+                    new RetryLoanUpdate.LoanRequest(in.unpackLong(), in.unpackInt()));
         }
         Map<ServiceName, List<RetryLoanUpdate.Loan>> loans = new HashMap<>();
         for (int left = in.unpackMapHeader(); left > 0; left--) {
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/LentRetryTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/LentRetryTest.java
@@ -67,7 +67,8 @@
                 socket.receive(packet);
                 updatesReceived.incrementAndGet();
                 PeerUpdateCodec.read(buffer, packet.getLength())
-                        .forEach(update -> update.repeats().loanRequests().values().forEach(ask -> asked = Optional.of(ask)));
+                        .forEach(update ->
+                                update.repeats().loanRequests().values().forEach(ask -> asked = Optional.of(ask)));
             } catch (SocketTimeoutException e) {
                 // the gateway sends only in its own rounds
             } catch (Exception e) {
@@ -78,8 +79,8 @@
 
     private void sendUpdate(long number) throws Exception {
         Map<ServiceName, List<RetryLoanUpdate.Loan>> loans = asked.filter(any -> lends)
-                .map(ask ->
-                        Map.of(new ServiceName(StandInConfig.ENGINES), List.of(new RetryLoanUpdate.Loan("g1", ask.id(), 1))))
+                .map(ask -> Map.of(
+                        new ServiceName(StandInConfig.ENGINES), List.of(new RetryLoanUpdate.Loan("g1", ask.id(), 1))))
                 .orElse(Map.of());
         PeerNews update = PeerNews.of(
                 new PeerNews.Sender(PEER, 1, fixture.settings.dataCentre()),
