--- a/gateway/src/main/java/org/cornelramp/gateway/Gateway.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/Gateway.java
@@ -17,7 +17,7 @@
 import org.cornelramp.gateway.follow.TopicFollower;
 import org.cornelramp.gateway.log.EventLog;
 import org.cornelramp.gateway.metrics.Meters;
-import org.cornelramp.gateway.peer.PeerLink;
+import org.cornelramp.gateway.peer.PeerUpdateService;
 import org.cornelramp.gateway.place.LayerPlacer;
 import org.cornelramp.gateway.place.LeaderLease;
 import org.cornelramp.gateway.request.GatewayHttpServer;
@@ -58,7 +58,7 @@
     private final Router router;
     private final ConfigFollower configFollower;
     private final ServerFollower serverFollower;
-    private final PeerLink peers;
+    private final PeerUpdateService peers;
     private final LeaderLease lease;
     private final LayerPlacer placement;
     private final GatewayHttpServer server;
@@ -82,7 +82,7 @@
         BooleanSupplier isLeader = () -> !this.lease().term(clock.millis()).equals(LeaderLease.NONE);
         PeerConfigVersions versions = new PeerConfigVersions(
                 () -> config.current().map(RoutingConfig::version).orElse(PeerConfigVersions.NONE));
-        this.peers = new PeerLink(
+        this.peers = new PeerUpdateService(
                 settings.peers(),
                 settings.dataCentre(),
                 router::currentUpdate,
--- a/gateway/src/main/java/org/cornelramp/gateway/HttpClients.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/HttpClients.java
@@ -31,7 +31,7 @@
     private final SelectorAwareScheduler pooledConnects = new SelectorAwareScheduler(timers);
     private final SelectorAwareScheduler singleConnects = new SelectorAwareScheduler(timers);
     private final HttpClient pooled;
-    private final HttpClient single;
+    private final HttpClient unpooled;
 
     /** Creates threads without using the security manager, whose initialisation takes a tenth of a start. */
     private static final class PlainThreadPool extends QueuedThreadPool {
@@ -51,7 +51,7 @@
     HttpClients() {
         threads.setName("http");
         pooled = client(-1, pooledConnects);
-        single = client(1, singleConnects);
+        unpooled = client(1, singleConnects);
     }
 
     private HttpClient client(int maxUsage, SelectorAwareScheduler connectTimers) {
@@ -82,7 +82,7 @@
     void start() throws Exception {
         threads.start();
         timers.start();
-        for (HttpClient client : new HttpClient[] {pooled, single}) {
+        for (HttpClient client : new HttpClient[] {pooled, unpooled}) {
             client.start();
             // Responses are forwarded unchanged: no content decoding, redirects or authentication.
             client.getContentDecoderFactories().clear();
@@ -92,7 +92,7 @@
 
     void stop() throws Exception {
         pooled.stop();
-        single.stop();
+        unpooled.stop();
         timers.stop();
         threads.stop();
     }
@@ -103,13 +103,13 @@
     }
 
     /** The client that opens a new connection for each request. */
-    public HttpClient single() {
-        return single;
+    public HttpClient unpooled() {
+        return unpooled;
     }
 
     /** Number of connects in progress. */
     public int connectsUnderWay() {
-        return underWay(pooled) + underWay(single);
+        return underWay(pooled) + underWay(unpooled);
     }
 
     private static int underWay(HttpClient client) {
--- a/gateway/src/main/java/org/cornelramp/gateway/log/EventLog.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/log/EventLog.java
@@ -72,7 +72,7 @@
     }
 
     /** Begins a routine line, which is kept only as far as the rate limit allows. */
-    public Line ordinary(String part, String event) {
+    public Line routine(String part, String event) {
         return new Line(admitRoutine(), part, event);
     }
 
--- a/gateway/src/main/java/org/cornelramp/gateway/metrics/Meters.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/metrics/Meters.java
@@ -83,7 +83,7 @@
     }
 
     /** Counts a request that has ended, and records its duration. */
-    public void requestEnded(RouteKind kind, String outcome, long millis) {
+    public void recordRequest(RouteKind kind, String outcome, long millis) {
         String kindText = kind.name().toLowerCase(Locale.ROOT);
         enqueue(target -> target.counter(PREFIX + "requests", "kind", kindText, "outcome", outcome)
                 .increment());
@@ -91,47 +91,47 @@
     }
 
     /** Records the time to the first event of a stream. */
-    public void firstEvent(long millis) {
+    public void recordTimeToFirstEvent(long millis) {
         time("first.event", "streaming", millis);
     }
 
     /** Records the longest pause between two events of a stream that has ended. */
-    public void longestPause(long millis) {
+    public void recordLongestPause(long millis) {
         time("longest.pause", "streaming", millis);
     }
 
     /** Counts an attempt that has ended. */
-    public void attemptEnded(String end) {
+    public void countAttempt(String end) {
         count("attempts", "end", end);
     }
 
     /** Counts a request that the gateway itself has refused. */
-    public void refused(String cause) {
+    public void countRefusal(String cause) {
         count("refusals", "cause", cause);
     }
 
     /** Counts a backend server that has become suspected of having failed. */
-    public void suspected(String evidence) {
+    public void countSuspicion(String evidence) {
         count("suspicions", "evidence", evidence);
     }
 
     /** Counts an order to move a running request to another path. */
-    public void moved(boolean done) {
+    public void countMove(boolean done) {
         count("moves", "result", done ? "done" : "refused");
     }
 
     /** Counts an order to an engine to load layers. */
-    public void ordered(boolean accepted) {
+    public void countOrder(boolean accepted) {
         count("orders", "result", accepted ? "accepted" : "failed");
     }
 
     /** Counts a record of the store that could not be decoded. */
-    public void unreadable(String follower) {
+    public void countUnreadableRecord(String follower) {
         count("records.unreadable", "topic", follower);
     }
 
     /** Counts a call of the store. */
-    public void storeCall(String call, String result) {
+    public void countStoreCall(String call, String result) {
         enqueue(target -> target.counter(PREFIX + "store.calls", "call", call, "result", result)
                 .increment());
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerTurns.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerRotation.java
@@ -12,12 +12,12 @@
  * a few peers in rotation. The cost per gateway then does not grow with the fleet; instead, its loads become known a
  * few rounds later.
  */
-public final class PeerTurns {
+public final class PeerRotation {
     /** Time between two rounds, in milliseconds: a tenth of the time in which load changes noticeably. */
     public static final int ROUND_MILLIS = 120;
 
     /** Maximum number of peers per round; in deployments of up to nine gateways each round goes to all peers. */
-    public static final int MOST_A_ROUND = 8;
+    public static final int MAX_PEERS_PER_ROUND = 8;
 
     /**
      * Maximum number of peers per round of the gateway that reads the store for all. It bounds the cost of that one
@@ -44,7 +44,7 @@
      */
     <T> List<T> select(Collection<T> peers, boolean urgent, boolean readsForAll) {
         List<T> all = List.copyOf(peers);
-        int maxPeers = readsForAll ? MAX_PEERS_PER_ROUND_OF_READER : MOST_A_ROUND;
+        int maxPeers = readsForAll ? MAX_PEERS_PER_ROUND_OF_READER : MAX_PEERS_PER_ROUND;
         if (urgent || all.size() <= maxPeers) {
             return all;
         }
@@ -58,7 +58,7 @@
 
     /** Silence after which a peer counts as dead or disconnected in a fleet with that many peers, in milliseconds. */
     public static long silenceMillis(int peers) {
-        int roundsToAll = (peers + MOST_A_ROUND - 1) / MOST_A_ROUND;
+        int roundsToAll = (peers + MAX_PEERS_PER_ROUND - 1) / MAX_PEERS_PER_ROUND;
         return Math.max(MIN_SILENCE_MILLIS, (long) MAX_MISSED_TURNS * roundsToAll * ROUND_MILLIS);
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerUpdateCodec.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerUpdateCodec.java
@@ -26,13 +26,13 @@
 
     private PeerUpdateCodec() {}
 
-    static byte[] write(PeerNews update) {
+    static byte[] write(PeerUpdate update) {
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
             out.packInt(FORMAT);
             out.packString(update.sender().name());
-            out.packLong(update.sender().life());
+            out.packLong(update.sender().incarnation());
             out.packString(update.sender().dataCentre().value());
-            out.packLong(update.number());
+            out.packLong(update.sequenceNumber());
             out.packBoolean(update.leaving());
             out.packBoolean(update.loads().isPresent());
             if (update.loads().isPresent()) {
@@ -49,8 +49,8 @@
                 out.packString(id.value());
             }
             writeRepeats(update.repeats(), out);
-            out.packArrayHeader(update.heard().size());
-            for (HostPort peer : update.heard()) {
+            out.packArrayHeader(update.recentPeers().size());
+            for (HostPort peer : update.recentPeers()) {
                 out.packString(peer.toString());
             }
             out.packBoolean(update.reading().isPresent());
@@ -133,14 +133,14 @@
     }
 
     /** Decodes an update; the left side describes what is wrong with the bytes. */
-    static Either<String, PeerNews> read(byte[] bytes, int length) {
+    static Either<String, PeerUpdate> read(byte[] bytes, int length) {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes, 0, length)) {
             int format = in.unpackInt();
             if (format != FORMAT) {
                 return Either.left("unknown format " + format);
             }
-            PeerNews.Sender sender =
-                    new PeerNews.Sender(in.unpackString(), in.unpackLong(), new DataCentre(in.unpackString()));
+            PeerUpdate.Sender sender =
+                    new PeerUpdate.Sender(in.unpackString(), in.unpackLong(), new DataCentre(in.unpackString()));
             long number = in.unpackLong();
             boolean leaving = in.unpackBoolean();
             Optional<Map<BackendServerId, EngineLoads.Load>> loads =
@@ -164,7 +164,7 @@
                             HostPort.parse(in.unpackString()), in.unpackLong(), in.unpackLong(), in.unpackLong()))
                     : Optional.empty();
             long version = in.unpackLong();
-            return Either.right(new PeerNews(
+            return Either.right(new PeerUpdate(
                     sender, number, leaving, loads, crossings, paces, suspects, repeats, heard, reading, version));
         } catch (IOException | RuntimeException e) {
             return Either.left(e.toString());
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerLink.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerUpdateService.java
@@ -31,13 +31,13 @@
  * choose the same ones. Each update carries the complete state, so a lost datagram is not sent again. Confined to its
  * own thread, except for {@link #start}, {@link #stop}, {@link #setPeers} and {@link #peers}.
  */
-public final class PeerLink {
+public final class PeerUpdateService {
     /** Size limit of a datagram, chosen below the usual limit at which datagrams are fragmented. */
     private static final int MAX_BYTES = 8_192;
 
     private final HostPort address;
-    private final Supplier<PeerNews> ownUpdate;
-    private final Consumer<PeerNews> onUpdate;
+    private final Supplier<PeerUpdate> ownUpdate;
+    private final Consumer<PeerUpdate> onUpdate;
     private final ReadCoordinator share;
     private final PeerConfigVersions versions;
     private final BooleanSupplier isLeader;
@@ -46,8 +46,8 @@
     private final Thread thread = new Thread(this::run, "peers");
     private final Map<String, long[]> latestReceived = new HashMap<>();
     private final PeerDirectory<InetSocketAddress> directory = new PeerDirectory<>();
-    private final PeerTurns rotation = new PeerTurns();
-    private final PeerTurns introductionRotation = new PeerTurns();
+    private final PeerRotation rotation = new PeerRotation();
+    private final PeerRotation introductionRotation = new PeerRotation();
     private final PriorityPeers<InetSocketAddress> priorityPeers = new PriorityPeers<>();
     private final PeerLocations<InetSocketAddress> locations;
     private final UpdateUrgency urgency = new UpdateUrgency();
@@ -64,11 +64,11 @@
      * @param versions supplies the version of the configuration in force, and is given what peers report
      * @param isLeader whether this gateway is the leader
      */
-    public PeerLink(
+    public PeerUpdateService(
             HostPort address,
             DataCentre dataCentre,
-            Supplier<PeerNews> ownUpdate,
-            Consumer<PeerNews> onUpdate,
+            Supplier<PeerUpdate> ownUpdate,
+            Consumer<PeerUpdate> onUpdate,
             ReadCoordinator share,
             PeerConfigVersions versions,
             BooleanSupplier isLeader,
@@ -87,7 +87,7 @@
     }
 
     /** A random number that identifies one incarnation (start) of a gateway. */
-    public static long newLife() {
+    public static long newIncarnation() {
         return ThreadLocalRandom.current().nextLong(Long.MAX_VALUE);
     }
 
@@ -140,7 +140,7 @@
             long remainingMillis = nextSend - clock.millis();
             if (remainingMillis <= 0) {
                 sendRound(socket);
-                nextSend = clock.millis() + PeerTurns.ROUND_MILLIS;
+                nextSend = clock.millis() + PeerRotation.ROUND_MILLIS;
                 continue;
             }
             socket.setSoTimeout((int) remainingMillis);
@@ -155,13 +155,13 @@
     }
 
     private void sendRound(DatagramSocket socket) {
-        Set<InetSocketAddress> known =
-                directory.recipients(peers.stream().map(PeerLink::socketAddress).toList(), clock.millis());
-        recipients = known.stream().map(PeerLink::hostPort).toList();
+        Set<InetSocketAddress> known = directory.recipients(
+                peers.stream().map(PeerUpdateService::socketAddress).toList(), clock.millis());
+        recipients = known.stream().map(PeerUpdateService::hostPort).toList();
         if (known.isEmpty()) {
             return;
         }
-        PeerNews update = ownUpdate
+        PeerUpdate update = ownUpdate
                 .get()
                 .withRecentPeers(peersToIntroduce())
                 .withReading(share.ownPosition(isLeader.getAsBoolean(), clock.millis()))
@@ -169,7 +169,7 @@
         Set<InetSocketAddress> selected = new LinkedHashSet<>(rotation.select(
                 known, urgency.isUrgent(update), update.reading().isPresent()));
         selected.addAll(priorityPeers.nextRound());
-        boolean smallFleet = known.size() <= PeerTurns.MOST_A_ROUND;
+        boolean smallFleet = known.size() <= PeerRotation.MAX_PEERS_PER_ROUND;
         locations.retain(known);
         Map<Boolean, List<InetSocketAddress>> byNeedOfLoads =
                 selected.stream().collect(Collectors.partitioningBy(peer -> locations.needsLoads(peer) || smallFleet));
@@ -177,7 +177,7 @@
         send(socket, update.withoutLoads(), byNeedOfLoads.get(false));
     }
 
-    private void send(DatagramSocket socket, PeerNews update, List<InetSocketAddress> to) {
+    private void send(DatagramSocket socket, PeerUpdate update, List<InetSocketAddress> to) {
         if (to.isEmpty()) {
             return;
         }
@@ -189,7 +189,7 @@
             try {
                 socket.send(new DatagramPacket(bytes, bytes.length, peer));
             } catch (IOException e) {
-                log.ordinary("peers", "not told")
+                log.routine("peers", "not told")
                         .with("peer", peer)
                         .with("fault", e)
                         .write();
@@ -203,8 +203,8 @@
      */
     private List<HostPort> peersToIntroduce() {
         return introductionRotation.select(directory.peersToIntroduce(clock.millis()), false, false).stream()
-                .limit(PeerTurns.MOST_A_ROUND)
-                .map(PeerLink::hostPort)
+                .limit(PeerRotation.MAX_PEERS_PER_ROUND)
+                .map(PeerUpdateService::hostPort)
                 .toList();
     }
 
@@ -217,12 +217,12 @@
     }
 
     private void receive(byte[] bytes, int length, SocketAddress from) {
-        Either<String, PeerNews> read = PeerUpdateCodec.read(bytes, length);
+        Either<String, PeerUpdate> read = PeerUpdateCodec.read(bytes, length);
         if (read.isLeft()) {
-            log.ordinary("peers", "unreadable").with("fault", read.getLeft()).write();
+            log.routine("peers", "unreadable").with("fault", read.getLeft()).write();
             return;
         }
-        PeerNews update = read.get();
+        PeerUpdate update = read.get();
         if (from instanceof InetSocketAddress sender) {
             directory.addSender(sender, clock.millis());
             locations.setLocation(sender, update.sender().dataCentre());
@@ -231,13 +231,15 @@
                 priorityPeers.add(sender);
             }
         }
-        update.heard().stream()
+        update.recentPeers().stream()
                 .filter(peer -> !peer.equals(address))
                 .forEach(peer -> directory.addIntroduced(socketAddress(peer), clock.millis()));
         long[] previous = latestReceived.get(update.name());
-        boolean outdated = previous != null && previous[0] == update.sender().life() && previous[1] >= update.number();
+        boolean outdated = previous != null
+                && previous[0] == update.sender().incarnation()
+                && previous[1] >= update.sequenceNumber();
         if (!outdated) {
-            latestReceived.put(update.name(), new long[] {update.sender().life(), update.number()});
+            latestReceived.put(update.name(), new long[] {update.sender().incarnation(), update.sequenceNumber()});
             update.reading().ifPresent(reading -> share.receivePosition(reading, clock.millis()));
             onUpdate.accept(update);
         }
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/UpdateUrgency.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/UpdateUrgency.java
@@ -24,7 +24,7 @@
      * progress in reading the store, or a request for retries. Streams that have begun wait for those retries, and the
      * peers of a single turn may have none to lend.
      */
-    boolean isUrgent(PeerNews update) {
+    boolean isUrgent(PeerUpdate update) {
         Set<Long> askIds = askIds(update.repeats().loanRequests().values());
         boolean readingProgressed =
                 update.reading().isPresent() && !update.reading().equals(sentReading);
--- a/gateway/src/main/java/org/cornelramp/gateway/request/Attempt.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/Attempt.java
@@ -96,7 +96,7 @@
     }
 
     /** Records that the engine has moved the request to another path. */
-    public void movedTo(StagePath other) {
+    public void setPath(StagePath other) {
         path = other;
     }
 
@@ -106,12 +106,12 @@
     }
 
     /** Whether the head of the response has arrived. */
-    public boolean isAnswering() {
+    public boolean hasResponseStarted() {
         return answering;
     }
 
     /** Whether bytes of the response wait unread in the socket. */
-    public boolean hasUnread() {
+    public boolean hasUnreadBytes() {
         Request out = request;
         return out != null && SocketReadiness.hasUnread(out);
     }
@@ -119,7 +119,7 @@
     /** Sends the request. */
     public void start(long nowMillis) {
         startMillis = nowMillis;
-        Exchange.Call call = exchange.call();
+        Exchange.ClientRequest call = exchange.request();
         Request out = http.newRequest(server.address().host(), server.address().port())
                 .method(call.method())
                 .path(call.pathQuery())
@@ -162,7 +162,7 @@
         AnswerHead responseHead = AnswerHead.decode(response.getStatus(), fields);
         receivedHead = responseHead;
         answering = true;
-        relaying = exchange.call().route().kind() == RouteKind.STREAMING
+        relaying = exchange.request().route().kind() == RouteKind.STREAMING
                 && responseHead.isSuccess()
                 && matchesRequest(responseHead);
         read(source);
@@ -170,7 +170,7 @@
 
     /** Whether the response carries this request's id. Otherwise it belongs to an earlier request of the connection. */
     private boolean matchesRequest(AnswerHead responseHead) {
-        return responseHead.requestId().equals(exchange.call().id());
+        return responseHead.requestId().equals(exchange.request().id());
     }
 
     private void read(Content.Source source) {
--- a/gateway/src/main/java/org/cornelramp/gateway/request/ClientRequestHandler.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/ClientRequestHandler.java
@@ -66,7 +66,7 @@
         boolean delayed = config.current().isEmpty()
                 && earlyRequests.tryDelay(request, () -> handle(request, response, callback, now), now);
         if (delayed) {
-            log.ordinary("intake", "held")
+            log.routine("intake", "held")
                     .with("id", CallHead.decode(request.getHeaders()).requestId())
                     .with("why", "no configuration yet")
                     .write();
@@ -132,7 +132,7 @@
     private void submit(Request request, Response response, Callback callback, ResolvedHead resolved, byte[] body) {
         Route route = resolved.route();
         long timeoutMillis = Math.min(resolved.head().remainingMillis().orElse(Long.MAX_VALUE), route.timeoutMillis());
-        Exchange.Call call = new Exchange.Call(
+        Exchange.ClientRequest call = new Exchange.ClientRequest(
                 resolved.head(),
                 request.getMethod(),
                 request.getHttpURI().getPathQuery(),
@@ -159,7 +159,7 @@
     }
 
     private void logRefused(CallHead head, Refusal refusal, String why) {
-        meters.refused(refusal.name());
+        meters.countRefusal(refusal.name());
         log.line("intake", "refused")
                 .with("id", head.requestId())
                 .with("as", refusal)
--- a/gateway/src/main/java/org/cornelramp/gateway/request/Exchange.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/Exchange.java
@@ -26,14 +26,14 @@
 public final class Exchange {
     private static final double RETRY_JITTER = 0.5;
 
-    private final Call call;
+    private final ClientRequest request;
     private final Response response;
     private final Callback callback;
     private final BooleanSupplier closing;
     private final ClientDisconnectProbe probe;
     private final AtomicBoolean ended = new AtomicBoolean();
     private volatile boolean committed;
-    private volatile long lastEvent;
+    private volatile long lastEventId;
     private volatile long lastEventMillis;
     private volatile long firstEventMillis;
     private volatile long longestPauseMillis;
@@ -53,7 +53,7 @@
      * @param receivedMillis when the request was received, on the steady clock
      * @param deadlineMillis when the final response is due, on the steady clock
      */
-    public record Call(
+    public record ClientRequest(
             CallHead head,
             String method,
             String pathQuery,
@@ -71,18 +71,23 @@
         }
     }
 
-    Exchange(Call call, Response response, Callback callback, BooleanSupplier closing, ClientDisconnectProbe probe) {
+    Exchange(
+            ClientRequest call,
+            Response response,
+            Callback callback,
+            BooleanSupplier closing,
+            ClientDisconnectProbe probe) {
         this.probe = probe;
-        this.call = call;
+        this.request = call;
         this.response = response;
         this.callback = callback;
         this.closing = closing;
-        this.lastEvent = call.head().lastEvent().orElse(-1L);
+        this.lastEventId = call.head().lastEvent().orElse(-1L);
     }
 
     /** The client's request. */
-    public Call call() {
-        return call;
+    public ClientRequest request() {
+        return request;
     }
 
     /** Whether a part of the response has been sent, so that it can only be continued or aborted. */
@@ -96,8 +101,8 @@
     }
 
     /** Id of the last event that was sent to the client; empty if there is none. */
-    public Optional<Long> lastEvent() {
-        return lastEvent < 0 ? Optional.empty() : Optional.of(lastEvent);
+    public Optional<Long> lastEventId() {
+        return lastEventId < 0 ? Optional.empty() : Optional.of(lastEventId);
     }
 
     /** When the last event was sent to the client, on the steady clock; 0 before the first. */
@@ -106,12 +111,12 @@
     }
 
     /** Time from the request to its first event, in milliseconds; negative before the first event. */
-    public long firstEventAfterMillis() {
-        return firstEventMillis == 0 ? -1 : firstEventMillis - call.receivedMillis();
+    public long timeToFirstEventMillis() {
+        return firstEventMillis == 0 ? -1 : firstEventMillis - request.receivedMillis();
     }
 
     /** Mean time between two writes to the client, in milliseconds; 0 before the second. */
-    public double usualPauseMillis() {
+    public double meanPauseMillis() {
         int pauseCount = writes - 1;
         return pauseCount < 1 ? 0 : (lastEventMillis - firstEventMillis) / (double) pauseCount;
     }
@@ -122,13 +127,13 @@
     }
 
     /** Whether the client has closed its connection; probed only if no event was sent within the probe's interval. */
-    public boolean hasClientLeft(long nowMillis) {
-        long idleMillis = nowMillis - Math.max(lastEventMillis, call.receivedMillis());
+    public boolean hasClientDisconnected(long nowMillis) {
+        long idleMillis = nowMillis - Math.max(lastEventMillis, request.receivedMillis());
         return !ended.get() && idleMillis > ClientDisconnectProbe.INTERVAL_MILLIS && probe.hasClosed(nowMillis);
     }
 
     /** How the close of the client's connection was detected; empty while it is open. */
-    public String clientSeen() {
+    public String clientCloseReason() {
         return probe.closeReason();
     }
 
@@ -153,7 +158,7 @@
             // is cut because the process is killed would then look complete; the last chunk tells the two apart.
             response.getHeaders().put(HttpHeader.TRANSFER_ENCODING, "chunked");
         }
-        lastEvent = Math.max(lastEvent, lastId);
+        lastEventId = Math.max(lastEventId, lastId);
         if (lastEventMillis == 0) {
             firstEventMillis = nowMillis;
         } else {
@@ -179,7 +184,7 @@
     }
 
     /** Forwards a complete response of a backend server. */
-    public boolean answer(int status, HttpFields fields, byte[] body) {
+    public boolean forwardResponse(int status, HttpFields fields, byte[] body) {
         if (committed || !end()) {
             return false;
         }
@@ -221,7 +226,7 @@
     }
 
     /** Aborts the response in a way that the client cannot mistake for its end. */
-    public boolean breakOff(String reason) {
+    public boolean abort(String reason) {
         if (!end()) {
             return false;
         }
--- a/gateway/src/test/java/org/cornelramp/gateway/EngineDoubtTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/LeavingAndSuspectedEngineTest.java
@@ -18,7 +18,7 @@
  * Streams over engines that leave or are wrongly suspected of being dead, while the gateway has no retries unless
  * noted.
  */
-public class EngineDoubtTest {
+public class LeavingAndSuspectedEngineTest {
     /** A stream that lasts longer than the time within which streams are moved off a leaving engine. */
     private static final Behaviour LONG_STREAM =
             Behaviour.ordinary().withEvents(60).withPauseMillis(50);
--- a/gateway/src/test/java/org/cornelramp/gateway/BegunStreamTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/StreamResumptionTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.Test;
 
 /** Streams that lose their engines after the first events were sent, with one retry per two seconds or with many. */
-public class BegunStreamTest {
+public class StreamResumptionTest {
     private static final String LAST_EVENT = "id: 4\ndata: piece 4\n\n";
 
     private GatewayFixture fixture;
--- a/gateway/src/test/java/org/cornelramp/gateway/log/EventLogTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/log/EventLogTest.java
@@ -20,7 +20,7 @@
         EventLog log = new EventLog(out, Clock.systemUTC(), "g");
         for (int i = 0; i < 1_000; i++) {
             log.line("part", "failure").with("number", i).write();
-            log.ordinary("part", "success").write();
+            log.routine("part", "success").write();
         }
         log.start();
         log.stop();
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/LentRetryTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/LentRetryTest.java
@@ -82,8 +82,8 @@
                 .map(ask -> Map.of(
                         new ServiceName(StandInConfig.ENGINES), List.of(new RetryLoanUpdate.Loan("g1", ask.id(), 1))))
                 .orElse(Map.of());
-        PeerNews update = PeerNews.of(
-                new PeerNews.Sender(PEER, 1, fixture.settings.dataCentre()),
+        PeerUpdate update = PeerUpdate.of(
+                new PeerUpdate.Sender(PEER, 1, fixture.settings.dataCentre()),
                 number,
                 false,
                 Map.of(),
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/PeerRotationProperties.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/PeerRotationProperties.java
@@ -21,17 +21,17 @@
      */
     @Property(seed = "20261203", tries = 200)
     void everyPeerHasItsTurnBeforeItCountsAsDead(@ForAll @IntRange(min = 1, max = 2_000) int peers) {
-        PeerTurns turns = new PeerTurns();
+        PeerRotation turns = new PeerRotation();
         List<Integer> all = IntStream.range(0, peers).boxed().toList();
         Set<Integer> reached = new HashSet<>();
         int rounds = 0;
         while (reached.size() < peers) {
             List<Integer> selected = turns.select(all, false, false);
-            assertTrue(selected.size() <= PeerTurns.MOST_A_ROUND);
+            assertTrue(selected.size() <= PeerRotation.MAX_PEERS_PER_ROUND);
             reached.addAll(selected);
             rounds++;
         }
-        assertTrue(2L * rounds * PeerTurns.ROUND_MILLIS <= PeerTurns.silenceMillis(peers), "rounds " + rounds);
+        assertTrue(2L * rounds * PeerRotation.ROUND_MILLIS <= PeerRotation.silenceMillis(peers), "rounds " + rounds);
     }
 
     /**
@@ -41,6 +41,6 @@
     @Property(tries = 1)
     void urgentUpdateGoesToAllPeers() {
         List<Integer> all = IntStream.range(0, 100).boxed().toList();
-        assertEquals(new PeerTurns().select(all, true, false), all);
+        assertEquals(new PeerRotation().select(all, true, false), all);
     }
 }
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/PeerUpdateCodecTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/PeerUpdateCodecTest.java
@@ -22,8 +22,8 @@
     private static final BackendServerId ID = new BackendServerId("i-1");
     private static final ServiceName SERVICE = new ServiceName("llm");
     private static final HostPort ADDRESS = new HostPort("10.0.0.1", 7_000);
-    private static final PeerNews UPDATE = new PeerNews(
-            new PeerNews.Sender("g1", 7, new DataCentre("dc1")),
+    private static final PeerUpdate UPDATE = new PeerUpdate(
+            new PeerUpdate.Sender("g1", 7, new DataCentre("dc1")),
             9,
             true,
             Optional.of(Map.of(ID, new EngineLoads.Load(3, 1, 50_000, 772))),
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/PeerLinkTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/PeerUpdateServiceTest.java
@@ -21,7 +21,7 @@
 import org.testng.annotations.Test;
 
 /** Which gateways get each other's updates. */
-public class PeerLinkTest {
+public class PeerUpdateServiceTest {
     private static final DataCentre HOME = new DataCentre("dc1");
 
     private static HostPort freeAddress() throws Exception {
@@ -30,14 +30,14 @@
         }
     }
 
-    private static PeerLink link(String name, HostPort address, Queue<PeerNews> received) {
+    private static PeerUpdateService link(String name, HostPort address, Queue<PeerUpdate> received) {
         AtomicLong number = new AtomicLong();
         EventLog log = new EventLog(new ByteArrayOutputStream(), Clock.systemUTC(), name);
-        return new PeerLink(
+        return new PeerUpdateService(
                 address,
                 HOME,
-                () -> PeerNews.of(
-                        new PeerNews.Sender(name, 1, HOME),
+                () -> PeerUpdate.of(
+                        new PeerUpdate.Sender(name, 1, HOME),
                         number.incrementAndGet(),
                         false,
                         Map.of(),
@@ -61,9 +61,9 @@
     public void gatewayThatTheStoreDoesNotListGetsUpdates() throws Exception {
         HostPort listed = freeAddress();
         HostPort refused = freeAddress();
-        Queue<PeerNews> receivedByOther = new ConcurrentLinkedQueue<>();
-        PeerLink one = link("listed", listed, new ConcurrentLinkedQueue<>());
-        PeerLink other = link("refused", refused, receivedByOther);
+        Queue<PeerUpdate> receivedByOther = new ConcurrentLinkedQueue<>();
+        PeerUpdateService one = link("listed", listed, new ConcurrentLinkedQueue<>());
+        PeerUpdateService other = link("refused", refused, receivedByOther);
         one.setPeers(List.of());
         other.setPeers(List.of(listed));
         one.start();
@@ -82,19 +82,19 @@
     @Test
     public void gatewaysThatTheStoreDoesNotListAreIntroduced() throws Exception {
         HostPort listed = freeAddress();
-        Queue<PeerNews> receivedByFirst = new ConcurrentLinkedQueue<>();
-        PeerLink introducer = link("listed", listed, new ConcurrentLinkedQueue<>());
-        PeerLink first = link("first", freeAddress(), receivedByFirst);
-        PeerLink second = link("second", freeAddress(), new ConcurrentLinkedQueue<>());
+        Queue<PeerUpdate> receivedByFirst = new ConcurrentLinkedQueue<>();
+        PeerUpdateService introducer = link("listed", listed, new ConcurrentLinkedQueue<>());
+        PeerUpdateService first = link("first", freeAddress(), receivedByFirst);
+        PeerUpdateService second = link("second", freeAddress(), new ConcurrentLinkedQueue<>());
         first.setPeers(List.of(listed));
         second.setPeers(List.of(listed));
-        for (PeerLink link : List.of(introducer, first, second)) {
+        for (PeerUpdateService link : List.of(introducer, first, second)) {
             link.start();
         }
         GatewayFixture.await(
                 () -> receivedByFirst.stream().anyMatch(update -> update.name().equals("second")),
                 "the first gets an update of the second");
-        for (PeerLink link : List.of(introducer, first, second)) {
+        for (PeerUpdateService link : List.of(introducer, first, second)) {
             link.stop();
         }
     }
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/UpdateUrgencyTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/UpdateUrgencyTest.java
@@ -14,9 +14,10 @@
 public class UpdateUrgencyTest {
     private static final ServiceName SERVICE = new ServiceName("llm");
 
-    private static PeerNews update(Set<BackendServerId> suspects, Map<ServiceName, RetryLoanUpdate.LoanRequest> asks) {
-        PeerNews.Sender sender = new PeerNews.Sender("g1", 1, new DataCentre("dc1"));
-        return PeerNews.of(sender, 1, false, Map.of(), 0, Map.of(), suspects, new RetryLoanUpdate(asks, Map.of()));
+    private static PeerUpdate update(
+            Set<BackendServerId> suspects, Map<ServiceName, RetryLoanUpdate.LoanRequest> asks) {
+        PeerUpdate.Sender sender = new PeerUpdate.Sender("g1", 1, new DataCentre("dc1"));
+        return PeerUpdate.of(sender, 1, false, Map.of(), 0, Map.of(), suspects, new RetryLoanUpdate(asks, Map.of()));
     }
 
     /**
--- a/gateway/src/test/java/org/cornelramp/gateway/request/AttemptTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/request/AttemptTest.java
@@ -51,7 +51,7 @@
         List<WeightedService> split = List.of(new WeightedService(SERVICE, 1));
         Route route =
                 new Route("chat", "host", "/chat/", RouteKind.STREAMING, 9_000, 500, 200, 1, 2, false, true, split);
-        Exchange.Call call = new Exchange.Call(
+        Exchange.ClientRequest call = new Exchange.ClientRequest(
                 CallHead.decode(fields), "POST", "/chat/a", fields, new byte[0], route, Optional.empty(), 1, 0, 9_000);
         return new Exchange(call, clientResponse(), Callback.NOOP, () -> false, null);
     }
@@ -111,7 +111,7 @@
         assertEquals(ends.size(), 1);
         assertNotEquals(ends.get(0).kind(), AttemptEnd.Kind.CLIENT_GONE);
         assertEquals(written, List.of("id: 0\ndata: x\n\n"));
-        assertEquals(exchange.lastEvent(), Optional.of(0L), "another attempt resumes after it");
+        assertEquals(exchange.lastEventId(), Optional.of(0L), "another attempt resumes after it");
         assertFalse(exchange.isEnded());
     }
 
@@ -131,7 +131,7 @@
         attempt.onContent(response, source(event));
         assertEquals(ends.size(), 1, "the end is reported");
         assertEquals(written, List.of());
-        assertEquals(exchange.lastEvent(), Optional.empty());
+        assertEquals(exchange.lastEventId(), Optional.empty());
     }
 
     private Attempt attempt(Exchange exchange) {
