--- a/daemon/src/main/java/org/cornelramp/daemon/agent/AgentPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/AgentPlugin.java
@@ -40,22 +40,22 @@
     @Override
     public void register(Registry registry) {
         DaemonSettings settings = registry.settings();
-        Incarnation life = new Incarnation(new BackendServerId(settings.name()), new SecureRandom().nextLong());
-        registry.share(Incarnation.class, life);
+        Incarnation incarnation = new Incarnation(new BackendServerId(settings.name()), new SecureRandom().nextLong());
+        registry.share(Incarnation.class, incarnation);
         boolean isEngine = settings.backend().orElseThrow().kind() == BackendKind.ENGINE;
         AgentComponent agent = new AgentComponent(new AgentServices(
                 settings,
                 registry.clock(),
-                life,
-                isEngine ? registry.need(EngineClient.class) : new AbsentEngine(),
-                isEngine ? new AbsentService() : registry.need(ServiceClient.class),
+                incarnation,
+                isEngine ? registry.need(EngineClient.class) : new RefusingEngineClient(),
+                isEngine ? new RefusingServiceClient() : registry.need(ServiceClient.class),
                 registry.need(TableSource.class),
                 registry.need(LogClient.class),
                 registry.need(StopSwitch.class),
                 IdempotencyKey::madeAt));
         registry.add(agent);
         registry.need(StatusBoard.class).add("agent", agent::status);
-        registry.need(Readiness.class).add("agent", agent::fault);
+        registry.need(Readiness.class).add("agent", agent::notReadyReason);
         AgentMeters.register(registry.meters(), agent);
         new LinkMeters(agent.linkCounters()).bindTo(registry.meters());
     }
