--- a/wire/src/main/java/org/cornelramp/wire/link/LinkCounters.java
+++ b/wire/src/main/java/org/cornelramp/wire/link/LinkCounters.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts of what happened on all links of a process, since its start. Safe for use by any thread. */
+/** Counters of all links of a process, since its start. Safe for use by any thread. */
 public final class LinkCounters {
     final LongAdder opened = new LongAdder();
     final LongAdder silent = new LongAdder();
@@ -14,27 +14,27 @@
     final LongAdder bytesIn = new LongAdder();
     final LongAdder bytesOut = new LongAdder();
 
-    /** Links whose peer said who it is. */
+    /** Links whose peer has sent its hello. */
     public long opened() {
         return opened.sum();
     }
 
-    /** Links closed because the peer was silent or took nothing. */
+    /** Links closed because the peer sent nothing or read nothing. */
     public long silent() {
         return silent.sum();
     }
 
-    /** Links closed because what came was no frame of this version. */
+    /** Links closed because of invalid frames, or a first message that is not a hello. */
     public long garbage() {
         return garbage.sum();
     }
 
-    /** Messages skipped because this version does not know them. */
+    /** Messages skipped because this version does not know their type. */
     public long skipped() {
         return skipped.sum();
     }
 
-    /** Messages refused because a link was full or closed, or the message too large. */
+    /** Messages not sent because the link was closed, its buffer full, or the message too large. */
     public long refusedSends() {
         return refusedSends.sum();
     }
--- a/wire/src/test/java/org/cornelramp/wire/link/ReboundPortTest.java
+++ b/wire/src/test/java/org/cornelramp/wire/link/ReboundPortTest.java
@@ -7,8 +7,8 @@
 import org.testng.annotations.Test;
 
 /**
- * A process stops its links and another starts at the same address. The first left its listening socket open, so that
- * the second could not bind the port; now it binds, and peers find it there.
+ * Guards against a listening socket that stays open after the links are closed: another process that starts at the same
+ * address could not bind the port.
  */
 public class ReboundPortTest {
 
