--- a/daemon/src/main/java/org/cornelramp/daemon/http/RefusedBodyDrain.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/http/RefusedBodyDrain.java
@@ -8,70 +8,70 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Reads the rest of a body that is refused and drops it, before the refusal is written.
+ * Reads and discards the rest of a refused request's body before the refusal is written.
  *
- * <p>A server that answers and closes with bytes unread resets the connection, and a caller that is still sending loses the
- * answer with it: of 60 bodies of twice the bound, sent to a busy process, 5 callers saw a closed connection instead of
- * the refusal, and could not know that nothing ran. Reading on is bounded in bytes and time, so it costs no more than a
- * body that is taken.
+ * <p>A server that answers and closes with bytes unread resets the connection, and a caller that is still sending loses
+ * the answer: of 60 bodies of twice the limit, sent to a busy process, 5 callers saw a closed connection instead of the
+ * refusal, and could not know that nothing ran. The reading is bounded in bytes and time, so it costs no more than an
+ * accepted body.
  *
- * <p>Called by the server, one call at a time, and by its scheduler. Invariant: what follows is called once.
+ * <p>Called by the server, one call at a time, and by its scheduler. Invariant: the callback is called exactly once.
  */
-public final class RefusedBody implements Runnable {
-    /** Most bytes that are dropped: sixteen times the usual bound on bodies. */
-    private static final long MOST_BYTES = 16L << 20;
+public final class RefusedBodyDrain implements Runnable {
+    /** Most bytes that are discarded: sixteen times the usual limit on bodies. */
+    private static final long MAX_BYTES = 16L << 20;
 
-    /** Longest time that is read on; a caller that is slower than that does not send in one go. */
-    private static final long LONGEST_MILLIS = 2_000;
+    /** Longest time to go on reading; a caller that needs longer does not send its body in one go. */
+    private static final long TIMEOUT_MILLIS = 2_000;
 
     private final Request request;
-    private final Runnable then;
-    private final AtomicBoolean ended = new AtomicBoolean();
+    private final Runnable onComplete;
+    private final AtomicBoolean completed = new AtomicBoolean();
     private Scheduler.Task timeout = () -> true;
-    private long dropped;
+    private long discardedBytes;
 
-    private RefusedBody(Request request, Runnable then) {
+    private RefusedBodyDrain(Request request, Runnable onComplete) {
         this.request = request;
-        this.then = then;
+        this.onComplete = onComplete;
     }
 
     /**
-     * Drops what is left of a request's body. A caller that waits for a word before it sends its body gets the refusal at
-     * once, as it has sent nothing.
+     * Discards the rest of a request's body. A request with an {@code Expect} header is refused at once, because its
+     * caller waits for an answer before it sends the body.
      *
-     * @param then called once, when the body has ended or no more of it is read
+     * @param onComplete called once, when the body has ended or a limit is reached
      */
-    public static void drop(Request request, Runnable then) {
+    public static void discard(Request request, Runnable onComplete) {
         if (request.getHeaders().contains(HttpHeader.EXPECT)) {
-            then.run();
+            onComplete.run();
             return;
         }
-        RefusedBody body = new RefusedBody(request, then);
+        RefusedBodyDrain body = new RefusedBodyDrain(request, onComplete);
         body.timeout =
-                request.getComponents().getScheduler().schedule(body::end, LONGEST_MILLIS, TimeUnit.MILLISECONDS);
+                request.getComponents().getScheduler().schedule(body::complete, TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         body.run();
     }
 
     @Override
     public void run() {
-        while (!ended.get()) {
+        while (!completed.get()) {
             Content.Chunk chunk = request.read();
             if (chunk == null) {
                 request.demand(this);
                 return;
             }
-            dropped += chunk.remaining();
+            discardedBytes += chunk.remaining();
             chunk.release();
-            if (chunk.isLast() || Content.Chunk.isFailure(chunk) || dropped > MOST_BYTES) {
-                end();
+            if (chunk.isLast() || Content.Chunk.isFailure(chunk) || discardedBytes > MAX_BYTES) {
+                complete();
             }
         }
     }
 
-    private void end() {
-        if (ended.compareAndSet(false, true)) {
+    private void complete() {
+        if (completed.compareAndSet(false, true)) {
             timeout.cancel();
-            then.run();
+            onComplete.run();
         }
     }
 }
