--- a/daemon/src/main/java/org/cornelramp/daemon/operator/AgentBoard.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/AgentBoard.java
@@ -5,31 +5,31 @@
 import java.util.function.Supplier;
 
 /**
- * What the operators' interface needs of the agents that this entry holds links to. The part that keeps the links
- * connects it while it registers; until then there are none. Safe for use by any thread.
+ * Gives the operators' interface access to the agents that are linked to this entry. The plug-in that owns the links
+ * calls {@link #connect} while it registers; until then no agent is known. Safe for use by any thread.
  */
 public final class AgentBoard {
     private volatile Supplier<Map<String, Long>> offsets = Map::of;
     private volatile BiPredicate<String, String> drain = (agent, by) -> false;
 
     /**
-     * Connects the agents.
+     * Sets the source of table offsets and the function that sends drains.
      *
-     * @param tableOffsets gives the table offset that each linked agent last told, by agent name; must not block
-     * @param drainAgent sends a {@link org.cornelramp.wire.message.Drain} to the named agent in the name
-     *     of an operator; false if none of that name is linked
+     * @param tableOffsets returns the table offset that each linked agent last reported, by agent name; must not block
+     * @param drainAgent sends a {@link org.cornelramp.wire.message.Drain} to the named agent on behalf of the named
+     *     operator; returns false if no agent of that name is linked
      */
     public void connect(Supplier<Map<String, Long>> tableOffsets, BiPredicate<String, String> drainAgent) {
         this.offsets = tableOffsets;
         this.drain = drainAgent;
     }
 
-    /** The table offset that each linked agent last told. */
+    /** Returns the table offset that each linked agent last reported, by agent name. */
     Map<String, Long> tableOffsets() {
         return offsets.get();
     }
 
-    /** Passes a drain on to an agent; false if none of that name is linked. */
+    /** Sends a drain to an agent; returns false if no agent of that name is linked. */
     boolean drain(String agent, String by) {
         return drain.test(agent, by);
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/report/LinkMeters.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/report/LinkMeters.java
@@ -6,7 +6,7 @@
 import java.util.function.ToDoubleFunction;
 import org.cornelramp.wire.link.LinkCounters;
 
-/** Meters of what passes the links of this process. Immutable, safe for use by any thread. */
+/** Meters of the traffic and faults on the links of this process. Immutable, safe for use by any thread. */
 public final class LinkMeters implements MeterBinder {
     private final LinkCounters counters;
 
--- a/daemon/src/main/java/org/cornelramp/daemon/table/TablePlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/table/TablePlugin.java
@@ -10,7 +10,7 @@
 import org.cornelramp.daemon.report.StatusBoard;
 import org.cornelramp.ports.LogClient;
 
-/** Shares the table in force: an entry follows it on the log, an agent takes what entries relay. Stateless. */
+/** Shares the table in force: an entry reads it from the log, an agent receives it from entries. Stateless. */
 public final class TablePlugin implements Plugin {
 
     @Override
@@ -34,10 +34,10 @@
         TableMeters meters = new TableMeters(registry.meters(), keeper);
         registry.share(TableSource.class, keeper);
         registry.share(TableKeeper.class, keeper);
-        Supplier<String> trouble = registry.settings().role() == Role.ENTRY
+        Supplier<String> logFault = registry.settings().role() == Role.ENTRY
                 ? follow(registry, keeper, meters)
                 : () -> "no entry has sent one yet";
-        registry.need(Readiness.class).add("table", () -> keeper.isReady() ? Optional.empty() : fault(trouble.get()));
+        registry.need(Readiness.class).add("table", () -> keeper.isReady() ? Optional.empty() : fault(logFault.get()));
     }
 
     private static Supplier<String> follow(Registry registry, TableKeeper keeper, TableMeters meters) {
@@ -50,10 +50,10 @@
                 Duration.ofMillis(registry.settings().timing().snapshotMillis()));
         registry.need(StatusBoard.class).add("log", follower::status);
         registry.add(follower);
-        return follower::trouble;
+        return follower::logFault;
     }
 
-    private static Optional<String> fault(String trouble) {
-        return Optional.of("No table is known yet, neither from the log nor from a peer; why=" + trouble);
+    private static Optional<String> fault(String logFault) {
+        return Optional.of("No table has been received yet, neither from the log nor from a peer; why=" + logFault);
     }
 }
