--- a/cli/src/main/java/org/cornelramp/cli/command/TableSet.java
+++ b/cli/src/main/java/org/cornelramp/cli/command/TableSet.java
@@ -114,7 +114,7 @@
     private static RowValues readAndValidate(ObjectNode node) throws CliException {
         try {
             RowValues values = TableRecords.readValues(node);
-            List<ColumnFault> faults = RowChecks.check(values);
+            List<ColumnFault> faults = RowChecks.validate(values);
             if (!faults.isEmpty()) {
                 throw new CliException(
                         ExitCode.USAGE,
--- a/core/src/main/java/org/cornelramp/core/operate/EditResultResolver.java
+++ b/core/src/main/java/org/cornelramp/core/operate/EditResultResolver.java
@@ -25,7 +25,7 @@
      */
     public static EditResult resolve(FoldedTable table, TableEdit edit, List<LoggedRecord> since) {
         RowHistory history = RowHistory.of(table, edit.key(), since);
-        Optional<RowHistory.Entry> found = history.find(edit.id());
+        Optional<RowHistory.LoggedEdit> found = history.find(edit.id());
         if (found.isEmpty()) {
             return unknown(table, edit, Optional.empty());
         }
@@ -64,11 +64,11 @@
     }
 
     private static String conflictDetail(FoldedTable table, TableEdit edit, RowHistory history) {
-        String winner = history.winnerAgainst(edit.against())
+        String winner = history.acceptedEditWithBase(edit.baseVersion())
                 .map(entry -> "the edit at offset " + entry.offset() + " by "
-                        + entry.edit().by() + " came first")
+                        + entry.edit().author() + " came first")
                 .orElse("the row is at version " + table.version(edit.key()));
-        return "The edit was made against version " + edit.against() + ", and " + winner
+        return "The edit was made against version " + edit.baseVersion() + ", and " + winner
                 + "; read the row again and edit that.";
     }
 }
--- a/core/src/main/java/org/cornelramp/core/path/PathFinder.java
+++ b/core/src/main/java/org/cornelramp/core/path/PathFinder.java
@@ -161,12 +161,12 @@
 
     /** Cost of a hop to another data centre under the present load of the link; infinite when the link is full. */
     private static double crossDataCentreMillis(EngineSpec spec, EngineLoads loads) {
-        if (spec.crossMbps() <= 0) {
+        if (spec.interDataCentreMbps() <= 0) {
             return CROSS_DATA_CENTRE_MILLIS;
         }
-        double tokensPerSecond = spec.usualTokens() / USUAL_STREAM_SECONDS;
+        double tokensPerSecond = spec.meanRequestTokens() / USUAL_STREAM_SECONDS;
         double megabits = spec.activationBytes() * Byte.SIZE * tokensPerSecond / BITS_PER_MEGABIT;
-        double share = (loads.crossings() + 1) * megabits / (spec.crossMbps() * MAX_LINK_SHARE);
+        double share = (loads.crossings() + 1) * megabits / (spec.interDataCentreMbps() * MAX_LINK_SHARE);
         return share >= 1 ? Double.POSITIVE_INFINITY : CROSS_DATA_CENTRE_MILLIS / (1 - share);
     }
 
@@ -218,7 +218,7 @@
             hops.addFirst(new Hop(step.server(), step.from(), step.to()));
             CardKind card = spec.card(step.server().card()).orElseThrow();
             double share = (step.to() - step.from()) / (double) spec.layers();
-            readMillis += demand.promptTokens() / spec.readPerMilli() * card.readFactor() * share;
+            readMillis += demand.promptTokens() / spec.prefillTokensPerMilli() * card.prefillFactor() * share;
         }
         return new StagePath(List.copyOf(hops), last.cost() - DEATH_RISK_MILLIS * hops.size(), readMillis);
     }
@@ -238,7 +238,7 @@
             this.server = server;
             this.endLayer = layers.to();
             this.hasSlot = load.asFirstEngine() < server.slots();
-            this.freeTokenLayers = MAX_MEMORY_SHARE * freeMb / spec.tokenLayerMb() - load.tokenLayers();
+            this.freeTokenLayers = MAX_MEMORY_SHARE * freeMb / spec.tokenMbPerLayer() - load.tokenLayers();
             this.layerMillis = layerMillis(load, card, spec) * loads.slowdown(server.id());
             this.failureMillis = CONSTANT_FAILURE_MILLIS * loads.failureShare(server.id());
         }
@@ -248,8 +248,8 @@
          * so one step runs only a part of them; the conservative estimate of one half keeps copies evenly loaded.
          */
         private static double layerMillis(EngineLoads.Load load, CardKind card, EngineSpec spec) {
-            double step = spec.stepMillis() + (load.requests() + 1) / 2.0 * spec.usualRequestMillis();
-            double reading = load.pendingPromptTokens() / spec.readPerMilli() * card.readFactor();
+            double step = spec.stepMillis() + (load.requests() + 1) / 2.0 * spec.meanRequestStepMillis();
+            double reading = load.pendingPromptTokens() / spec.prefillTokensPerMilli() * card.prefillFactor();
             return (QUEUEING_FACTOR * step * card.stepFactor() + PENDING_PROMPT_PART * reading) / spec.layers();
         }
 
--- a/core/src/main/java/org/cornelramp/core/placement/Planner.java
+++ b/core/src/main/java/org/cornelramp/core/placement/Planner.java
@@ -342,7 +342,7 @@
 
         /** Layers that fit on the engine's card beside the memory of that many requests of the usual size. */
         private int layerCapacity(BackendServer engine, int requests) {
-            double requestsMb = requests * spec.usualTokens() * spec.tokenLayerMb();
+            double requestsMb = requests * spec.meanRequestTokens() * spec.tokenMbPerLayer();
             return (int) Math.min(spec.layers(), card(engine).memoryMb() / (spec.layerMb() + requestsMb));
         }
 
--- a/core/src/main/java/org/cornelramp/core/route/ChoicePolicy.java
+++ b/core/src/main/java/org/cornelramp/core/route/ChoicePolicy.java
@@ -4,51 +4,51 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 import java.util.Locale;
 
-/** The ways to choose backend servers. Each makes its own chooser, one for each entry. */
+/** The policies for the choice of backend servers. Each creates its own kind of chooser, one for each entry. */
 public enum ChoicePolicy {
-    /** The better of a few chains by expected time to the whole answer. */
+    /** The chain with the shortest expected time to the complete answer among a few that are sampled. */
     EXPECTED_COMPLETION {
         @Override
-        public Chooser chooser(PrefixHints hints) {
+        public Chooser newChooser(PrefixHints hints) {
             return new ExpectedCompletionChooser(hints);
         }
     },
-    /** A uniform draw; a baseline. */
+    /** A uniformly random choice; a baseline. */
     RANDOM {
         @Override
-        public Chooser chooser(PrefixHints hints) {
+        public Chooser newChooser(PrefixHints hints) {
             return new RandomChooser();
         }
     },
-    /** Each in turn; a baseline. */
+    /** Round robin; a baseline. */
     ROUND_ROBIN {
         @Override
-        public Chooser chooser(PrefixHints hints) {
+        public Chooser newChooser(PrefixHints hints) {
             return new RoundRobinChooser();
         }
     },
-    /** The one with the fewest requests of this entry; a baseline. */
+    /** The one with the fewest requests of this entry in progress; a baseline. */
     LEAST_OUTSTANDING {
         @Override
-        public Chooser chooser(PrefixHints hints) {
+        public Chooser newChooser(PrefixHints hints) {
             return new LeastOutstandingChooser();
         }
     };
 
     /**
-     * Makes a chooser of this policy.
+     * Creates a chooser with this policy.
      *
      * @param hints where prompt prefixes are likely cached; the baselines ignore them
      */
-    public abstract Chooser chooser(PrefixHints hints);
+    public abstract Chooser newChooser(PrefixHints hints);
 
-    /** The form that settings carry, such as {@code expected-completion}. */
+    /** The name in settings, such as {@code expected-completion}. */
     @JsonValue
     public String text() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** Reads the form that {@link #text} gives. */
+    /** Parses the name that {@link #text} returns. */
     @JsonCreator
     public static ChoicePolicy parse(String text) {
         return valueOf(text.toUpperCase(Locale.ROOT).replace('-', '_'));
--- a/core/src/main/java/org/cornelramp/core/route/Chooser.java
+++ b/core/src/main/java/org/cornelramp/core/route/Chooser.java
@@ -7,22 +7,22 @@
 import org.cornelramp.core.model.DataCentre;
 import org.cornelramp.core.model.Problem;
 
-/** Chooses backend servers for a request. Implementations are pure: all they use comes as arguments. */
+/** Chooses backend servers for a request. Implementations do no I/O: time and randomness come as arguments. */
 public interface Chooser {
 
     /**
-     * Chooses among the candidates, or says why none will do.
+     * Chooses among the candidates, or returns the problem that rules out all of them.
      *
-     * @param candidates live agents that take new work, of all services
-     * @param work the request
+     * @param candidates live agents of all services that accept new work
+     * @param request the request
      * @param here data centre of the entry
      * @param links expected one-way times between data centres
-     * @param now the present time
-     * @param random source of the random draws
+     * @param now the current time
+     * @param random source of randomness
      */
     Either<Problem, Choice> choose(
             List<Candidate> candidates,
-            Work work,
+            RoutingRequest request,
             DataCentre here,
             LinkCosts links,
             Instant now,
--- a/core/src/main/java/org/cornelramp/core/route/ExpectedCompletionChooser.java
+++ b/core/src/main/java/org/cornelramp/core/route/ExpectedCompletionChooser.java
@@ -10,17 +10,17 @@
 import org.cornelramp.core.model.ProblemKind;
 
 /**
- * Chooses the chain with the shortest expected time among a few drawn at random.
+ * Chooses the chain with the shortest expected time among a few sampled at random.
  *
- * <p>Several entries hold the same late news. If each took the best of all candidates, all would send to the same
- * one until the next heartbeat, and its queue would be the slowest. A few draws for each request keep them apart
- * and find a chain almost as good. Immutable, safe for use by any thread.
+ * <p>All entries see the same delayed load reports. If each chose the best of all candidates, all would send to the
+ * same one until the next heartbeat and overload it. Sampling a few candidates for each request spreads the load and
+ * finds a chain almost as good. Immutable, safe for use by any thread.
  */
 public final class ExpectedCompletionChooser implements Chooser {
-    private static final int DRAWS_PER_STAGE = 6;
-    private static final int CHAINS = 4;
-    private static final Duration LEAST_SPREAD = Duration.ofMillis(250);
-    private static final Duration MOST_RETRY = Duration.ofSeconds(60);
+    private static final int SAMPLES_PER_STAGE = 6;
+    private static final int CHAINS_COMPARED = 4;
+    private static final Duration MIN_RETRY_SPREAD = Duration.ofMillis(250);
+    private static final Duration MAX_BASE_RETRY = Duration.ofSeconds(60);
 
     private final PrefixHints hints;
 
@@ -28,38 +28,39 @@
         this.hints = hints;
     }
 
-    /** This chooser with other hints. */
-    public ExpectedCompletionChooser withHints(PrefixHints newer) {
-        return new ExpectedCompletionChooser(newer);
+    /** Returns a chooser that uses other hints. */
+    public ExpectedCompletionChooser withHints(PrefixHints newHints) {
+        return new ExpectedCompletionChooser(newHints);
     }
 
     @Override
     public Either<Problem, Choice> choose(
             List<Candidate> candidates,
-            Work work,
+            RoutingRequest request,
             DataCentre here,
             LinkCosts links,
             Instant now,
             RandomGenerator random) {
-        Estimator estimator = new Estimator(candidates, work, here, links, hints, now);
-        return Chains.of(candidates, work, now, random).flatMap(chains -> {
-            List<Candidate> best = best(chains, estimator, here, random);
-            double budget = Estimator.seconds(Duration.between(now, work.deadline()));
-            return check(best, estimator, budget, random);
+        CompletionTimeEstimator estimator = new CompletionTimeEstimator(candidates, request, here, links, hints, now);
+        return ChainIndex.of(candidates, request, now, random).flatMap(chains -> {
+            List<Candidate> best = selectBestChain(chains, estimator, here, random);
+            double budgetSeconds = CompletionTimeEstimator.toSeconds(Duration.between(now, request.deadline()));
+            return checkDeadline(best, estimator, budgetSeconds, random);
         });
     }
 
-    private static List<Candidate> best(Chains chains, Estimator estimator, DataCentre here, RandomGenerator random) {
-        Chains.Picker picker = (before, next) -> {
+    private static List<Candidate> selectBestChain(
+            ChainIndex chains, CompletionTimeEstimator estimator, DataCentre here, RandomGenerator random) {
+        ChainIndex.StageSelector selector = (before, next) -> {
             DataCentre from =
                     before.isEmpty() ? here : before.get(before.size() - 1).dataCentre();
-            return cheapestDraw(next, from, estimator, random);
+            return cheapestOfSample(next, from, estimator, random);
         };
-        List<Candidate> best = chains.walk(picker);
-        double bestTime = estimator.expected(best);
-        for (int i = 1; best.size() > 1 && i < CHAINS; i++) {
-            List<Candidate> other = chains.walk(picker);
-            double time = estimator.expected(other);
+        List<Candidate> best = chains.buildChain(selector);
+        double bestTime = estimator.expectedSeconds(best);
+        for (int i = 1; best.size() > 1 && i < CHAINS_COMPARED; i++) {
+            List<Candidate> other = chains.buildChain(selector);
+            double time = estimator.expectedSeconds(other);
             if (time < bestTime) {
                 best = other;
                 bestTime = time;
@@ -68,11 +69,11 @@
         return best;
     }
 
-    private static Candidate cheapestDraw(
-            List<Candidate> next, DataCentre from, Estimator estimator, RandomGenerator random) {
+    private static Candidate cheapestOfSample(
+            List<Candidate> next, DataCentre from, CompletionTimeEstimator estimator, RandomGenerator random) {
         Candidate best = null;
         double bestCost = Double.MAX_VALUE;
-        for (int i = 0; i < DRAWS_PER_STAGE; i++) {
+        for (int i = 0; i < SAMPLES_PER_STAGE; i++) {
             Candidate c = next.get(random.nextInt(next.size()));
             double cost = estimator.stageCost(c, from);
             if (best == null || cost < bestCost) {
@@ -83,31 +84,32 @@
         return best;
     }
 
-    private static Either<Problem, Choice> check(
-            List<Candidate> chain, Estimator estimator, double budget, RandomGenerator random) {
-        double expected = estimator.expected(chain);
-        if (expected <= budget) {
-            return Either.right(new Choice(List.copyOf(chain), Estimator.duration(expected)));
+    private static Either<Problem, Choice> checkDeadline(
+            List<Candidate> chain, CompletionTimeEstimator estimator, double budgetSeconds, RandomGenerator random) {
+        double expected = estimator.expectedSeconds(chain);
+        if (expected <= budgetSeconds) {
+            return Either.right(new Choice(List.copyOf(chain), CompletionTimeEstimator.toDuration(expected)));
         }
-        Duration time = Estimator.duration(expected);
-        if (estimator.unloaded(chain) > budget) {
+        Duration time = CompletionTimeEstimator.toDuration(expected);
+        if (estimator.unloadedSeconds(chain) > budgetSeconds) {
             return Either.left(Problem.notRun(
                     ProblemKind.DEADLINE_UNREACHABLE,
-                    "The whole answer takes about " + time.toMillis() + " ms even without waiting"));
+                    "The complete answer takes about " + time.toMillis() + " ms even without waiting"));
         }
         return Either.left(Problem.notRun(
                         ProblemKind.OVERLOADED,
-                        "The whole answer would take about " + time.toMillis() + " ms behind the work that waits")
-                .withRetryAfter(retryAfter(expected - budget, random)));
+                        "The complete answer would take about " + time.toMillis() + " ms behind the queued work")
+                .withRetryAfter(retryAfter(expected - budgetSeconds, random)));
     }
 
     /**
-     * The queue has drained far enough after {@code excess}. Callers told the same time come back together and
-     * overload it again, so each is given a time drawn from as long a span after it.
+     * A random delay of at least {@code excess} seconds, capped at {@link #MAX_BASE_RETRY}, after which the queue has
+     * drained far enough. Callers with the same delay would return together and overload the queue again, so the delays
+     * are spread over an equally long interval after it, of at least {@link #MIN_RETRY_SPREAD}.
      */
     private static Duration retryAfter(double excess, RandomGenerator random) {
-        double wait = Math.min(excess, Estimator.seconds(MOST_RETRY));
-        double spread = Math.max(wait, Estimator.seconds(LEAST_SPREAD));
-        return Estimator.duration(wait + spread * random.nextDouble());
+        double wait = Math.min(excess, CompletionTimeEstimator.toSeconds(MAX_BASE_RETRY));
+        double spread = Math.max(wait, CompletionTimeEstimator.toSeconds(MIN_RETRY_SPREAD));
+        return CompletionTimeEstimator.toDuration(wait + spread * random.nextDouble());
     }
 }
--- a/core/src/main/java/org/cornelramp/core/route/PrefixHints.java
+++ b/core/src/main/java/org/cornelramp/core/route/PrefixHints.java
@@ -7,15 +7,15 @@
 import org.cornelramp.core.model.Incarnation;
 
 /**
- * Where the prefix of a prompt is likely to be cached, from events that come late and with gaps, and from
- * what the entry itself sent.
+ * Agents whose engines are likely to have the prefix of a prompt cached, according to cache events, which are delayed
+ * and may be lost, and to what the entry itself sent.
  *
- * <p>A hint only lowers an estimate. A wrong one costs some speed and never the correctness of an answer, which
- * is why lost events need no repair: a hint fades with its age, and a lost eviction is forgotten with it.
- * Immutable, safe for use by any thread; holds at most {@value #MAX_HINTS} hints and drops the oldest.
+ * <p>A hint only lowers an estimate. A wrong one costs some speed but never affects the correctness of an answer.
+ * Lost events therefore need no repair: the weight of a hint decays with its age, which also bounds the effect of a
+ * lost eviction. Immutable, safe for use by any thread; holds at most {@value #MAX_HINTS} hints and drops the oldest.
  */
 public final class PrefixHints {
-    /** Most hints held. */
+    /** Maximum number of hints. */
     public static final int MAX_HINTS = 4_096;
 
     /** No hints: every prompt counts in full. */
@@ -23,63 +23,63 @@
 
     private static final Duration HALF_LIFE = Duration.ofSeconds(30);
 
-    /** Part of the prompt that a fresh hint takes off: the cache may have dropped it, or hold only a part. */
-    private static final double FRESH_TRUST = 0.8;
+    /** Fraction of the prompt that a new hint counts as cached: the cache may have evicted it or hold only a part. */
+    private static final double FRESH_CACHED_SHARE = 0.8;
 
-    private final HashMap<Place, Instant> heard;
-    private final Queue<Place> order;
-    private final int queued;
+    private final HashMap<CachedPrefix, Instant> lastSeen;
+    private final Queue<CachedPrefix> insertionOrder;
+    private final int queueLength;
 
-    private PrefixHints(HashMap<Place, Instant> heard, Queue<Place> order, int queued) {
-        this.heard = heard;
-        this.order = order;
-        this.queued = queued;
+    private PrefixHints(HashMap<CachedPrefix, Instant> lastSeen, Queue<CachedPrefix> insertionOrder, int queueLength) {
+        this.lastSeen = lastSeen;
+        this.insertionOrder = insertionOrder;
+        this.queueLength = queueLength;
     }
 
-    /** These hints and one more: the agent's engine took the prefix into its cache at {@code now}. */
-    public PrefixHints withHeld(String prefix, Incarnation agent, Instant now) {
-        Place place = new Place(prefix, agent);
-        if (heard.containsKey(place)) {
-            return new PrefixHints(heard.put(place, now), order, queued);
+    /** Returns these hints with one added: the agent's engine cached the prefix at {@code now}. */
+    public PrefixHints withCached(String prefix, Incarnation agent, Instant now) {
+        CachedPrefix key = new CachedPrefix(prefix, agent);
+        if (lastSeen.containsKey(key)) {
+            return new PrefixHints(lastSeen.put(key, now), insertionOrder, queueLength);
         }
-        return new PrefixHints(heard.put(place, now), order.enqueue(place), queued + 1).trimmed();
+        return new PrefixHints(lastSeen.put(key, now), insertionOrder.enqueue(key), queueLength + 1).withinLimit();
     }
 
-    /** These hints without one: the agent's engine dropped the prefix from its cache. */
-    public PrefixHints withoutHeld(String prefix, Incarnation agent) {
-        return new PrefixHints(heard.remove(new Place(prefix, agent)), order, queued);
+    /** Returns these hints with one removed: the agent's engine evicted the prefix from its cache. */
+    public PrefixHints withoutCached(String prefix, Incarnation agent) {
+        return new PrefixHints(lastSeen.remove(new CachedPrefix(prefix, agent)), insertionOrder, queueLength);
     }
 
     /**
-     * Part of the prompt that the agent's cache is expected to spare, from 0 to below 1.
+     * Fraction of the prompt that the agent's cache is expected to hold, from 0 to below 1.
      *
      * @param prefix hash of the prompt's prefix; empty if there is none
      */
-    public double spared(String prefix, Incarnation agent, Instant now) {
-        if (prefix.isEmpty() || heard.isEmpty()) {
+    public double expectedCachedShare(String prefix, Incarnation agent, Instant now) {
+        if (prefix.isEmpty() || lastSeen.isEmpty()) {
             return 0;
         }
-        return heard.get(new Place(prefix, agent))
-                .map(at -> FRESH_TRUST * Math.pow(0.5, halfLives(at, now)))
+        return lastSeen.get(new CachedPrefix(prefix, agent))
+                .map(at -> FRESH_CACHED_SHARE * Math.pow(0.5, halfLives(at, now)))
                 .getOrElse(0.0);
     }
 
-    /** Hints held now. */
+    /** Number of hints. */
     public int size() {
-        return heard.size();
+        return lastSeen.size();
     }
 
     private static double halfLives(Instant at, Instant now) {
         return Math.max(0, Duration.between(at, now).toMillis()) / (double) HALF_LIFE.toMillis();
     }
 
-    /** A place whose hint was withdrawn stays in the queue until its turn, so the queue bounds both. */
-    private PrefixHints trimmed() {
-        if (queued <= MAX_HINTS) {
+    /** Evicts the oldest entry above the limit. A withdrawn hint stays in the queue, so the queue bounds both. */
+    private PrefixHints withinLimit() {
+        if (queueLength <= MAX_HINTS) {
             return this;
         }
-        return new PrefixHints(heard.remove(order.head()), order.tail(), queued - 1);
+        return new PrefixHints(lastSeen.remove(insertionOrder.head()), insertionOrder.tail(), queueLength - 1);
     }
 
-    private record Place(String prefix, Incarnation agent) {}
+    private record CachedPrefix(String prefix, Incarnation agent) {}
 }
--- a/core/src/main/java/org/cornelramp/core/route/RandomChooser.java
+++ b/core/src/main/java/org/cornelramp/core/route/RandomChooser.java
@@ -7,18 +7,18 @@
 import org.cornelramp.core.model.DataCentre;
 import org.cornelramp.core.model.Problem;
 
-/** Draws each stage uniformly; a baseline for measurements. Immutable, safe for use by any thread. */
+/** Chooses each stage uniformly at random; a baseline for measurements. Immutable, safe for use by any thread. */
 public final class RandomChooser implements Chooser {
 
     @Override
     public Either<Problem, Choice> choose(
             List<Candidate> candidates,
-            Work work,
+            RoutingRequest request,
             DataCentre here,
             LinkCosts links,
             Instant now,
             RandomGenerator random) {
-        Chains.Picker picker = (before, next) -> next.get(random.nextInt(next.size()));
-        return Unmeasured.choose(picker, candidates, work, here, links, now, random);
+        ChainIndex.StageSelector selector = (before, next) -> next.get(random.nextInt(next.size()));
+        return BaselineChoice.choose(selector, candidates, request, here, links, now, random);
     }
 }
--- a/core/src/main/java/org/cornelramp/core/route/RoundRobinChooser.java
+++ b/core/src/main/java/org/cornelramp/core/route/RoundRobinChooser.java
@@ -11,29 +11,29 @@
 import org.cornelramp.core.model.Problem;
 
 /**
- * Takes the candidates of each stage in turn, in the order of their names; a baseline for measurements.
- * Its only state is the number of the turn; safe for use by any thread.
+ * Chooses the candidates of each stage in turn, ordered by server name; a baseline for measurements. Its only state is
+ * an atomic request counter; safe for use by any thread.
  */
 public final class RoundRobinChooser implements Chooser {
-    private static final Comparator<Candidate> BY_NAME =
+    private static final Comparator<Candidate> BY_SERVER_NAME =
             Comparator.comparing(c -> c.incarnation().server());
 
-    private final AtomicInteger turns = new AtomicInteger();
+    private final AtomicInteger nextTurn = new AtomicInteger();
 
     @Override
     public Either<Problem, Choice> choose(
             List<Candidate> candidates,
-            Work work,
+            RoutingRequest request,
             DataCentre here,
             LinkCosts links,
             Instant now,
             RandomGenerator random) {
-        int turn = turns.getAndIncrement();
-        Chains.Picker picker = (before, next) -> {
+        int turn = nextTurn.getAndIncrement();
+        ChainIndex.StageSelector selector = (before, next) -> {
             List<Candidate> ordered = new ArrayList<>(next);
-            ordered.sort(BY_NAME);
+            ordered.sort(BY_SERVER_NAME);
             return ordered.get(Math.floorMod(turn, ordered.size()));
         };
-        return Unmeasured.choose(picker, candidates, work, here, links, now, random);
+        return BaselineChoice.choose(selector, candidates, request, here, links, now, random);
     }
 }
--- a/core/src/main/java/org/cornelramp/core/route/StaticLinkCosts.java
+++ b/core/src/main/java/org/cornelramp/core/route/StaticLinkCosts.java
@@ -5,20 +5,21 @@
 import org.cornelramp.core.model.DataCentre;
 
 /**
- * Link costs that are stated rather than measured. Immutable, safe for use by any thread.
+ * Link costs that are configured rather than measured. Immutable, safe for use by any thread.
  *
- * @param within one-way time inside a data centre
- * @param between one-way time between data centres that {@code pairs} does not list
+ * @param withinDataCentre one-way time inside a data centre
+ * @param betweenDataCentres one-way time between data centres that {@code pairs} does not list
  * @param pairs one-way times of single pairs; a pair listed in one direction holds for both
  */
-public record StaticLinkCosts(Duration within, Duration between, Map<Pair, Duration> pairs) implements LinkCosts {
-    /** Half a millisecond between data centres, a tenth of one within. */
+public record StaticLinkCosts(Duration withinDataCentre, Duration betweenDataCentres, Map<Pair, Duration> pairs)
+        implements LinkCosts {
+    /** 0.5 ms between data centres, 0.1 ms within one. */
     public static final StaticLinkCosts DEFAULTS =
             new StaticLinkCosts(Duration.ofNanos(100_000), Duration.ofNanos(500_000), Map.of());
 
     public StaticLinkCosts {
-        if (within.isNegative() || between.isNegative()) {
-            throw new IllegalArgumentException("A link cost is not negative");
+        if (withinDataCentre.isNegative() || betweenDataCentres.isNegative()) {
+            throw new IllegalArgumentException("A link cost must not be negative");
         }
         pairs = Map.copyOf(pairs);
     }
@@ -26,13 +27,13 @@
     @Override
     public Duration oneWay(DataCentre from, DataCentre to) {
         if (from.equals(to)) {
-            return within;
+            return withinDataCentre;
         }
         if (pairs.isEmpty()) {
-            return between;
+            return betweenDataCentres;
         }
         Duration listed = pairs.get(new Pair(from, to));
-        return listed != null ? listed : pairs.getOrDefault(new Pair(to, from), between);
+        return listed != null ? listed : pairs.getOrDefault(new Pair(to, from), betweenDataCentres);
     }
 
     /** Two data centres joined by a link. Immutable, safe for use by any thread. */
--- a/core/src/main/java/org/cornelramp/core/routing/EngineSpec.java
+++ b/core/src/main/java/org/cornelramp/core/routing/EngineSpec.java
@@ -4,22 +4,22 @@
 import java.util.Optional;
 
 /**
- * What a service's model engines are and how fast they work, for the whole model on the base card.
+ * Size and speed of a service's model engines, for the whole model on the base card.
  * Immutable, safe for use by any thread.
  *
- * @param slots requests that one engine takes at once as the first of a path
+ * @param slots requests that one engine serves at once as the first of a path
  * @param layers layers of the model
  * @param layerMb memory of one layer's weights, in megabytes
- * @param tokenBytes memory that one token of a request takes over all layers, in bytes
- * @param stepMillis time of a token step without requests
- * @param perRequestMillis time that each request in a step adds
- * @param perThousandTokensMillis time that each thousand tokens of context in a step add
- * @param readPerMilli prompt tokens read in a millisecond
- * @param loadSeconds time to load the whole model
- * @param usualPrompt mean tokens of a prompt
- * @param usualAnswer mean tokens of an answer
- * @param crossMbps rate of the pipe between data centres, in megabits a second; 0 if unknown
- * @param activationBytes bytes that each token carries over a hop between two engines
+ * @param tokenBytes memory that one token of a request takes in all layers together, in bytes
+ * @param stepMillis base duration of a token step, without requests, in milliseconds
+ * @param perRequestMillis time that each request adds to a step, in milliseconds
+ * @param perThousandTokensMillis time that each thousand tokens of context add to a step, in milliseconds
+ * @param prefillTokensPerMilli prompt tokens processed per millisecond of prefill
+ * @param loadSeconds time to load the whole model, in seconds
+ * @param meanPromptTokens mean number of tokens of a prompt
+ * @param meanAnswerTokens mean number of tokens of an answer
+ * @param interDataCentreMbps bandwidth between data centres, in megabits per second; 0 if unknown
+ * @param activationBytes bytes that each token takes on a hop between two engines
  * @param cards the kinds of cards
  */
 public record EngineSpec(
@@ -30,11 +30,11 @@
         double stepMillis,
         double perRequestMillis,
         double perThousandTokensMillis,
-        double readPerMilli,
+        double prefillTokensPerMilli,
         double loadSeconds,
-        int usualPrompt,
-        int usualAnswer,
-        double crossMbps,
+        int meanPromptTokens,
+        int meanAnswerTokens,
+        double interDataCentreMbps,
         double activationBytes,
         List<CardKind> cards) {
     private static final double BYTES_PER_MB = 1e6;
@@ -43,7 +43,7 @@
         cards = List.copyOf(cards);
     }
 
-    /** The card kind of that name. */
+    /** The card kind with a given name. */
     public Optional<CardKind> card(String name) {
         for (CardKind card : cards) {
             if (card.name().equals(name)) {
@@ -54,17 +54,17 @@
     }
 
     /** Memory that one token of one request takes in one layer, in megabytes. */
-    public double tokenLayerMb() {
+    public double tokenMbPerLayer() {
         return tokenBytes / layers / BYTES_PER_MB;
     }
 
-    /** Tokens of an ordinary request, its prompt and its answer. */
-    public int usualTokens() {
-        return usualPrompt + usualAnswer;
+    /** Mean number of tokens of a request, prompt and answer together. */
+    public int meanRequestTokens() {
+        return meanPromptTokens + meanAnswerTokens;
     }
 
-    /** Time that each token step of an ordinary request adds, in milliseconds. */
-    public double usualRequestMillis() {
-        return perRequestMillis + perThousandTokensMillis * usualTokens() / 1_000.0;
+    /** Time that a request of mean length adds to each token step, in milliseconds. */
+    public double meanRequestStepMillis() {
+        return perRequestMillis + perThousandTokensMillis * meanRequestTokens() / 1_000.0;
     }
 }
--- a/core/src/main/java/org/cornelramp/core/routing/Route.java
+++ b/core/src/main/java/org/cornelramp/core/routing/Route.java
@@ -4,19 +4,20 @@
 import org.cornelramp.core.model.ServiceName;
 
 /**
- * One route: which requests it takes, where they go, and within which limits. Immutable, safe for use by any thread.
+ * One route: which requests match it, which services they go to, and their limits. Immutable, safe for use by any
+ * thread.
  *
- * @param name name that operators gave it
+ * @param name name that operators assigned
  * @param host value of the requests' Host header, in lower case
  * @param pathPrefix prefix of the requests' path, with a slash at both ends
- * @param kind what may be repeated
- * @param timeoutMillis longest time until a request's final answer
- * @param targetMillis time within which an answer, or a stream's first event, is on time
- * @param gapMillis longest pause between two events of a stream that is still on time; 0 if none is set
- * @param priority rank of its requests, 0 first
- * @param maxAttempts most backend servers that one request may be sent to
+ * @param kind kind of its requests, which decides whether they may be repeated
+ * @param timeoutMillis maximum time until a request's final answer, in milliseconds
+ * @param targetMillis time within which an answer, or a stream's first event, counts as on time, in milliseconds
+ * @param gapMillis longest pause between two events of a stream that counts as on time, in milliseconds; 0 if not set
+ * @param priority priority of its requests, 0 first
+ * @param maxAttempts maximum number of backend servers that one request may be sent to
  * @param anonymous whether a request needs no key
- * @param resumable whether a broken stream may go on at another backend server
+ * @param resumable whether a broken stream may be resumed at another backend server
  * @param split the services that its requests go to; not empty
  */
 public record Route(
@@ -36,7 +37,7 @@
     public Route {
         split = List.copyOf(split);
         if (split.isEmpty()) {
-            throw new IllegalArgumentException("A route needs a service, name one; route=" + name);
+            throw new IllegalArgumentException("A route needs at least one service, add one; route=" + name);
         }
     }
 
@@ -46,17 +47,17 @@
     }
 
     /**
-     * The service of one request.
+     * Selects the service for one request, by weight.
      *
-     * @param draw a number from 0 up to but without 1, the same for all attempts of a request
+     * @param draw a random number from 0 inclusive to 1 exclusive, the same for all attempts of a request
      */
     public ServiceName service(double draw) {
         double total = split.stream().mapToDouble(WeightedService::weight).sum();
         double left = draw * total;
-        for (WeightedService one : split) {
-            left -= one.weight();
+        for (WeightedService weighted : split) {
+            left -= weighted.weight();
             if (left < 0) {
-                return one.service();
+                return weighted.service();
             }
         }
         return split.get(0).service();
--- a/core/src/main/java/org/cornelramp/core/routing/RoutingConfig.java
+++ b/core/src/main/java/org/cornelramp/core/routing/RoutingConfig.java
@@ -19,29 +19,29 @@
     private final long version;
     private final Map<String, List<Route>> routesByHost;
     private final Map<ServiceName, ServiceSpec> services;
-    private final Map<String, Organisation> byKey;
-    private final boolean keysNeeded;
+    private final Map<String, Organisation> organisationsByKey;
+    private final boolean keysRequired;
     private final ClientLimits limits;
 
     /**
-     * An organisation as its key shows it. Immutable, safe for use by any thread.
+     * The organisation that a key identifies. Immutable, safe for use by any thread.
      *
      * @param id its name
-     * @param priority rank of its requests; goes before the route's where present
+     * @param priority priority of its requests; overrides that of the route where present
      */
     public record Organisation(OrganisationId id, Optional<Integer> priority) {}
 
     /**
-     * @param version version that operators gave it; versions only grow
-     * @param byKey the organisation of each key; empty where the deployment has no organisations
-     * @param keysNeeded whether requests carry keys at all
+     * @param version version that operators assigned; versions only increase
+     * @param organisationsByKey the organisation of each key; empty where the deployment has no organisations
+     * @param keysRequired whether the deployment uses keys; if not, no request needs one
      */
     public RoutingConfig(
             long version,
             Collection<Route> routes,
             Collection<ServiceSpec> services,
-            Map<String, Organisation> byKey,
-            boolean keysNeeded,
+            Map<String, Organisation> organisationsByKey,
+            boolean keysRequired,
             ClientLimits limits) {
         this.version = version;
         this.routesByHost = new HashMap<>();
@@ -53,22 +53,20 @@
                         .add(route));
         this.services = new HashMap<>();
         services.forEach(service -> this.services.put(service.name(), service));
-        this.byKey = Map.copyOf(byKey);
-        this.keysNeeded = keysNeeded;
+        this.organisationsByKey = Map.copyOf(organisationsByKey);
+        this.keysRequired = keysRequired;
         this.limits = limits;
     }
 
-    /** Its version. */
     public long version() {
         return version;
     }
 
-    /** What clients may send. */
+    /** Limits on client requests. */
     public ClientLimits limits() {
         return limits;
     }
 
-    /** The services. */
     public Collection<ServiceSpec> services() {
         return services.values();
     }
@@ -78,7 +76,7 @@
         return routesByHost.values().stream().mapToInt(List::size).sum();
     }
 
-    /** The service of that name. */
+    /** The service with a given name. */
     public Optional<ServiceSpec> service(ServiceName name) {
         return Optional.ofNullable(services.get(name));
     }
@@ -90,13 +88,13 @@
                 .findFirst();
     }
 
-    /** Whether a request on the route must carry a key that an organisation holds. */
-    public boolean needsKey(Route route) {
-        return keysNeeded && !route.anonymous();
+    /** Whether a request on the route must carry the key of an organisation. */
+    public boolean requiresKey(Route route) {
+        return keysRequired && !route.anonymous();
     }
 
     /** The organisation that holds the key. */
     public Optional<Organisation> organisation(String key) {
-        return Optional.ofNullable(byKey.get(key));
+        return Optional.ofNullable(organisationsByKey.get(key));
     }
 }
--- a/core/src/main/java/org/cornelramp/core/session/PipelineSession.java
+++ b/core/src/main/java/org/cornelramp/core/session/PipelineSession.java
@@ -15,16 +15,16 @@
 import org.cornelramp.core.session.SessionAction.Feed;
 import org.cornelramp.core.session.SessionAction.Finish;
 import org.cornelramp.core.session.SessionAction.Open;
-import org.cornelramp.core.session.SessionAction.Rechoose;
+import org.cornelramp.core.session.SessionAction.SelectStages;
 import org.cornelramp.core.session.SessionAction.SendFrom;
-import org.cornelramp.core.text.Vocabulary;
+import org.cornelramp.core.text.Tokenizer;
 
 /**
- * The state of one pipeline session at its entry: opening, generating, rebuilding after a lost stage, ended.
+ * State of one pipeline session at its entry: opening, generating, rebuilding after the loss of a stage, ended.
  *
- * <p>Confined to one thread. Invariants: a generated token is emitted once and in order, whatever epochs deliver
- * it; nothing of an epoch other than the present one changes the state; after {@link Finish} or {@link Fail}
- * there is no further action.
+ * <p>Confined to one thread. Invariants: each generated token is emitted once and in order, whichever epochs deliver
+ * it; messages of other epochs than the current one never change the state; no action follows {@link Finish} or
+ * {@link Fail}.
  */
 public final class PipelineSession {
     private static final int NOT_OPENED = -1;
@@ -32,35 +32,35 @@
     private final int promptTokens;
     private final int maxTokens;
     private final int maxRebuilds;
-    private final Set<Incarnation> failed = new HashSet<>();
+    private final Set<Incarnation> failedAgents = new HashSet<>();
     private long[] tokens;
-    private int known;
+    private int tokenCount;
     private int epoch;
     private int rebuilds;
-    private boolean choosing;
+    private boolean awaitingStages;
     private boolean ended;
-    private boolean fed;
+    private boolean inputSent;
     private List<Incarnation> stages = List.of();
-    private int[] opened = new int[0];
+    private int[] openedPositions = new int[0];
 
     /**
      * @param prompt tokens of the prompt, at least one
-     * @param maxTokens most tokens to generate, at least one
-     * @param maxRebuilds how many times lost stages may be replaced before the session is given up
+     * @param maxTokens maximum number of tokens to generate, at least one
+     * @param maxRebuilds how many times lost stages may be replaced before the session fails
      */
     public PipelineSession(long[] prompt, int maxTokens, int maxRebuilds) {
         if (prompt.length == 0 || maxTokens < 1) {
             throw new IllegalArgumentException("A session needs a prompt and at least one token to generate");
         }
         this.tokens = prompt.clone();
-        this.known = prompt.length;
+        this.tokenCount = prompt.length;
         this.promptTokens = prompt.length;
         this.maxTokens = maxTokens;
         this.maxRebuilds = maxRebuilds;
     }
 
-    /** Uses these agents as the stages, at first or after {@link Rechoose}, under a new epoch. */
-    public List<SessionAction> use(List<Incarnation> chosen) {
+    /** Assigns the agents of the stages in a new epoch, initially or after {@link SelectStages}. */
+    public List<SessionAction> assignStages(List<Incarnation> chosen) {
         if (ended) {
             return List.of();
         }
@@ -68,188 +68,191 @@
         int old = epoch;
         stages.stream().filter(agent -> !chosen.contains(agent)).forEach(agent -> actions.add(new Close(agent, old)));
         epoch++;
-        choosing = false;
+        awaitingStages = false;
         stages = List.copyOf(chosen);
-        opened = new int[stages.size()];
-        Arrays.fill(opened, NOT_OPENED);
+        openedPositions = new int[stages.size()];
+        Arrays.fill(openedPositions, NOT_OPENED);
         actions.add(new Open(epoch, stages));
         return actions;
     }
 
-    /** A stage holds the session and has run all positions before {@code position}. */
-    public List<SessionAction> opened(int ofEpoch, int stage, int position) {
-        if (isStale(ofEpoch, stage) || opened[stage] != NOT_OPENED) {
+    /** Handles that a stage has opened the session and has run all positions before {@code position}. */
+    public List<SessionAction> onOpened(int ofEpoch, int stage, int position) {
+        if (isStale(ofEpoch, stage) || openedPositions[stage] != NOT_OPENED) {
             return List.of();
         }
-        opened[stage] = position;
-        for (int one : opened) {
-            if (one == NOT_OPENED) {
+        openedPositions[stage] = position;
+        for (int openedPosition : openedPositions) {
+            if (openedPosition == NOT_OPENED) {
                 return List.of();
             }
         }
-        return startSteps();
+        return startSending();
     }
 
-    /** A stage cannot go on: refused, lost, or its agent is gone. */
-    public List<SessionAction> lost(int ofEpoch, int stage, Problem why) {
-        return isStale(ofEpoch, stage) ? List.of() : replace(stages.get(stage), why);
+    /** Handles that a stage cannot continue: it refused, lost the session, or its agent is gone. */
+    public List<SessionAction> onLost(int ofEpoch, int stage, Problem why) {
+        return isStale(ofEpoch, stage) ? List.of() : replaceAgent(stages.get(stage), why);
     }
 
-    /** An agent's life has ended, and what it held is gone. */
-    public List<SessionAction> lost(Incarnation agent, Problem why) {
+    /** Handles that an agent has ended, with all sessions that it held. */
+    public List<SessionAction> onLost(Incarnation agent, Problem why) {
         if (ended || !stages.contains(agent)) {
             return List.of();
         }
-        if (choosing) {
-            failed.add(agent);
+        if (awaitingStages) {
+            failedAgents.add(agent);
             return List.of();
         }
-        return replace(agent, why);
+        return replaceAgent(agent, why);
     }
 
     /**
-     * The link to an agent is lost. The agent may live and still hold its stage, so it is not avoided: it may be
-     * chosen again once a new link to it is up.
+     * Handles the loss of the link to an agent. The agent may be alive and still hold its stage, so it is not excluded:
+     * it may be chosen again once a new link to it is up.
      */
-    public List<SessionAction> unlinked(Incarnation agent, Problem why) {
-        if (ended || choosing || !stages.contains(agent)) {
+    public List<SessionAction> onLinkLost(Incarnation agent, Problem why) {
+        if (ended || awaitingStages || !stages.contains(agent)) {
             return List.of();
         }
-        // When every link goes silent at once, they are found one after the other, and each costs a new choice. Counted
-        // as rebuilds of dead stages, they would use up the bound and give the session up though nothing has died.
-        choosing = true;
-        return List.of(new Rechoose(why.kind().text()));
+        // When all links fail at once, the losses are detected one by one, and each requires new stages. Counted as
+        // rebuilds of dead stages, they would exhaust the limit and fail the session although no agent has died.
+        awaitingStages = true;
+        return List.of(new SelectStages(why.kind().text()));
     }
 
     /**
-     * Generated tokens have come.
+     * Handles generated tokens.
      *
-     * <p>A late one of an older epoch, whose stage may have been replaced, is dropped: the present epoch delivers
-     * the same positions again, and taking both would repeat text.
+     * <p>Late tokens of an older epoch, whose stage may have been replaced, are dropped: the current epoch delivers the
+     * same positions again, and accepting both would repeat text.
      */
-    public List<SessionAction> generated(int ofEpoch, int position, int[] came) {
-        if (ended || choosing || ofEpoch != epoch) {
+    public List<SessionAction> onGenerated(int ofEpoch, int position, int[] received) {
+        if (ended || awaitingStages || ofEpoch != epoch) {
             return List.of();
         }
         int first = position + 1;
-        if (first > known) {
+        if (first > tokenCount) {
             Problem gap = Problem.notRun(ProblemKind.BACKEND_FAILED, "The last stage skipped a token.");
-            return replace(stages.get(stages.size() - 1), gap);
+            return replaceAgent(stages.get(stages.size() - 1), gap);
         }
-        return take(came, known - first);
+        return acceptTokens(received, tokenCount - first);
     }
 
     /**
-     * Ends the session with a problem: its deadline passed, its caller left, or no replacement was found.
+     * Ends the session with a problem: its deadline passed, its caller disconnected, or no replacement was found.
      *
-     * <p>The problem's outcome is set here: a session whose tokens went to a stage may have run in part, and only
-     * one that was never fed is reported as not run.
+     * <p>The outcome of the problem is set here: a session whose tokens were sent to a stage may have run in part, and
+     * only one whose tokens were never sent is reported as not run.
      */
-    public List<SessionAction> giveUp(Problem problem) {
+    public List<SessionAction> fail(Problem problem) {
         if (ended) {
             return List.of();
         }
         List<SessionAction> actions = closeAll();
-        Outcome outcome = fed ? Outcome.UNKNOWN : Outcome.NOT_RUN;
+        Outcome outcome = inputSent ? Outcome.UNKNOWN : Outcome.NOT_RUN;
         actions.add(new Fail(new Problem(problem.kind(), outcome, problem.detail(), problem.retryAfter())));
         return actions;
     }
 
-    /** Agents that failed this session and must not be chosen for it again. */
-    public Set<Incarnation> failed() {
-        return Set.copyOf(failed);
+    /** Agents at which this session failed and which must not be chosen for it again. */
+    public Set<Incarnation> failedAgents() {
+        return Set.copyOf(failedAgents);
     }
 
-    /** The stages of the present epoch, in order. */
+    /** The agents of the stages of the current epoch, in order. */
     public List<Incarnation> stages() {
         return stages;
     }
 
-    /** The present epoch, from 1; 0 before the first. */
+    /** The current epoch, from 1; 0 before the first. */
     public int epoch() {
         return epoch;
     }
 
     /** Number of tokens passed to the caller. */
     public int generatedTokens() {
-        return known - promptTokens;
+        return tokenCount - promptTokens;
     }
 
-    /** Whether the session has ended. */
     public boolean isEnded() {
         return ended;
     }
 
-    /** Whether the session waits for {@link #use}. */
-    public boolean isChoosing() {
-        return choosing;
+    /** Whether the session waits for {@link #assignStages}. */
+    public boolean isAwaitingStages() {
+        return awaitingStages;
     }
 
-    /** How many times stages were replaced. */
+    /** Number of times that lost stages were replaced. */
     public int rebuilds() {
         return rebuilds;
     }
 
     private boolean isStale(int ofEpoch, int stage) {
-        return ended || choosing || ofEpoch != epoch || stage < 0 || stage >= stages.size();
+        return ended || awaitingStages || ofEpoch != epoch || stage < 0 || stage >= stages.size();
     }
 
-    /** Each stage is told what its successor lacks; the entry is the successor of the last and feeds the first. */
-    private List<SessionAction> startSteps() {
+    /**
+     * Tells each stage the first position that its successor lacks. The entry is the successor of the last stage and
+     * sends the inputs of the first.
+     */
+    private List<SessionAction> startSending() {
         List<SessionAction> actions = new ArrayList<>();
         int last = stages.size() - 1;
-        actions.add(new SendFrom(epoch, last, known - 1));
+        actions.add(new SendFrom(epoch, last, tokenCount - 1));
         for (int stage = last - 1; stage >= 0; stage--) {
-            actions.add(new SendFrom(epoch, stage, opened[stage + 1]));
+            actions.add(new SendFrom(epoch, stage, openedPositions[stage + 1]));
         }
-        fed = true;
-        if (opened[0] < known) {
-            actions.add(new Feed(epoch, opened[0], Arrays.copyOfRange(tokens, opened[0], known)));
+        inputSent = true;
+        if (openedPositions[0] < tokenCount) {
+            actions.add(
+                    new Feed(epoch, openedPositions[0], Arrays.copyOfRange(tokens, openedPositions[0], tokenCount)));
         }
         return actions;
     }
 
-    private List<SessionAction> replace(Incarnation agent, Problem why) {
-        failed.add(agent);
-        return rechoose(why);
+    private List<SessionAction> replaceAgent(Incarnation agent, Problem why) {
+        failedAgents.add(agent);
+        return requestStages(why);
     }
 
-    private List<SessionAction> rechoose(Problem why) {
+    private List<SessionAction> requestStages(Problem why) {
         if (rebuilds >= maxRebuilds) {
-            return giveUp(why);
+            return fail(why);
         }
         rebuilds++;
-        choosing = true;
-        return List.of(new Rechoose(why.kind().text()));
+        awaitingStages = true;
+        return List.of(new SelectStages(why.kind().text()));
     }
 
-    private List<SessionAction> take(int[] came, int skip) {
+    private List<SessionAction> acceptTokens(int[] received, int skip) {
         List<SessionAction> actions = new ArrayList<>();
-        int[] fresh = new int[Math.max(0, came.length - skip)];
+        int[] newTokens = new int[Math.max(0, received.length - skip)];
         int count = 0;
-        boolean whole = false;
-        for (int i = skip; i < came.length && !whole; i++) {
-            whole = came[i] == Vocabulary.END || generatedTokens() + 1 == maxTokens;
-            if (came[i] != Vocabulary.END) {
-                fresh[count++] = came[i];
+        boolean complete = false;
+        for (int i = skip; i < received.length && !complete; i++) {
+            complete = received[i] == Tokenizer.END_TOKEN || generatedTokens() + 1 == maxTokens;
+            if (received[i] != Tokenizer.END_TOKEN) {
+                newTokens[count++] = received[i];
             }
-            add(came[i]);
+            appendToken(received[i]);
         }
         if (count > 0) {
-            actions.add(new Emit(Arrays.copyOf(fresh, count)));
+            actions.add(new Emit(Arrays.copyOf(newTokens, count)));
         }
-        if (whole) {
+        if (complete) {
             actions.addAll(closeAll());
             actions.add(new Finish());
         }
         return actions;
     }
 
-    private void add(int token) {
-        if (known == tokens.length) {
+    private void appendToken(int token) {
+        if (tokenCount == tokens.length) {
             tokens = Arrays.copyOf(tokens, tokens.length * 2);
         }
-        tokens[known++] = token;
+        tokens[tokenCount++] = token;
     }
 
     private List<SessionAction> closeAll() {
--- a/core/src/main/java/org/cornelramp/core/session/SessionAction.java
+++ b/core/src/main/java/org/cornelramp/core/session/SessionAction.java
@@ -4,13 +4,13 @@
 import org.cornelramp.core.model.Incarnation;
 import org.cornelramp.core.model.Problem;
 
-/** What a session wants done. Immutable if the arrays are not changed. */
+/** An action that a session asks its caller to perform. Immutable as long as the arrays are not modified. */
 public sealed interface SessionAction {
 
-    /** Open every stage under the epoch, in order. */
+    /** Open every stage in the epoch, in order. */
     record Open(int epoch, List<Incarnation> stages) implements SessionAction {}
 
-    /** Tell a stage from which position on its successor lacks outputs. */
+    /** Tell a stage the first position whose output its successor lacks. */
     record SendFrom(int epoch, int stage, int position) implements SessionAction {}
 
     /** Send input tokens to the first stage. */
@@ -19,13 +19,13 @@
     /** Pass generated tokens to the caller; each is passed exactly once, in order. */
     record Emit(int[] tokens) implements SessionAction {}
 
-    /** Choose a new pipeline; stages that still live may stay, the avoided ones may not. */
-    record Rechoose(String why) implements SessionAction {}
+    /** Choose new stages; live ones may be chosen again, those of {@link PipelineSession#failedAgents()} may not. */
+    record SelectStages(String reason) implements SessionAction {}
 
     /** Release the session at an agent. */
     record Close(Incarnation agent, int epoch) implements SessionAction {}
 
-    /** The answer is whole. */
+    /** The answer is complete. */
     record Finish() implements SessionAction {}
 
     /** The answer cannot be completed. */
--- a/core/src/main/java/org/cornelramp/core/session/package-info.java
+++ b/core/src/main/java/org/cornelramp/core/session/package-info.java
@@ -1,2 +1,2 @@
-/** One pipeline session as its entry sees it: a state machine without I/O. */
+/** State machine, without I/O, of one pipeline session at its entry. */
 package org.cornelramp.core.session;
--- a/core/src/main/java/org/cornelramp/core/settings/BackendKind.java
+++ b/core/src/main/java/org/cornelramp/core/settings/BackendKind.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** What stands beside an agent. */
+/** Kind of the backend server of an agent. */
 public enum BackendKind {
     /** A model engine that holds a range of layers. */
     @JsonProperty("engine")
--- a/core/src/main/java/org/cornelramp/core/settings/BackendSettings.java
+++ b/core/src/main/java/org/cornelramp/core/settings/BackendSettings.java
@@ -1,10 +1,10 @@
 package org.cornelramp.core.settings;
 
 /**
- * The backend server beside an agent. Immutable, safe for use by any thread.
+ * The backend server of an agent. Immutable, safe for use by any thread.
  *
- * @param kind what the backend server is
+ * @param kind kind of the backend server
  * @param url base URL of the backend server
- * @param checksTerms whether the backend server itself refuses orders of an older term
+ * @param checksTerms whether the backend server itself rejects orders with an older term
  */
 public record BackendSettings(BackendKind kind, String url, boolean checksTerms) {}
--- a/core/src/main/java/org/cornelramp/core/settings/BoundSettings.java
+++ b/core/src/main/java/org/cornelramp/core/settings/BoundSettings.java
@@ -1,19 +1,19 @@
 package org.cornelramp.core.settings;
 
 /**
- * Bounds on what a process holds. Immutable, safe for use by any thread.
+ * Limits on the sizes of messages, buffers and records in a process. Immutable, safe for use by any thread.
  *
- * @param bodyBytes largest request body
- * @param headerBytes largest request head
- * @param frameBytes largest frame on a link
- * @param ringSlots events that the ring before each duty holds; a power of two
- * @param inProgress requests in progress at one entry, or calls and sessions at one agent
- * @param keptOutputs positions of outputs that a stage keeps for each session
- * @param keys keys that an agent records
+ * @param bodyBytes maximum size of a request body, in bytes
+ * @param headerBytes maximum size of a request head, in bytes
+ * @param frameBytes maximum size of a frame on a link, in bytes
+ * @param ringSlots capacity of the ring buffer of each duty thread, in events; a power of two
+ * @param inProgress maximum number of requests in progress at one entry, or of calls and sessions at one agent
+ * @param keptOutputs maximum number of positions whose outputs a stage keeps for each session
+ * @param keys maximum number of idempotency keys that an agent records
  */
 public record BoundSettings(
         int bodyBytes, int headerBytes, int frameBytes, int ringSlots, int inProgress, int keptOutputs, int keys) {
-    /** The bounds used where the settings name none. */
+    /** The limits used where the settings specify none. */
     public static final BoundSettings DEFAULTS =
             new BoundSettings(1 << 20, 16 << 10, 4 << 20, 1 << 14, 4_096, 8_192, 20_000);
 }
--- a/core/src/main/java/org/cornelramp/core/settings/DaemonSettings.java
+++ b/core/src/main/java/org/cornelramp/core/settings/DaemonSettings.java
@@ -7,18 +7,18 @@
 /**
  * All settings of one daemon. Immutable, safe for use by any thread.
  *
- * @param role what the daemon does
- * @param name name of the entry, or of the backend server that the agent stands beside
+ * @param role role of the daemon
+ * @param name name of the entry, or of the agent's backend server
  * @param dataCentre data centre that the process runs in
- * @param http where HTTP is served: callers and operators at an entry; health and metrics at both
- * @param links where an agent takes links; absent at an entry
- * @param platform where the platform's interfaces are
- * @param backend the backend server beside an agent; absent at an entry
- * @param operators who may use the operators' interface; it is closed where this is absent
+ * @param http address on which HTTP is served: callers and operators at an entry; health and metrics at both
+ * @param links address on which an agent accepts links; absent at an entry
+ * @param platform addresses of the platform's interfaces
+ * @param backend the backend server of an agent; absent at an entry
+ * @param operators who may use the operators' interface; it is disabled where this is absent
  * @param timing intervals and timeouts
- * @param bounds sizes of bodies, headers, rings and records
- * @param log form of the log
- * @param choice how an entry chooses backend servers; the baselines are there to be measured against
+ * @param bounds maximum sizes of bodies, headers, ring buffers and records
+ * @param log format of the log
+ * @param choice how an entry chooses backend servers; the baselines are for comparison in measurements
  */
 public record DaemonSettings(
         Role role,
@@ -34,7 +34,7 @@
         LogSettings log,
         ChoicePolicy choice) {
 
-    /** Settings with the usual choice, whose operators' interface is closed. */
+    /** Settings with the default choice policy and without the operators' interface. */
     public DaemonSettings(
             Role role,
             String name,
--- a/core/src/main/java/org/cornelramp/core/settings/GatewaySettings.java
+++ b/core/src/main/java/org/cornelramp/core/settings/GatewaySettings.java
@@ -3,17 +3,17 @@
 import org.cornelramp.core.model.DataCentre;
 
 /**
- * Settings of a gateway, checked. Immutable, safe for use by any thread.
+ * Validated settings of a gateway. Immutable, safe for use by any thread.
  *
- * @param name names this process
- * @param dataCentre where it runs
- * @param requests address on which clients' requests are taken
- * @param readiness address on which the balancer asks whether this process is ready
- * @param metrics address on which the metrics are read
- * @param peers address on which news of other gateways are taken
+ * @param name name of this process
+ * @param dataCentre data centre of this process
+ * @param requests address on which clients' requests are served
+ * @param readiness address on which the load balancer checks whether this process is ready
+ * @param metrics address on which the metrics are served
+ * @param peers address on which messages of other gateways are received
  * @param store address of the platform's store
- * @param timing times that the platform agreed on
- * @param retries bounds of repeated requests
+ * @param timing intervals and timeouts agreed with the platform
+ * @param retries limits on repeated requests
  */
 public record GatewaySettings(
         String name,
@@ -27,21 +27,21 @@
         Retries retries) {
 
     /**
-     * Times that the platform agreed on, in milliseconds. Immutable, safe for use by any thread.
+     * Intervals and timeouts agreed with the platform, in milliseconds. Immutable, safe for use by any thread.
      *
      * @param heartbeatMillis interval of the backend servers' registrations
-     * @param drainMillis time for which a leaving backend server serves on; read and checked, but nothing decides by it
+     * @param drainMillis time for which a leaving backend server continues to serve; read and validated, but unused
      * @param graceMillis time from the stop signal until the process is killed
-     * @param stallMillis time that work waits for a dead engine until it is cut off
+     * @param stallMillis time that requests wait for a dead engine before they are cut off
      */
     public record Timing(long heartbeatMillis, long drainMillis, long graceMillis, long stallMillis) {}
 
     /**
-     * Bounds of repeated requests, for all processes together. Immutable, safe for use by any thread.
+     * Limits on repeated requests, for all processes together. Immutable, safe for use by any thread.
      *
-     * @param ratio repeats for each request
-     * @param reserve repeats besides, within a window
-     * @param windowMillis length of a window
+     * @param ratio allowed repeats per request
+     * @param reserve additional repeats allowed within a window
+     * @param windowMillis length of a window, in milliseconds
      */
     public record Retries(double ratio, double reserve, long windowMillis) {}
 }
--- a/core/src/main/java/org/cornelramp/core/settings/GatewaySettingsReader.java
+++ b/core/src/main/java/org/cornelramp/core/settings/GatewaySettingsReader.java
@@ -14,7 +14,7 @@
 import org.cornelramp.core.model.NameValidator;
 
 /**
- * Reads a gateway's settings from JSON: gives the settings, or every fault at once. Stateless, safe for use by any
+ * Reads a gateway's settings from JSON: returns the settings, or every fault at once. Stateless, safe for use by any
  * thread.
  */
 public final class GatewaySettingsReader {
@@ -22,9 +22,10 @@
             .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .build();
-    private static final String ADDRESS = "Give host:port, the port from 0 to 65535.";
-    private static final String NAME = "Give 1 to " + NameValidator.MAX_LENGTH + " letters, digits, dots or dashes.";
-    private static final long HOUR = 3_600_000L;
+    private static final String ADDRESS_REMEDY = "Give host:port, the port from 0 to 65535.";
+    private static final String NAME_REMEDY =
+            "Give 1 to " + NameValidator.MAX_LENGTH + " letters, digits, dots or dashes.";
+    private static final long HOUR_MILLIS = 3_600_000L;
 
     /** Reads settings from the text of a file. */
     public Either<List<SettingsFault>, GatewaySettings> read(String text) {
@@ -32,26 +33,28 @@
         try {
             root = JSON.readTree(text);
         } catch (JsonProcessingException e) {
-            String place =
+            String position =
                     e.getLocation() == null ? "" : "line " + e.getLocation().getLineNr();
-            return Either.left(List.of(new SettingsFault("", place, "Correct the JSON there; names may not repeat.")));
+            return Either.left(
+                    List.of(new SettingsFault("", position, "Correct the JSON there; names must not be repeated.")));
         }
         List<SettingsFault> faults = new ArrayList<>();
-        Optional<GatewaySettings> settings = readRoot(new Section(root, "", faults));
+        Optional<GatewaySettings> settings = readRoot(new SettingsSection(root, "", faults));
         return faults.isEmpty() && settings.isPresent() ? Either.right(settings.get()) : Either.left(faults);
     }
 
-    private static Optional<GatewaySettings> readRoot(Section root) {
-        Optional<String> name = root.required("name", GatewaySettingsReader::name, NAME);
-        Optional<DataCentre> dataCentre = root.required("dataCentre", value -> new DataCentre(name(value)), NAME);
-        Optional<HostPort> requests = address(root, "requests");
-        Optional<HostPort> readiness = address(root, "readiness");
-        Optional<HostPort> metrics = address(root, "metrics");
-        Optional<HostPort> peers = address(root, "peers");
-        Optional<HostPort> store = address(root, "store");
+    private static Optional<GatewaySettings> readRoot(SettingsSection root) {
+        Optional<String> name = root.required("name", GatewaySettingsReader::parseName, NAME_REMEDY);
+        Optional<DataCentre> dataCentre =
+                root.required("dataCentre", value -> new DataCentre(parseName(value)), NAME_REMEDY);
+        Optional<HostPort> requests = readAddress(root, "requests");
+        Optional<HostPort> readiness = readAddress(root, "readiness");
+        Optional<HostPort> metrics = readAddress(root, "metrics");
+        Optional<HostPort> peers = readAddress(root, "peers");
+        Optional<HostPort> store = readAddress(root, "store");
         GatewaySettings.Timing timing = readTiming(root.section("timing"));
         GatewaySettings.Retries retries = readRetries(root.section("retries"));
-        root.refuseOthers();
+        root.rejectUnknownNames();
         if (name.isEmpty()
                 || dataCentre.isEmpty()
                 || requests.isEmpty()
@@ -73,41 +76,41 @@
                 retries));
     }
 
-    private static GatewaySettings.Timing readTiming(Section section) {
+    private static GatewaySettings.Timing readTiming(SettingsSection section) {
         GatewaySettings.Timing timing = new GatewaySettings.Timing(
-                section.number("heartbeatMillis", 10, HOUR, 1_200),
-                section.number("drainMillis", 0, HOUR, 2_000),
-                millis(section, "graceSeconds", 8),
-                section.number("stallMillis", 10, HOUR, 2_000));
-        section.refuseOthers();
+                section.number("heartbeatMillis", 10, HOUR_MILLIS, 1_200),
+                section.number("drainMillis", 0, HOUR_MILLIS, 2_000),
+                secondsAsMillis(section, "graceSeconds", 8),
+                section.number("stallMillis", 10, HOUR_MILLIS, 2_000));
+        section.rejectUnknownNames();
         return timing;
     }
 
-    private static GatewaySettings.Retries readRetries(Section section) {
+    private static GatewaySettings.Retries readRetries(SettingsSection section) {
         GatewaySettings.Retries retries = new GatewaySettings.Retries(
                 section.decimal("ratio", 0, 100, 0.2),
                 section.decimal("reserve", 0, 1e6, 20),
-                millis(section, "windowSeconds", 10));
-        section.refuseOthers();
+                secondsAsMillis(section, "windowSeconds", 10));
+        section.rejectUnknownNames();
         return retries;
     }
 
-    private static long millis(Section section, String name, double byDefault) {
-        return Math.round(section.decimal(name, 0.01, 3_600, byDefault) * 1_000);
+    private static long secondsAsMillis(SettingsSection section, String name, double defaultSeconds) {
+        return Math.round(section.decimal(name, 0.01, 3_600, defaultSeconds) * 1_000);
     }
 
-    private static Optional<HostPort> address(Section section, String name) {
-        return section.required(name, value -> HostPort.parse(text(value)), ADDRESS);
+    private static Optional<HostPort> readAddress(SettingsSection section, String name) {
+        return section.required(name, value -> HostPort.parse(parseText(value)), ADDRESS_REMEDY);
     }
 
-    private static String name(JsonNode value) {
-        NameValidator.check("settings", text(value));
+    private static String parseName(JsonNode value) {
+        NameValidator.check("settings", parseText(value));
         return value.textValue();
     }
 
-    private static String text(JsonNode value) {
+    private static String parseText(JsonNode value) {
         if (!value.isTextual()) {
-            throw new IllegalArgumentException("not a text");
+            throw new IllegalArgumentException("not a string");
         }
         return value.textValue();
     }
--- a/core/src/main/java/org/cornelramp/core/settings/HostPort.java
+++ b/core/src/main/java/org/cornelramp/core/settings/HostPort.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * An address with its port, such as {@code 10.0.3.7:7070}. Port 0 lets the system choose.
+ * A host and a port, such as {@code 10.0.3.7:7070}. With port 0 the system chooses one.
  * Immutable, safe for use by any thread.
  */
 public record HostPort(String host, int port) {
@@ -12,18 +12,18 @@
 
     public HostPort {
         if (host.isBlank() || port < 0 || port > MAX_PORT) {
-            throw new IllegalArgumentException("An address reads host:port, the port from 0 to " + MAX_PORT);
+            throw new IllegalArgumentException("An address must be host:port, with a port from 0 to " + MAX_PORT);
         }
     }
 
-    /** Reads {@code host:port}. */
+    /** Parses {@code host:port}. */
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public static HostPort parse(String text) {
-        int at = text.lastIndexOf(':');
-        if (at < 0) {
-            throw new IllegalArgumentException("An address reads host:port, the port from 0 to " + MAX_PORT);
+        int colon = text.lastIndexOf(':');
+        if (colon < 0) {
+            throw new IllegalArgumentException("An address must be host:port, with a port from 0 to " + MAX_PORT);
         }
-        return new HostPort(text.substring(0, at), Integer.parseInt(text.substring(at + 1)));
+        return new HostPort(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
     @JsonValue
--- a/core/src/main/java/org/cornelramp/core/settings/LogSettings.java
+++ b/core/src/main/java/org/cornelramp/core/settings/LogSettings.java
@@ -1,7 +1,7 @@
 package org.cornelramp.core.settings;
 
 /**
- * Form of the process's own log lines. Immutable, safe for use by any thread.
+ * Format of the process's log lines. Immutable, safe for use by any thread.
  *
  * @param json whether each line is a JSON object
  * @param debug whether debug lines are written
--- a/core/src/main/java/org/cornelramp/core/settings/Role.java
+++ b/core/src/main/java/org/cornelramp/core/settings/Role.java
@@ -2,12 +2,12 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** What a daemon does, chosen in its settings. */
+/** Role of a daemon, chosen in its settings. */
 public enum Role {
-    /** Serves callers and operators, and routes. */
+    /** Serves callers and operators, and routes requests. */
     @JsonProperty("entry")
     ENTRY,
-    /** Stands beside one backend server: admission, the record of what ran, drain, fencing, pipeline steps. */
+    /** Runs next to one backend server: admission, the record of executed requests, drain, fencing, pipeline steps. */
     @JsonProperty("agent")
     AGENT
 }
--- a/core/src/main/java/org/cornelramp/core/settings/SettingsReader.java
+++ b/core/src/main/java/org/cornelramp/core/settings/SettingsReader.java
@@ -19,9 +19,9 @@
 import org.cornelramp.core.route.ChoicePolicy;
 
 /**
- * Reads a daemon's settings from JSON: gives the settings, or every fault at once.
+ * Reads a daemon's settings from JSON: returns the settings, or every fault at once.
  *
- * <p>An unknown or repeated name is a fault, so that a misspelt limit is not silently left at its default.
+ * <p>An unknown or repeated name is a fault; otherwise a misspelt setting would silently keep its default.
  * Stateless, safe for use by any thread.
  */
 public final class SettingsReader {
@@ -34,7 +34,7 @@
     private static final String URL_REMEDY = "Give a URL such as http://10.0.3.7:7070.";
     private static final String CHOICE_REMEDY = "Give one of "
             + Arrays.stream(ChoicePolicy.values()).map(ChoicePolicy::text).toList() + ".";
-    private static final long DAY = 86_400_000L;
+    private static final long DAY_MILLIS = 86_400_000L;
 
     /** Reads settings from the text of a file. */
     public Either<List<SettingsFault>, DaemonSettings> read(String text) {
@@ -45,18 +45,18 @@
             return Either.left(List.of(syntaxFault(e)));
         }
         List<SettingsFault> faults = new ArrayList<>();
-        Optional<DaemonSettings> settings = readRoot(new Section(root, "", faults));
+        Optional<DaemonSettings> settings = readRoot(new SettingsSection(root, "", faults));
         return faults.isEmpty() && settings.isPresent() ? Either.right(settings.get()) : Either.left(faults);
     }
 
-    /** The parser's own message may quote the file, secrets included, so only the place is told. */
+    /** Reports only the position, since the parser's own message may quote the file, including secrets. */
     private static SettingsFault syntaxFault(JsonProcessingException e) {
         JsonLocation at = e.getLocation();
-        String place = at == null ? "(unknown place)" : "line " + at.getLineNr() + " column " + at.getColumnNr();
-        return new SettingsFault("", place, "Correct the JSON there; names may not repeat.");
+        String position = at == null ? "(unknown position)" : "line " + at.getLineNr() + " column " + at.getColumnNr();
+        return new SettingsFault("", position, "Correct the JSON there; names must not be repeated.");
     }
 
-    private static Optional<DaemonSettings> readRoot(Section root) {
+    private static Optional<DaemonSettings> readRoot(SettingsSection root) {
         Optional<Role> role = root.required("role", SettingsReader::parseRole, "Give \"entry\" or \"agent\".");
         Optional<String> name = root.required("name", SettingsReader::parseName, nameRemedy());
         Optional<DataCentre> dataCentre =
@@ -74,7 +74,7 @@
             root.forbid("operators", "Remove it: only an entry serves operators.");
         }
         if (entry) {
-            root.forbid("links", "Remove it: only an agent takes links.");
+            root.forbid("links", "Remove it: only an agent accepts links.");
             root.forbid("backend", "Remove it: only an agent has a backend server.");
             operators = root.has("operators") ? readOperators(root.section("operators")) : Optional.empty();
         }
@@ -86,7 +86,7 @@
         LogSettings log = readLog(root.section("log"));
         ChoicePolicy choice = root.optional("choice", SettingsReader::parseChoice, CHOICE_REMEDY)
                 .orElse(ChoicePolicy.EXPECTED_COMPLETION);
-        root.refuseOthers();
+        root.rejectUnknownNames();
         if (role.isEmpty() || name.isEmpty() || dataCentre.isEmpty() || http.isEmpty() || platform.isEmpty()) {
             return Optional.empty();
         }
@@ -105,68 +105,68 @@
                 choice));
     }
 
-    private static Optional<PlatformSettings> readPlatform(Section section) {
+    private static Optional<PlatformSettings> readPlatform(SettingsSection section) {
         Optional<String> log = section.required("logUrl", SettingsReader::parseUrl, URL_REMEDY);
         Optional<String> vmList = section.required("vmListUrl", SettingsReader::parseUrl, URL_REMEDY);
         Optional<String> weightStore = section.optional("weightStoreUrl", SettingsReader::parseUrl, URL_REMEDY);
-        section.refuseOthers();
+        section.rejectUnknownNames();
         return log.flatMap(url -> vmList.map(vms -> new PlatformSettings(url, vms, weightStore)));
     }
 
-    private static Optional<BackendSettings> readBackend(Section section) {
+    private static Optional<BackendSettings> readBackend(SettingsSection section) {
         Optional<BackendKind> kind =
                 section.required("kind", SettingsReader::parseBackendKind, "Give \"engine\" or \"service\".");
         Optional<String> url = section.required("url", SettingsReader::parseUrl, URL_REMEDY);
-        boolean checksTerms = section.flag("checksTerms", false);
-        section.refuseOthers();
+        boolean checksTerms = section.bool("checksTerms", false);
+        section.rejectUnknownNames();
         return kind.flatMap(is -> url.map(at -> new BackendSettings(is, at, checksTerms)));
     }
 
-    private static Optional<OperatorSettings> readOperators(Section section) {
+    private static Optional<OperatorSettings> readOperators(SettingsSection section) {
         Optional<List<String>> hashes = section.required(
                 "keyHashes",
                 SettingsReader::parseHashes,
                 "Give a list of SHA-256 hashes in lower-case hexadecimal, one for each operator's key.");
-        section.refuseOthers();
+        section.rejectUnknownNames();
         return hashes.map(OperatorSettings::new);
     }
 
-    private static TimingSettings readTiming(Section section) {
-        TimingSettings by = TimingSettings.DEFAULTS;
+    private static TimingSettings readTiming(SettingsSection section) {
+        TimingSettings defaults = TimingSettings.DEFAULTS;
         TimingSettings timing = new TimingSettings(
-                section.number("heartbeatMillis", 10, 60_000, by.heartbeatMillis()),
-                section.number("vmListMillis", 50, 60_000, by.vmListMillis()),
-                section.number("drainMillis", 0, DAY, by.drainMillis()),
-                section.number("backendTimeoutMillis", 10, 600_000, by.backendTimeoutMillis()),
-                section.number("keyWindowMillis", 1_000, 30 * DAY, by.keyWindowMillis()),
-                section.number("snapshotMillis", 1_000, 30 * DAY, by.snapshotMillis()));
-        section.refuseOthers();
+                section.number("heartbeatMillis", 10, 60_000, defaults.heartbeatMillis()),
+                section.number("vmListMillis", 50, 60_000, defaults.vmListMillis()),
+                section.number("drainMillis", 0, DAY_MILLIS, defaults.drainMillis()),
+                section.number("backendTimeoutMillis", 10, 600_000, defaults.backendTimeoutMillis()),
+                section.number("keyWindowMillis", 1_000, 30 * DAY_MILLIS, defaults.keyWindowMillis()),
+                section.number("snapshotMillis", 1_000, 30 * DAY_MILLIS, defaults.snapshotMillis()));
+        section.rejectUnknownNames();
         return timing;
     }
 
-    private static BoundSettings readBounds(Section section) {
-        BoundSettings by = BoundSettings.DEFAULTS;
+    private static BoundSettings readBounds(SettingsSection section) {
+        BoundSettings defaults = BoundSettings.DEFAULTS;
         BoundSettings bounds = new BoundSettings(
-                (int) section.number("bodyBytes", 1_024, 1 << 30, by.bodyBytes()),
-                (int) section.number("headerBytes", 1_024, 1 << 20, by.headerBytes()),
-                (int) section.number("frameBytes", 1_024, 1 << 30, by.frameBytes()),
-                readRingSlots(section, by.ringSlots()),
-                (int) section.number("inProgress", 1, 1 << 20, by.inProgress()),
-                (int) section.number("keptOutputs", 1, 1 << 24, by.keptOutputs()),
-                (int) section.number("keys", 1, 1 << 28, by.keys()));
-        section.refuseOthers();
+                (int) section.number("bodyBytes", 1_024, 1 << 30, defaults.bodyBytes()),
+                (int) section.number("headerBytes", 1_024, 1 << 20, defaults.headerBytes()),
+                (int) section.number("frameBytes", 1_024, 1 << 30, defaults.frameBytes()),
+                readRingSlots(section, defaults.ringSlots()),
+                (int) section.number("inProgress", 1, 1 << 20, defaults.inProgress()),
+                (int) section.number("keptOutputs", 1, 1 << 24, defaults.keptOutputs()),
+                (int) section.number("keys", 1, 1 << 28, defaults.keys()));
+        section.rejectUnknownNames();
         return bounds;
     }
 
-    private static int readRingSlots(Section section, int byDefault) {
+    private static int readRingSlots(SettingsSection section, int defaultSlots) {
         return section.optional("ringSlots", SettingsReader::parseRingSlots, "Give a power of two from 64 to 1048576.")
-                .orElse(byDefault);
+                .orElse(defaultSlots);
     }
 
-    private static LogSettings readLog(Section section) {
+    private static LogSettings readLog(SettingsSection section) {
         LogSettings log = new LogSettings(
-                section.flag("json", LogSettings.DEFAULTS.json()), section.flag("debug", LogSettings.DEFAULTS.debug()));
-        section.refuseOthers();
+                section.bool("json", LogSettings.DEFAULTS.json()), section.bool("debug", LogSettings.DEFAULTS.debug()));
+        section.rejectUnknownNames();
         return log;
     }
 
@@ -231,7 +231,7 @@
 
     private static String parseText(JsonNode value) {
         if (!value.isTextual()) {
-            throw new IllegalArgumentException("not a text");
+            throw new IllegalArgumentException("not a string");
         }
         return value.textValue();
     }
--- a/core/src/main/java/org/cornelramp/core/settings/package-info.java
+++ b/core/src/main/java/org/cornelramp/core/settings/package-info.java
@@ -1,2 +1,2 @@
-/** The settings of a process: one checked, immutable model. */
+/** The settings of a process: validated, immutable records and their readers. */
 package org.cornelramp.core.settings;
--- a/core/src/main/java/org/cornelramp/core/step/LongSequence.java
+++ b/core/src/main/java/org/cornelramp/core/step/LongSequence.java
@@ -2,45 +2,45 @@
 
 import java.util.Arrays;
 
-/** A growing sequence of numbers without boxing. Confined to one thread. */
+/** A growable queue of {@code long} values without boxing. Confined to one thread. */
 final class LongSequence {
-    private static final int START = 16;
+    private static final int INITIAL_CAPACITY = 16;
 
-    private long[] values = new long[START];
-    private int from;
-    private int to;
+    private long[] values = new long[INITIAL_CAPACITY];
+    private int firstIndex;
+    private int endIndex;
 
     int size() {
-        return to - from;
+        return endIndex - firstIndex;
     }
 
     void add(long[] source, int start, int end) {
         int count = end - start;
-        if (to + count > values.length) {
+        if (endIndex + count > values.length) {
             int size = size();
-            long[] larger = new long[Math.max(START, (size + count) * 3 / 2)];
-            System.arraycopy(values, from, larger, 0, size);
+            long[] larger = new long[Math.max(INITIAL_CAPACITY, (size + count) * 3 / 2)];
+            System.arraycopy(values, firstIndex, larger, 0, size);
             values = larger;
-            from = 0;
-            to = size;
+            firstIndex = 0;
+            endIndex = size;
         }
-        System.arraycopy(source, start, values, to, count);
-        to += count;
+        System.arraycopy(source, start, values, endIndex, count);
+        endIndex += count;
     }
 
-    /** A copy of a part, by places from the first held. */
+    /** Copies a range; the indices count from the first element that has not been dropped. */
     long[] copy(int start, int end) {
-        return Arrays.copyOfRange(values, from + start, from + end);
+        return Arrays.copyOfRange(values, firstIndex + start, firstIndex + end);
     }
 
     void dropFirst(int count) {
         if (count > size()) {
-            throw new IllegalStateException("A sequence of " + size() + " cannot drop " + count);
+            throw new IllegalStateException("A sequence of " + size() + " elements cannot drop " + count);
         }
-        from += count;
+        firstIndex += count;
     }
 
-    void keepFirst(int count) {
-        to = from + count;
+    void truncate(int count) {
+        endIndex = firstIndex + count;
     }
 }
--- a/core/src/main/java/org/cornelramp/core/step/StepSend.java
+++ b/core/src/main/java/org/cornelramp/core/step/OutputBatch.java
@@ -1,9 +1,9 @@
 package org.cornelramp.core.step;
 
 /**
- * Outputs to send. Immutable if the array is not changed.
+ * Outputs to send to the next stage. Immutable as long as the array is not modified.
  *
  * @param position position of the first output
  * @param outputs the outputs of consecutive positions
  */
-public record StepSend(int position, long[] outputs) {}
+public record OutputBatch(int position, long[] outputs) {}
--- a/core/src/main/java/org/cornelramp/core/step/StageSession.java
+++ b/core/src/main/java/org/cornelramp/core/step/StageSession.java
@@ -5,59 +5,59 @@
 import java.util.TreeMap;
 
 /**
- * One session at one stage: which inputs run, which outputs are kept, and what is sent to the next stage.
+ * State of one session at one stage: which inputs to run, which outputs are kept, and what to send to the next stage.
  *
  * <p>Confined to one thread. Invariants:
  * <ul>
- * <li>Each position is given out to run at most once, and only after all before it: {@link #nextRun} gives the next
- *     position alone, and {@link #accept} drops what has been given out. So a repeated or late step cannot run a
- *     layer twice, which would spoil the KV cache without any error.
- * <li>Only inputs of the present epoch are accepted. After a stage was replaced, steps of its earlier life may still
- *     be on the way; they would mix with those that its replacement sends.
- * <li>All outputs are kept until the session ends, so that a successor is rebuilt, or a broken link repaired, by
- *     sending again and never by running again.
+ * <li>Each position is run at most once, and only after all positions before it: {@link #nextRun} returns only the next
+ *     positions, and {@link #accept} drops inputs that were returned already. So a repeated or late step cannot run a
+ *     layer twice, which would corrupt the KV cache without any error.
+ * <li>Only inputs of the current epoch are accepted. After a stage was replaced, steps of the replaced one may still be
+ *     in transit and would mix with those that its replacement sends.
+ * <li>All outputs are kept until the session ends, so that a successor is rebuilt, or a broken link recovered, by
+ *     sending outputs again and never by running inputs again.
  * </ul>
  *
- * <p>"Once" is meant for each KV cache: a replacement without an imported cache runs the positions from 0 in its own
- * new cache, once each and in order, and no other stage runs anything again.
+ * <p>"At most once" applies to each KV cache: a replacement without an imported cache runs the positions from 0 in its
+ * own new cache, once each and in order, and no other stage runs anything again.
  */
 public final class StageSession {
-    private static final int NOT_SENDING = -1;
+    private static final int NOT_STARTED = -1;
 
-    private final StageShape shape;
+    private final StageSpec spec;
     private int epoch;
     private int position;
     private int running;
     private boolean frozen;
     private boolean ended;
-    private int sendFrom = NOT_SENDING;
-    private int sendNext = NOT_SENDING;
-    /** Inputs from {@link #position} on; the first {@link #running} of them are at the engine. */
+    private int sendStart = NOT_STARTED;
+    private int sendNext = NOT_STARTED;
+    /** Inputs from {@link #position} onwards; the engine is running the first {@link #running} of them. */
     private final LongSequence waiting = new LongSequence();
 
     private final LongSequence outputs = new LongSequence();
-    private final TreeMap<Integer, long[]> ahead = new TreeMap<>();
-    private int aheadCount;
+    private final TreeMap<Integer, long[]> earlyInputs = new TreeMap<>();
+    private int earlyCount;
 
-    /** A session that has run nothing. */
-    public StageSession(StageShape shape, int epoch) {
-        this.shape = shape;
+    /** Creates a session that has run nothing. */
+    public StageSession(StageSpec spec, int epoch) {
+        this.spec = spec;
         this.epoch = epoch;
     }
 
-    /** A session that goes on from what another agent exported. */
-    public StageSession(StageShape shape, int epoch, StageSnapshot from) {
-        this(shape, epoch);
-        if (from.position() != from.outputs().length || from.position() > shape.limit()) {
-            throw new IllegalArgumentException("A snapshot holds one output for each position before its own");
+    /** Creates a session that continues from the snapshot that another agent exported. */
+    public StageSession(StageSpec spec, int epoch, StageSnapshot from) {
+        this(spec, epoch);
+        if (from.position() != from.outputs().length || from.position() > spec.positionLimit()) {
+            throw new IllegalArgumentException("A snapshot must have one output for each position before its own");
         }
         this.position = from.position();
         this.outputs.add(from.outputs(), 0, from.outputs().length);
     }
 
-    /** Where the stage stands in its pipeline. */
-    public StageShape shape() {
-        return shape;
+    /** Index of the stage in its pipeline, and the limits of the session. */
+    public StageSpec spec() {
+        return spec;
     }
 
     /** The epoch whose steps are accepted. */
@@ -70,24 +70,24 @@
         return position;
     }
 
-    /** Inputs that are at the engine. */
+    /** Number of inputs that the engine is running. */
     public int running() {
         return running;
     }
 
-    /** Inputs that wait to run. */
+    /** Number of inputs that wait to run. */
     public int waiting() {
         return waiting.size() - running;
     }
 
     /**
-     * Takes a higher epoch: from now on steps of older ones change nothing, and nothing is sent until
-     * {@link #sendFrom}. Inputs that wait are dropped, since the predecessor sends again from this position; those
-     * at the engine stay, as its KV cache moves on with them.
+     * Switches to a higher epoch: steps of older ones are rejected from then on, and nothing is sent until
+     * {@link #startSending(int, int)}. Waiting inputs are dropped, since the predecessor sends again from this position;
+     * those that the engine is running are kept, since its KV cache will include them.
      *
-     * @return whether the epoch is now that of the session; false if a higher one was taken before
+     * @return whether the epoch is now that of the session; false if the session has a higher one
      */
-    public boolean open(int newEpoch) {
+    public boolean openEpoch(int newEpoch) {
         if (newEpoch < epoch) {
             return false;
         }
@@ -95,111 +95,111 @@
             epoch = newEpoch;
             frozen = false;
             ended = false;
-            waiting.keepFirst(running);
-            ahead.clear();
-            aheadCount = 0;
-            sendFrom = NOT_SENDING;
-            sendNext = NOT_SENDING;
+            waiting.truncate(running);
+            earlyInputs.clear();
+            earlyCount = 0;
+            sendStart = NOT_STARTED;
+            sendNext = NOT_STARTED;
         }
         return true;
     }
 
-    /** Takes inputs of consecutive positions. */
-    public StepVerdict accept(int stepEpoch, int from, long[] inputs) {
+    /** Accepts inputs of consecutive positions. */
+    public StepAcceptance accept(int stepEpoch, int from, long[] inputs) {
         if (stepEpoch != epoch) {
-            return StepVerdict.STALE;
+            return StepAcceptance.STALE;
         }
         if (from < 0) {
-            return StepVerdict.GAP;
+            return StepAcceptance.OUT_OF_RANGE;
         }
-        int expected = expected();
+        int expected = nextExpected();
         if (from > expected) {
-            return holdAhead(from, inputs);
+            return bufferEarly(from, inputs);
         }
         if (from + inputs.length <= expected) {
-            return StepVerdict.DUPLICATE;
+            return StepAcceptance.DUPLICATE;
         }
-        StepVerdict verdict = append(inputs, expected - from);
-        takeAhead();
-        return verdict;
+        StepAcceptance acceptance = append(inputs, expected - from);
+        appendBuffered();
+        return acceptance;
     }
 
-    private int expected() {
+    private int nextExpected() {
         return position + waiting.size();
     }
 
-    private StepVerdict append(long[] inputs, int skip) {
-        int at = expected();
+    private StepAcceptance append(long[] inputs, int skip) {
+        int next = nextExpected();
         int end = skip;
         while (end < inputs.length && !ended) {
-            if (at >= shape.limit() || shape.isEnd(at, inputs[end])) {
+            if (next >= spec.positionLimit() || spec.isEnd(next, inputs[end])) {
                 ended = true;
             } else {
-                at++;
+                next++;
                 end++;
             }
         }
         if (end == skip) {
-            return StepVerdict.ENDED;
+            return StepAcceptance.ENDED;
         }
         waiting.add(inputs, skip, end);
-        return StepVerdict.TAKEN;
+        return StepAcceptance.ACCEPTED;
     }
 
     /**
-     * Inputs may come before those that precede them, for two reasons. The first stage has two senders, the entry
-     * with the tokens that it holds and the last stage with new ones, and after a rebuild the last may be quicker.
-     * And frames of a link that broke may be read after the first ones of the new link. In both cases the missing
-     * inputs are on their way: a link loses frames only when it breaks, and then its sender sends again. So early
-     * inputs wait here, within the bound of the session.
+     * Buffers inputs that arrive before those that precede them, up to the length of the session. There are two causes.
+     * The first stage has two senders, the entry with the known tokens and the last stage with new ones, and after a
+     * rebuild the last stage may be faster. And frames of a broken link may be read after the first frames of the new
+     * link. In both cases the missing inputs are in transit: a link loses frames only when it breaks, and then its
+     * sender sends them again.
      */
-    private StepVerdict holdAhead(int from, long[] inputs) {
-        if (from + inputs.length > shape.limit() + 1 || aheadCount > shape.limit()) {
-            return StepVerdict.GAP;
+    private StepAcceptance bufferEarly(int from, long[] inputs) {
+        if (from + inputs.length > spec.positionLimit() + 1 || earlyCount > spec.positionLimit()) {
+            return StepAcceptance.OUT_OF_RANGE;
         }
-        long[] held = ahead.get(from);
-        int heldCount = held == null ? 0 : held.length;
-        if (inputs.length > heldCount) {
-            ahead.put(from, inputs);
-            aheadCount += inputs.length - heldCount;
+        long[] buffered = earlyInputs.get(from);
+        int bufferedCount = buffered == null ? 0 : buffered.length;
+        if (inputs.length > bufferedCount) {
+            earlyInputs.put(from, inputs);
+            earlyCount += inputs.length - bufferedCount;
         }
-        return StepVerdict.EARLY;
+        return StepAcceptance.EARLY;
     }
 
-    private void takeAhead() {
-        while (!ahead.isEmpty() && ahead.firstKey() <= expected()) {
-            Map.Entry<Integer, long[]> first = ahead.pollFirstEntry();
-            aheadCount -= first.getValue().length;
-            int skip = expected() - first.getKey();
+    private void appendBuffered() {
+        while (!earlyInputs.isEmpty() && earlyInputs.firstKey() <= nextExpected()) {
+            Map.Entry<Integer, long[]> first = earlyInputs.pollFirstEntry();
+            earlyCount -= first.getValue().length;
+            int skip = nextExpected() - first.getKey();
             if (skip < first.getValue().length) {
                 append(first.getValue(), skip);
             }
         }
     }
 
-    /** Whether {@link #nextRun} would give something. */
+    /** Whether {@link #nextRun} would return a batch. */
     public boolean isReady() {
         return !frozen && running == 0 && waiting() > 0;
     }
 
-    /** Gives out the next inputs to run, at most {@code max}; {@link #ran} must follow before the next are given. */
-    public Optional<StepRun> nextRun(int max) {
+    /** Returns the next inputs to run, at most {@code max}; none while a batch runs, see {@link #completeRun}. */
+    public Optional<InputBatch> nextRun(int max) {
         if (!isReady()) {
             return Optional.empty();
         }
         running = Math.min(max, waiting.size());
-        return Optional.of(new StepRun(position, waiting.copy(0, running)));
+        return Optional.of(new InputBatch(position, waiting.copy(0, running)));
     }
 
-    /** Takes back what {@link #nextRun} gave, since the engine said that it did not run it. */
-    public void putBack() {
+    /** Returns the batch of {@link #nextRun} to the waiting inputs, after the engine reported that it did not run. */
+    public void cancelRun() {
         running = 0;
     }
 
-    /** Keeps the outputs of what {@link #nextRun} gave. */
-    public void ran(long[] results) {
+    /** Adds the outputs of the batch of {@link #nextRun}. */
+    public void completeRun(long[] results) {
         if (results.length != running || running == 0) {
-            throw new IllegalStateException("An engine gives one output for each input");
+            throw new IllegalStateException("An engine must return one output for each input");
         }
         outputs.add(results, 0, results.length);
         waiting.dropFirst(running);
@@ -207,41 +207,41 @@
         running = 0;
     }
 
-    /** Sends outputs from a position on, kept ones again; false if the epoch is not the present one. */
-    public boolean sendFrom(int sendEpoch, int from) {
+    /** Starts sending at a position, including outputs sent before; false if the epoch is not the current one. */
+    public boolean startSending(int sendEpoch, int from) {
         if (sendEpoch != epoch || from < 0) {
             return false;
         }
-        sendFrom = from;
+        sendStart = from;
         sendNext = from;
         return true;
     }
 
-    /** Sends again all that this epoch has sent: the link broke, and what was on the way may be lost. */
-    public void sendAgain() {
-        sendNext = sendFrom;
+    /** Sends everything of this epoch again, since frames in transit may be lost when a link breaks. */
+    public void resendAll() {
+        sendNext = sendStart;
     }
 
-    /** The next outputs to send, at most {@code max}; {@link #sent} follows once they are on the link. */
-    public Optional<StepSend> nextSend(int max) {
-        if (sendNext == NOT_SENDING || sendNext >= position) {
+    /** Returns the next outputs to send, at most {@code max}; call {@link #markSent} once they are written to the link. */
+    public Optional<OutputBatch> nextSend(int max) {
+        if (sendNext == NOT_STARTED || sendNext >= position) {
             return Optional.empty();
         }
         int end = Math.min(position, sendNext + max);
-        return Optional.of(new StepSend(sendNext, outputs.copy(sendNext, end)));
+        return Optional.of(new OutputBatch(sendNext, outputs.copy(sendNext, end)));
     }
 
-    /** Notes that outputs are on the link. */
-    public void sent(StepSend send) {
+    /** Records that outputs were written to the link. */
+    public void markSent(OutputBatch send) {
         sendNext = send.position() + send.outputs().length;
     }
 
-    /** Whether {@link #sendFrom} came in this epoch. */
+    /** Whether {@link #startSending(int, int)} was called in this epoch. */
     public boolean isSending() {
-        return sendNext != NOT_SENDING;
+        return sendNext != NOT_STARTED;
     }
 
-    /** Gives out nothing to run from now on, so that the KV cache can be exported. */
+    /** Stops {@link #nextRun} from returning batches, so that the KV cache can be exported. */
     public void freeze() {
         frozen = true;
     }
@@ -251,16 +251,16 @@
         return frozen;
     }
 
-    /** What a replacement needs beside the KV cache; only while nothing is at the engine. */
+    /** The state that a replacement needs besides the KV cache; only allowed while the engine runs nothing. */
     public StageSnapshot snapshot() {
         if (running > 0) {
-            throw new IllegalStateException("A stage is exported between steps");
+            throw new IllegalStateException("A stage must not be exported during a step");
         }
         return new StageSnapshot(position, outputs.copy(0, position));
     }
 
-    /** Whether the first stage has seen the end of the answer, or any stage its last position. */
+    /** Whether the end token has reached the first stage, or the stage has run its last position. */
     public boolean isEnded() {
-        return ended || position >= shape.limit();
+        return ended || position >= spec.positionLimit();
     }
 }
--- a/core/src/main/java/org/cornelramp/core/step/StageShape.java
+++ b/core/src/main/java/org/cornelramp/core/step/StageSpec.java
@@ -1,39 +1,39 @@
 package org.cornelramp.core.step;
 
 /**
- * Where a stage stands in its pipeline and how long the session can become. Immutable, safe for use by any thread.
+ * Index of a stage in its pipeline, and the length limits of the session. Immutable, safe for use by any thread.
  *
  * <p>Position j of the input is prompt token j, then generated token j - promptTokens. The output of the last stage
  * at position promptTokens - 1 + i is generated token i.
  *
  * @param stage index of the stage, from 0
  * @param stages number of stages
- * @param promptTokens tokens of the prompt
- * @param maxTokens most tokens to generate
+ * @param promptTokens number of tokens of the prompt
+ * @param maxTokens maximum number of tokens to generate
  */
-public record StageShape(int stage, int stages, int promptTokens, int maxTokens) {
+public record StageSpec(int stage, int stages, int promptTokens, int maxTokens) {
     /** The generated token that ends an answer. */
     public static final long END_TOKEN = 0;
 
-    public StageShape {
+    public StageSpec {
         if (stage < 0 || stage >= stages || promptTokens < 1 || maxTokens < 1) {
             throw new IllegalArgumentException(
-                    "A stage needs 0 <= stage < stages, and a prompt and tokens to generate");
+                    "A stage needs 0 <= stage < stages, a prompt token and a token to generate");
         }
     }
 
-    /** Whether the stage takes token numbers. */
+    /** Whether this is the first stage, whose inputs are token numbers. */
     public boolean isFirst() {
         return stage == 0;
     }
 
-    /** Whether the stage gives token numbers. */
+    /** Whether this is the last stage, whose outputs are token numbers. */
     public boolean isLast() {
         return stage == stages - 1;
     }
 
-    /** The position after the last that can be run: the last token to generate is not fed back. */
-    public int limit() {
+    /** The position after the last one that is run: the last generated token is not fed back as an input. */
+    public int positionLimit() {
         return promptTokens + maxTokens - 1;
     }
 
--- a/core/src/main/java/org/cornelramp/core/step/package-info.java
+++ b/core/src/main/java/org/cornelramp/core/step/package-info.java
@@ -1,2 +1,2 @@
-/** What one stage of a pipeline session runs, keeps and sends. */
+/** State of one stage of a pipeline session: the inputs to run and the outputs to keep and to send. */
 package org.cornelramp.core.step;
--- a/core/src/main/java/org/cornelramp/core/table/ColumnFault.java
+++ b/core/src/main/java/org/cornelramp/core/table/ColumnFault.java
@@ -1,10 +1,10 @@
 package org.cornelramp.core.table;
 
 /**
- * One column value that the table does not take. Immutable, safe for use by any thread.
+ * An invalid value of a column. Immutable, safe for use by any thread.
  *
  * @param column name of the column
- * @param remedy what to give instead, as one sentence
+ * @param remedy how to correct the value, as one sentence
  */
 public record ColumnFault(String column, String remedy) {
 
--- a/core/src/main/java/org/cornelramp/core/table/Folded.java
+++ b/core/src/main/java/org/cornelramp/core/table/FoldResult.java
@@ -4,6 +4,6 @@
  * The result of folding one record. Immutable, safe for use by any thread.
  *
  * @param table the table after the record
- * @param verdict what was decided on the record
+ * @param outcome whether the record was applied, and why not
  */
-public record Folded(FoldedTable table, Verdict verdict) {}
+public record FoldResult(FoldedTable table, RecordOutcome outcome) {}
--- a/core/src/main/java/org/cornelramp/core/table/FoldedTable.java
+++ b/core/src/main/java/org/cornelramp/core/table/FoldedTable.java
@@ -10,16 +10,16 @@
 import org.cornelramp.core.model.ServiceName;
 
 /**
- * The table as folded from the log up to one offset, with the version of each deleted row.
+ * The table that results from folding the log up to one offset, with the version of each deleted row.
  *
- * <p>Deleted rows leave their version behind: an edit made against a state before the deletion would otherwise be
- * accepted as the creation of a new row and bring back what an operator removed.
+ * <p>The versions of deleted rows are kept: otherwise an edit based on a state before the deletion would be accepted as
+ * the creation of a new row and restore what an operator removed.
  *
  * <p>Immutable and safe for use by any thread; a change shares all unchanged rows with the table before it.
- * Invariants: no version is as high as the offset; no hash of a caller key belongs to two organisations.
+ * Invariants: every version is below the offset; each hash of a caller key belongs to one organisation only.
  */
 public final class FoldedTable implements Table {
-    /** Version of a row that never was. */
+    /** Version of a row that has never existed. */
     public static final long NO_VERSION = -1;
 
     private static final FoldedTable EMPTY =
@@ -27,24 +27,24 @@
 
     private final long offset;
     private final SortedMap<RowKey, Row> rows;
-    private final SortedMap<RowKey, Long> deleted;
-    private final Map<String, Owner> owners;
-    private final Map<ServiceName, Integer> services;
+    private final SortedMap<RowKey, Long> deletionVersions;
+    private final Map<String, KeyOwner> keyOwners;
+    private final Map<ServiceName, Integer> rowsByService;
 
-    /** The organisation of a hash, and the number of its rows that list it. */
-    private record Owner(OrganisationId organisation, int rows) {}
+    /** The organisation that owns a key hash, and the number of its rows that list it. */
+    private record KeyOwner(OrganisationId organisation, int rows) {}
 
     private FoldedTable(
             long offset,
             SortedMap<RowKey, Row> rows,
-            SortedMap<RowKey, Long> deleted,
-            Map<String, Owner> owners,
-            Map<ServiceName, Integer> services) {
+            SortedMap<RowKey, Long> deletionVersions,
+            Map<String, KeyOwner> keyOwners,
+            Map<ServiceName, Integer> rowsByService) {
         this.offset = offset;
         this.rows = rows;
-        this.deleted = deleted;
-        this.owners = owners;
-        this.services = services;
+        this.deletionVersions = deletionVersions;
+        this.keyOwners = keyOwners;
+        this.rowsByService = rowsByService;
     }
 
     /** The table before the first record. */
@@ -69,12 +69,12 @@
 
     @Override
     public Optional<OrganisationId> organisationOf(String callerKeyHash) {
-        return owners.get(callerKeyHash).map(Owner::organisation).toJavaOptional();
+        return keyOwners.get(callerKeyHash).map(KeyOwner::organisation).toJavaOptional();
     }
 
     @Override
     public boolean hasService(ServiceName service) {
-        return services.containsKey(service);
+        return rowsByService.containsKey(service);
     }
 
     /** Number of rows. */
@@ -82,76 +82,80 @@
         return rows.size();
     }
 
-    /** Version that an edit of the row must name: that of the row, else of its deletion, else {@link #NO_VERSION}. */
+    /** Base version for an edit of the row: its version, else that of its deletion, else {@link #NO_VERSION}. */
     public long version(RowKey key) {
-        return rows.get(key).map(Row::version).getOrElse(() -> deleted.get(key).getOrElse(NO_VERSION));
+        return rows.get(key)
+                .map(Row::version)
+                .getOrElse(() -> deletionVersions.get(key).getOrElse(NO_VERSION));
     }
 
-    /** Deleted rows with the versions of their deletions, in the order of their keys. */
+    /** The versions of the deletions of rows, ordered by row key. */
     public java.util.Map<RowKey, Long> deletions() {
-        return deleted.toJavaMap();
+        return deletionVersions.toJavaMap();
     }
 
-    /** This table at a higher offset, with no row changed. */
-    public FoldedTable at(long newOffset) {
+    /** Returns this table at another offset that is not lower, with the same rows. */
+    public FoldedTable atOffset(long newOffset) {
         if (newOffset < offset) {
-            throw new IllegalArgumentException("A table's offset never falls");
+            throw new IllegalArgumentException("The offset of a table must not decrease");
         }
-        return new FoldedTable(newOffset, rows, deleted, owners, services);
+        return new FoldedTable(newOffset, rows, deletionVersions, keyOwners, rowsByService);
     }
 
     /**
-     * This table with one row set; the offset moves past the row's version if it is below.
+     * Returns this table with one row set; the offset becomes at least the row's version plus 1.
      *
      * @throws IllegalArgumentException if another organisation already has a caller key of the row
      */
     public FoldedTable with(Row row) {
         FoldedTable without = without(row.key());
-        Map<String, Owner> owned = without.owners;
+        Map<String, KeyOwner> newOwners = without.keyOwners;
         for (String hash : row.values().callerKeyHashes()) {
-            Owner owner = owned.get(hash).getOrElse(new Owner(row.key().organisation(), 0));
+            KeyOwner owner =
+                    newOwners.get(hash).getOrElse(new KeyOwner(row.key().organisation(), 0));
             if (!owner.organisation().equals(row.key().organisation())) {
-                throw new IllegalArgumentException("A caller key belongs to one organisation only");
+                throw new IllegalArgumentException("A caller key must belong to one organisation only");
             }
-            owned = owned.put(hash, new Owner(owner.organisation(), owner.rows() + 1));
+            newOwners = newOwners.put(hash, new KeyOwner(owner.organisation(), owner.rows() + 1));
         }
         ServiceName service = row.key().service();
         return new FoldedTable(
                 Math.max(offset, row.version() + 1),
                 without.rows.put(row.key(), row),
-                without.deleted,
-                owned,
-                without.services.put(service, without.services.getOrElse(service, 0) + 1));
+                without.deletionVersions,
+                newOwners,
+                without.rowsByService.put(service, without.rowsByService.getOrElse(service, 0) + 1));
     }
 
-    /** This table with one row deleted at a version. */
+    /** Returns this table with one row deleted at a version. */
     public FoldedTable withDeletion(RowKey key, long version) {
         FoldedTable without = without(key);
         return new FoldedTable(
                 Math.max(offset, version + 1),
                 without.rows,
-                without.deleted.put(key, version),
-                without.owners,
-                without.services);
+                without.deletionVersions.put(key, version),
+                without.keyOwners,
+                without.rowsByService);
     }
 
-    /** This table with neither the row nor its deletion. */
+    /** Returns this table without the row and without its deletion. */
     FoldedTable without(RowKey key) {
         Row row = rows.get(key).getOrNull();
         if (row == null) {
-            return new FoldedTable(offset, rows, deleted.remove(key), owners, services);
+            return new FoldedTable(offset, rows, deletionVersions.remove(key), keyOwners, rowsByService);
         }
-        Map<String, Owner> owned = owners;
+        Map<String, KeyOwner> newOwners = keyOwners;
         for (String hash : row.values().callerKeyHashes()) {
-            Owner owner = owned.get(hash).get();
-            owned = owner.rows() == 1
-                    ? owned.remove(hash)
-                    : owned.put(hash, new Owner(owner.organisation(), owner.rows() - 1));
+            KeyOwner owner = newOwners.get(hash).get();
+            newOwners = owner.rows() == 1
+                    ? newOwners.remove(hash)
+                    : newOwners.put(hash, new KeyOwner(owner.organisation(), owner.rows() - 1));
         }
-        int left = services.get(key.service()).get() - 1;
-        Map<ServiceName, Integer> served =
-                left == 0 ? services.remove(key.service()) : services.put(key.service(), left);
-        return new FoldedTable(offset, rows.remove(key), deleted, owned, served);
+        int remainingRows = rowsByService.get(key.service()).get() - 1;
+        Map<ServiceName, Integer> newServices = remainingRows == 0
+                ? rowsByService.remove(key.service())
+                : rowsByService.put(key.service(), remainingRows);
+        return new FoldedTable(offset, rows.remove(key), deletionVersions, newOwners, newServices);
     }
 
     @Override
@@ -162,7 +166,7 @@
         return other instanceof FoldedTable that
                 && offset == that.offset
                 && rows.equals(that.rows)
-                && deleted.equals(that.deleted);
+                && deletionVersions.equals(that.deletionVersions);
     }
 
     @Override
@@ -172,6 +176,6 @@
 
     @Override
     public String toString() {
-        return "FoldedTable[offset=" + offset + ", rows=" + rows.size() + ", deleted=" + deleted.size() + "]";
+        return "FoldedTable[offset=" + offset + ", rows=" + rows.size() + ", deleted=" + deletionVersions.size() + "]";
     }
 }
--- a/core/src/main/java/org/cornelramp/core/table/Interner.java
+++ b/core/src/main/java/org/cornelramp/core/table/Interner.java
@@ -7,26 +7,26 @@
 import org.cornelramp.core.model.ServiceName;
 
 /**
- * Keeps one copy of each name and key hash while a snapshot is read.
+ * Keeps one instance of each name and list of key hashes while a snapshot is read.
  *
- * <p>An organisation's name and keys stand in each of its rows; thousands of rows would otherwise hold thousands of
- * copies in a process that is allowed little memory. Confined to one thread.
+ * <p>Each row repeats the name and the keys of its organisation; without interning, thousands of rows would hold
+ * thousands of copies in a process with a small heap. Confined to one thread.
  */
 final class Interner {
-    private final Map<Object, Object> seen = new HashMap<>();
+    private final Map<Object, Object> canonical = new HashMap<>();
 
     OrganisationId organisation(OrganisationId organisation) {
-        return (OrganisationId) keep(organisation);
+        return (OrganisationId) intern(organisation);
     }
 
     ServiceName service(ServiceName service) {
-        return (ServiceName) keep(service);
+        return (ServiceName) intern(service);
     }
 
     RowValues values(RowValues values) {
         List<String> hashes = List.copyOf(values.callerKeyHashes());
         @SuppressWarnings("unchecked")
-        List<String> kept = (List<String>) keep(hashes);
+        List<String> kept = (List<String>) intern(hashes);
         return new RowValues(
                 values.weight(),
                 values.priority(),
@@ -38,8 +38,8 @@
                 kept);
     }
 
-    private Object keep(Object object) {
-        Object first = seen.putIfAbsent(object, object);
+    private Object intern(Object object) {
+        Object first = canonical.putIfAbsent(object, object);
         return first == null ? object : first;
     }
 }
--- a/core/src/main/java/org/cornelramp/core/table/Row.java
+++ b/core/src/main/java/org/cornelramp/core/table/Row.java
@@ -1,7 +1,7 @@
 package org.cornelramp.core.table;
 
 /**
- * One row in force. Immutable, safe for use by any thread.
+ * One row of the table. Immutable, safe for use by any thread.
  *
  * @param key organisation and service
  * @param version offset of the log record that set the row
--- a/core/src/main/java/org/cornelramp/core/table/RowChecks.java
+++ b/core/src/main/java/org/cornelramp/core/table/RowChecks.java
@@ -6,31 +6,31 @@
 import java.util.regex.Pattern;
 
 /**
- * The ranges of the table's columns, the same for the fold, the operators' interface and CSV.
+ * The valid ranges of the table's columns, shared by the fold, the operators' interface and CSV.
  *
- * <p>Changing a range changes which records of the log are accepted, so all processes must change together.
+ * <p>A change of a range changes which records of the log are accepted, so all processes must be updated together.
  * Stateless, safe for use by any thread.
  */
 public final class RowChecks {
     /** Highest weight. */
     public static final int MAX_WEIGHT = 1_000_000;
-    /** Last priority. */
+    /** Highest priority number, which comes last. */
     public static final int MAX_PRIORITY = 9;
-    /** Highest rate, in requests or tokens a second. */
+    /** Highest rate, in requests or tokens per second. */
     public static final double MAX_RATE = 1e9;
     /** Highest concurrency. */
     public static final int MAX_CONCURRENCY = 1_000_000;
     /** Longest deadline, in milliseconds. */
     public static final long MAX_DEADLINE_MILLIS = 600_000;
-    /** Most caller keys of one row. */
+    /** Maximum number of caller keys in one row. */
     public static final int MAX_KEYS = 64;
 
     private static final Pattern HASH = Pattern.compile("[0-9a-f]{64}");
 
     private RowChecks() {}
 
-    /** Every fault of a row's values; empty if the table takes them. */
-    public static List<ColumnFault> check(RowValues values) {
+    /** Returns every fault in a row's values; empty if they are valid. */
+    public static List<ColumnFault> validate(RowValues values) {
         List<ColumnFault> faults = new ArrayList<>();
         checkRange(faults, "weight", values.weight(), 1, MAX_WEIGHT);
         checkRange(faults, "priority", values.priority(), 0, MAX_PRIORITY);
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Written so that a value that is not a number fails too. */
+    /** The condition is negated so that NaN is reported as well. */
     private static void checkRange(List<ColumnFault> faults, String column, double value, double min, double max) {
         if (!(value >= min && value <= max)) {
             faults.add(new ColumnFault(column, "Give a number from " + (long) min + " to " + (long) max + "."));
--- a/core/src/main/java/org/cornelramp/core/table/RowHistory.java
+++ b/core/src/main/java/org/cornelramp/core/table/RowHistory.java
@@ -8,73 +8,75 @@
 import java.util.Set;
 
 /**
- * Tells which edits of one row came into force, from the records alone and without folding them again.
+ * Determines which edits of one row were accepted, from the records alone and without folding them again.
  *
- * <p>Each edit names the version that it was made against, and only an edit against the row's version is accepted.
- * So the accepted edits form a chain: the row's version is the offset of the last, which names the one before it.
- * Going back along that chain finds all of them, also where the fold rejects for reasons that other rows give.
+ * <p>Each edit names its base version, and only an edit based on the row's current version is accepted. So the accepted
+ * edits form a linked list: the row's version is the offset of the last one, whose base version is the offset of the
+ * one before it. Following that list backwards finds all of them, including where the fold rejects an edit because of
+ * other rows.
  *
  * <p>Immutable, safe for use by any thread.
  */
 public final class RowHistory {
-    private final List<Entry> edits;
-    private final Set<Long> accepted;
+    private final List<LoggedEdit> edits;
+    private final Set<Long> acceptedOffsets;
 
     /**
      * One edit of the row.
      *
      * @param offset offset of its record
-     * @param at when the log took it, in milliseconds since 1970
+     * @param appendedAtMillis time at which the log appended it, in milliseconds since 1970
      * @param edit the edit
      */
-    public record Entry(long offset, long at, TableEdit edit) {}
+    public record LoggedEdit(long offset, long appendedAtMillis, TableEdit edit) {}
 
-    private RowHistory(List<Entry> edits, Set<Long> accepted) {
+    private RowHistory(List<LoggedEdit> edits, Set<Long> acceptedOffsets) {
         this.edits = edits;
-        this.accepted = accepted;
+        this.acceptedOffsets = acceptedOffsets;
     }
 
     /**
      * Finds the accepted edits.
      *
-     * @param table a table at or above the last of the records
+     * @param table a table at or above the offset of the last record
      * @param key the row
-     * @param records consecutive records of the log, of all rows
+     * @param records consecutive records of the log, for all rows
      */
     public static RowHistory of(FoldedTable table, RowKey key, List<LoggedRecord> records) {
-        List<Entry> edits = records.stream()
+        List<LoggedEdit> edits = records.stream()
                 .filter(record -> record.offset() < table.offset())
                 .flatMap(record -> TableRecords.readEdit(record.value()).stream()
                         .filter(edit -> edit.key().equals(key))
-                        .map(edit -> new Entry(record.offset(), record.at(), edit)))
+                        .map(edit -> new LoggedEdit(record.offset(), record.appendedAtMillis(), edit)))
                 .toList();
-        Map<Long, Long> against = new HashMap<>();
-        edits.forEach(entry -> against.put(entry.offset(), entry.edit().against()));
-        Set<Long> accepted = new HashSet<>();
+        Map<Long, Long> baseVersions = new HashMap<>();
+        edits.forEach(entry -> baseVersions.put(entry.offset(), entry.edit().baseVersion()));
+        Set<Long> acceptedOffsets = new HashSet<>();
         long version = table.version(key);
-        // Versions fall along the chain; a faulty record against a later version must not make it run in a circle.
-        while (against.containsKey(version) && accepted.add(version)) {
-            version = against.get(version);
+        // Versions decrease along the list; the check of add() prevents an endless loop on a faulty record that names a
+        // later base version.
+        while (baseVersions.containsKey(version) && acceptedOffsets.add(version)) {
+            version = baseVersions.get(version);
         }
-        return new RowHistory(edits, accepted);
+        return new RowHistory(edits, acceptedOffsets);
     }
 
     /** The edits of the row, oldest first. */
-    public List<Entry> edits() {
+    public List<LoggedEdit> edits() {
         return edits;
     }
 
-    /** Whether the edit at an offset came into force. */
+    /** Whether the edit at an offset was accepted. */
     public boolean isAccepted(long offset) {
-        return accepted.contains(offset);
+        return acceptedOffsets.contains(offset);
     }
 
     /**
-     * The edit with an id: the accepted one if it is on the log more than once, as after an append whose answer was
-     * lost and that was made again.
+     * The edit with an id. The log may hold an edit more than once, since an append is repeated after its answer was
+     * lost; then the accepted one is returned.
      */
-    public Optional<Entry> find(String id) {
-        List<Entry> found =
+    public Optional<LoggedEdit> find(String id) {
+        List<LoggedEdit> found =
                 edits.stream().filter(entry -> entry.edit().id().equals(id)).toList();
         return found.stream()
                 .filter(entry -> isAccepted(entry.offset()))
@@ -82,10 +84,10 @@
                 .or(() -> found.stream().findFirst());
     }
 
-    /** The edit that came into force against a version, if it is among the records. */
-    public Optional<Entry> winnerAgainst(long version) {
+    /** The accepted edit with a base version, if it is among the records. */
+    public Optional<LoggedEdit> acceptedEditWithBase(long version) {
         return edits.stream()
-                .filter(entry -> isAccepted(entry.offset()) && entry.edit().against() == version)
+                .filter(entry -> isAccepted(entry.offset()) && entry.edit().baseVersion() == version)
                 .findFirst();
     }
 }
--- a/core/src/main/java/org/cornelramp/core/table/RowKey.java
+++ b/core/src/main/java/org/cornelramp/core/table/RowKey.java
@@ -3,7 +3,7 @@
 import org.cornelramp.core.model.OrganisationId;
 import org.cornelramp.core.model.ServiceName;
 
-/** Names one row of the table. Immutable, safe for use by any thread. */
+/** Identifies one row of the table. Immutable, safe for use by any thread. */
 public record RowKey(OrganisationId organisation, ServiceName service) implements Comparable<RowKey> {
 
     @Override
--- a/core/src/main/java/org/cornelramp/core/table/RowsView.java
+++ b/core/src/main/java/org/cornelramp/core/table/RowsView.java
@@ -5,10 +5,10 @@
 import java.util.Iterator;
 
 /**
- * The rows of a table in the order of their keys, walked in linear time. Immutable, safe for use by any thread.
+ * The rows of a table ordered by key, with iteration in linear time. Immutable, safe for use by any thread.
  *
- * <p>Vavr's own view of a map's values fetches each element by its index from a linked list, which is quadratic: with
- * 4,000 rows one walk took tens of milliseconds, on the thread that serves the links.
+ * <p>Vavr's own view of a map's values reads each element by its index from a linked list, which is quadratic: with
+ * 4,000 rows one iteration took tens of milliseconds on the thread that serves the links.
  */
 final class RowsView extends AbstractCollection<Row> {
     private final SortedMap<RowKey, Row> rows;
--- a/core/src/main/java/org/cornelramp/core/table/Table.java
+++ b/core/src/main/java/org/cornelramp/core/table/Table.java
@@ -6,24 +6,24 @@
 import org.cornelramp.core.model.ServiceName;
 
 /**
- * The table in force at one log offset, as the routing decisions read it.
+ * The table at one log offset, as the routing decisions read it.
  *
- * <p>Implementations are immutable and safe for use by any thread; a change gives a new table.
+ * <p>Implementations are immutable and safe for use by any thread; a change creates a new table.
  */
 public interface Table {
 
-    /** Offset after the last log record that this table covers; a table never replaces one with a higher offset. */
+    /** Offset after the last log record that this table includes; a table never replaces one with a higher offset. */
     long offset();
 
-    /** The row of an organisation and service, if there is one. */
+    /** The row of an organisation and service, if it exists. */
     Optional<Row> row(RowKey key);
 
-    /** All rows, in the order of their keys. */
+    /** All rows, ordered by key. */
     Collection<Row> rows();
 
     /** The organisation whose rows list this hash of a caller key, if any. */
     Optional<OrganisationId> organisationOf(String callerKeyHash);
 
-    /** Whether any row names this service. */
+    /** Whether any row is for this service. */
     boolean hasService(ServiceName service);
 }
--- a/core/src/main/java/org/cornelramp/core/table/TableCsv.java
+++ b/core/src/main/java/org/cornelramp/core/table/TableCsv.java
@@ -12,10 +12,10 @@
 import org.cornelramp.core.model.ServiceName;
 
 /**
- * The table as CSV, one line for each row, for spreadsheets.
+ * Reads and writes the table as CSV, one line for each row, for spreadsheets.
  *
- * <p>No value of the table can hold a comma, a quote or a line end, so a line is cut at its commas and a field may
- * stand in quotes, which some spreadsheets add. Reading gives all rows or every fault. Stateless, safe for use by
+ * <p>No value of the table can contain a comma, a quote or a line break, so lines are split at commas; a field may be
+ * enclosed in quotes, which some spreadsheets add. Reading returns all rows or every fault. Stateless, safe for use by
  * any thread.
  */
 public final class TableCsv {
@@ -33,7 +33,7 @@
             "objectivePercent",
             "callerKeyHashes");
 
-    /** Most faults that are told; a file of the wrong kind has one in each line. */
+    /** Maximum number of reported faults; a file of another kind has one in each line. */
     public static final int MAX_FAULTS = 50;
 
     private static final String BYTE_ORDER_MARK = "\uFEFF";
@@ -46,11 +46,11 @@
      * One line of a file. Immutable, safe for use by any thread.
      *
      * @param line line of the file, from 1
-     * @param row the row, its version being the one that an edit is made against
+     * @param row the row; its version is the base version of an edit
      */
     public record CsvRow(int line, Row row) {}
 
-    /** Writes rows with a line of names first. */
+    /** Writes rows after a header line with the names of the columns. */
     public static String write(Collection<Row> rows) {
         StringBuilder text = new StringBuilder(String.join(SEPARATOR, COLUMNS)).append('\n');
         for (Row row : rows) {
@@ -68,21 +68,21 @@
                 Long.toString(row.version()),
                 Integer.toString(values.weight()),
                 Integer.toString(values.priority()),
-                number(values.requestsPerSecond()),
+                formatNumber(values.requestsPerSecond()),
                 Integer.toString(values.concurrency()),
-                number(values.tokensPerSecond()),
+                formatNumber(values.tokensPerSecond()),
                 Long.toString(values.deadlineMillis()),
-                number(values.objectivePercent()),
+                formatNumber(values.objectivePercent()),
                 String.join(KEY_SEPARATOR, values.callerKeyHashes()));
     }
 
-    /** Reads all rows, or gives every fault up to {@link #MAX_FAULTS}. */
+    /** Reads all rows, or returns the faults, at most {@link #MAX_FAULTS}. */
     public static Either<List<CsvFault>, List<CsvRow>> read(String text) {
-        String plain = text.startsWith(BYTE_ORDER_MARK) ? text.substring(1) : text;
-        List<String> lines = plain.lines().toList();
+        String withoutBom = text.startsWith(BYTE_ORDER_MARK) ? text.substring(1) : text;
+        List<String> lines = withoutBom.lines().toList();
         List<CsvFault> faults = new ArrayList<>();
-        List<String> names = lines.isEmpty() ? List.of() : cut(lines.get(0));
-        checkNames(names, faults);
+        List<String> names = lines.isEmpty() ? List.of() : splitFields(lines.get(0));
+        checkColumns(names, faults);
         if (!faults.isEmpty()) {
             return Either.left(faults);
         }
@@ -99,12 +99,12 @@
     private static void addRow(CsvRow row, List<CsvRow> rows, Map<RowKey, Integer> seen, List<CsvFault> faults) {
         Integer first = seen.putIfAbsent(row.row().key(), row.line());
         if (first != null) {
-            faults.add(new CsvFault(row.line(), "", "Give each row once; this one stands in line " + first + " too."));
+            faults.add(new CsvFault(row.line(), "", "Give each row once; line " + first + " has the same row."));
         }
         rows.add(row);
     }
 
-    private static void checkNames(List<String> names, List<CsvFault> faults) {
+    private static void checkColumns(List<String> names, List<CsvFault> faults) {
         for (String column : COLUMNS) {
             long count = names.stream().filter(column::equals).count();
             if (count != 1) {
@@ -115,13 +115,15 @@
         for (String name : names) {
             if (!COLUMNS.contains(name) && faults.size() < MAX_FAULTS) {
                 faults.add(new CsvFault(
-                        1, shown(name), "Remove or rename it; the columns are " + String.join(", ", COLUMNS) + "."));
+                        1,
+                        abbreviate(name),
+                        "Remove or rename it; the columns are " + String.join(", ", COLUMNS) + "."));
             }
         }
     }
 
     private static Optional<CsvRow> readLine(List<String> names, int line, String text, List<CsvFault> faults) {
-        List<String> fields = cut(text);
+        List<String> fields = splitFields(text);
         if (fields.size() != names.size()) {
             faults.add(new CsvFault(
                     line, "", "Give " + names.size() + " fields as in line 1; this line has " + fields.size() + "."));
@@ -140,33 +142,36 @@
         OrganisationId organisation = line.read("organisation", OrganisationId::new, null, "Give a name.");
         ServiceName service = line.read("service", ServiceName::new, null, "Give a name.");
         long version = line.read(
-                "version", TableCsv::version, -1L, "Give the row's version as exported; leave it empty for a new row.");
+                "version",
+                TableCsv::parseVersion,
+                -1L,
+                "Give the row's version as exported; leave it empty for a new row.");
         RowValues values = new RowValues(
-                line.whole("weight", 1).intValue(),
-                line.whole("priority", 0).intValue(),
-                line.real("requestsPerSecond", 0),
-                line.whole("concurrency", 0).intValue(),
-                line.real("tokensPerSecond", 0),
-                line.whole("deadlineMillis", 1),
-                line.real("objectivePercent", 1),
-                keys(line.fields().get("callerKeyHashes")));
-        RowChecks.check(values).forEach(fault -> line.fault(fault.column(), fault.remedy()));
+                line.readWholeNumber("weight", 1).intValue(),
+                line.readWholeNumber("priority", 0).intValue(),
+                line.readDouble("requestsPerSecond", 0),
+                line.readWholeNumber("concurrency", 0).intValue(),
+                line.readDouble("tokensPerSecond", 0),
+                line.readWholeNumber("deadlineMillis", 1),
+                line.readDouble("objectivePercent", 1),
+                parseKeys(line.fields().get("callerKeyHashes")));
+        RowChecks.validate(values).forEach(fault -> line.addFault(fault.column(), fault.remedy()));
         return new Row(new RowKey(organisation, service), version, values);
     }
 
-    private static long version(String text) {
+    private static long parseVersion(String text) {
         long version = text.isEmpty() ? FoldedTable.NO_VERSION : Long.parseLong(text);
         if (version < FoldedTable.NO_VERSION) {
-            throw new IllegalArgumentException("no version");
+            throw new IllegalArgumentException("not a version");
         }
         return version;
     }
 
-    private static List<String> keys(String text) {
+    private static List<String> parseKeys(String text) {
         return text.isBlank() ? List.of() : List.of(text.trim().split(" +"));
     }
 
-    private static List<String> cut(String line) {
+    private static List<String> splitFields(String line) {
         List<String> fields = new ArrayList<>();
         for (String field : line.split(SEPARATOR, -1)) {
             String trimmed = field.trim();
@@ -176,38 +181,38 @@
         return fields;
     }
 
-    private static String number(double value) {
+    private static String formatNumber(double value) {
         return value == Math.rint(value) && Math.abs(value) <= RowChecks.MAX_RATE
                 ? Long.toString((long) value)
                 : Double.toString(value);
     }
 
-    private static String shown(String name) {
+    private static String abbreviate(String name) {
         return name.length() <= 40 ? name : name.substring(0, 40) + "…";
     }
 
     /** The fields of one line, by the names of their columns. Confined to one thread. */
     private record Line(int number, Map<String, String> fields, List<CsvFault> faults) {
 
-        /** A stand-in value after a fault lets the reading go on to the next column. */
-        <T> T read(String column, Function<String, T> parse, T otherwise, String remedy) {
+        /** Returns {@code fallback} after a fault, so that the remaining columns are read too. */
+        <T> T read(String column, Function<String, T> parse, T fallback, String remedy) {
             try {
                 return parse.apply(fields.get(column));
             } catch (IllegalArgumentException e) {
-                fault(column, remedy);
-                return otherwise;
+                addFault(column, remedy);
+                return fallback;
             }
         }
 
-        Long whole(String column, long otherwise) {
-            return read(column, text -> (long) Integer.parseInt(text), otherwise, "Give a whole number.");
+        Long readWholeNumber(String column, long fallback) {
+            return read(column, text -> (long) Integer.parseInt(text), fallback, "Give a whole number.");
         }
 
-        double real(String column, double otherwise) {
-            return read(column, Double::parseDouble, otherwise, "Give a number with a point, not a comma.");
+        double readDouble(String column, double fallback) {
+            return read(column, Double::parseDouble, fallback, "Give a number with a point, not a comma.");
         }
 
-        void fault(String column, String remedy) {
+        void addFault(String column, String remedy) {
             faults.add(new CsvFault(number, column, remedy));
         }
     }
--- a/core/src/main/java/org/cornelramp/core/table/TableEdit.java
+++ b/core/src/main/java/org/cornelramp/core/table/TableEdit.java
@@ -3,12 +3,12 @@
 import java.util.Optional;
 
 /**
- * An operator's edit of one row, as a record on the log. Immutable, safe for use by any thread.
+ * An operator's edit of one row, which is one record on the log. Immutable, safe for use by any thread.
  *
- * @param id names this edit, by which its author finds it again after a lost answer
+ * @param id identifies this edit, so that its author finds it on the log after a lost answer
  * @param key the row
- * @param against version that the edit was made against; {@link FoldedTable#NO_VERSION} for a row that never was
+ * @param baseVersion version of the row that the edit is based on; {@link FoldedTable#NO_VERSION} if it never existed
  * @param values the new columns; empty to delete the row
- * @param by who made the edit
+ * @param author author of the edit
  */
-public record TableEdit(String id, RowKey key, long against, Optional<RowValues> values, String by) {}
+public record TableEdit(String id, RowKey key, long baseVersion, Optional<RowValues> values, String author) {}
--- a/core/src/main/java/org/cornelramp/core/table/TableSnapshotCodec.java
+++ b/core/src/main/java/org/cornelramp/core/table/TableSnapshotCodec.java
@@ -24,15 +24,15 @@
 import org.cornelramp.core.model.ServiceName;
 
 /**
- * Writes a table to bytes and reads it back: gzipped JSON, for snapshot records on the log and for peers.
+ * Encodes a table as gzipped JSON and decodes it, for snapshot records on the log and for peers.
  *
- * <p>The bytes hold either the whole table or what changed at and above an offset. A change set may be applied to
- * any table at or above that offset: it names the state of each changed row, not the steps to it, so applying it
- * twice or to a newer base gives the same table. Rows are written and read one by one, since a tree of a large table
- * would not fit the memory of an agent. Stateless, safe for use by any thread.
+ * <p>The bytes contain either the whole table or the changes at and above an offset. A change set may be applied to
+ * any table at or above that offset: it has the final state of each changed row, so applying it twice or to a newer
+ * base results in the same table. Rows are written and read one by one, since the JSON tree of a large table would not
+ * fit into the memory of an agent. Stateless, safe for use by any thread.
  */
 public final class TableSnapshotCodec {
-    /** Largest size of a snapshot once unpacked, in bytes; a small packed message could otherwise take all memory. */
+    /** Maximum decompressed size of a snapshot, in bytes; a small compressed message could otherwise exhaust memory. */
     public static final int MAX_BYTES = 64 << 20;
 
     private static final ObjectMapper JSON = new ObjectMapper(JsonFactory.builder()
@@ -44,11 +44,11 @@
 
     /** Writes the whole table. */
     public static byte[] write(FoldedTable table) {
-        return writeAbove(table, 0);
+        return writeChangesSince(table, 0);
     }
 
-    /** Writes what changed at and above an offset; the whole table for offset 0. */
-    public static byte[] writeAbove(FoldedTable table, long above) {
+    /** Writes the changes at and above an offset; the whole table for offset 0. */
+    public static byte[] writeChangesSince(FoldedTable table, long above) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator(new GZIPOutputStream(bytes))) {
             out.writeStartObject();
@@ -72,7 +72,7 @@
             out.writeEndArray();
             out.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException("Writing to memory does not fail", e);
+            throw new UncheckedIOException("Writing a snapshot to memory failed", e);
         }
         return bytes.toByteArray();
     }
@@ -81,34 +81,34 @@
      * Reads a table.
      *
      * @param base table that a change set is applied to
-     * @return the table, or why the bytes cannot be taken
+     * @return the table, or why the bytes are rejected
      */
     public static Either<String, FoldedTable> read(FoldedTable base, byte[] bytes) {
         try {
             return apply(base, parse(bytes));
         } catch (IOException | IllegalArgumentException e) {
-            return Either.left("The snapshot is not in the agreed form; take one from another peer.");
+            return Either.left("The snapshot is malformed; request one from another peer.");
         }
     }
 
-    /** What the bytes hold. Confined to one thread. */
-    private static final class Content {
+    /** Decoded contents of a snapshot. Confined to one thread. */
+    private static final class SnapshotContent {
         private final Interner interner = new Interner();
         private final List<Row> rows = new ArrayList<>();
-        private final Map<RowKey, Long> deleted = new LinkedHashMap<>();
+        private final Map<RowKey, Long> deletions = new LinkedHashMap<>();
         private long offset = -1;
-        private long above = -1;
+        private long since = -1;
 
         void addRow(JsonNode node) {
             RowValues values = TableRecords.readValues(node.path("values"));
-            if (!RowChecks.check(values).isEmpty()) {
-                throw new IllegalArgumentException("A row in force has values in their ranges");
+            if (!RowChecks.validate(values).isEmpty()) {
+                throw new IllegalArgumentException("A row has values out of their ranges");
             }
-            rows.add(new Row(key(node), whole(node.path("version")), interner.values(values)));
+            rows.add(new Row(key(node), readLong(node.path("version")), interner.values(values)));
         }
 
         void addDeletion(JsonNode node) {
-            deleted.put(key(node), whole(node.path("version")));
+            deletions.put(key(node), readLong(node.path("version")));
         }
 
         private RowKey key(JsonNode node) {
@@ -118,69 +118,69 @@
                     interner.service(new ServiceName(node.path("service").textValue())));
         }
 
-        boolean isWhole() {
-            boolean named = offset >= 0 && above >= 0;
-            return named
+        boolean isConsistent() {
+            boolean hasOffsets = offset >= 0 && since >= 0;
+            return hasOffsets
                     && rows.stream().allMatch(row -> row.version() < offset)
-                    && deleted.values().stream().allMatch(version -> version < offset);
+                    && deletions.values().stream().allMatch(version -> version < offset);
         }
     }
 
-    /** Called with each element of an array. */
-    private interface Element {
-        void take(JsonNode node);
+    /** Callback for each element of an array. */
+    private interface ElementHandler {
+        void accept(JsonNode node);
     }
 
-    private static Content parse(byte[] bytes) throws IOException {
-        Content content = new Content();
+    private static SnapshotContent parse(byte[] bytes) throws IOException {
+        SnapshotContent content = new SnapshotContent();
         try (JsonParser in = JSON.createParser(new GZIPInputStream(new ByteArrayInputStream(bytes)))) {
             require(in.nextToken() == JsonToken.START_OBJECT);
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String name = in.currentName();
                 in.nextToken();
                 switch (name) {
-                    case "offset" -> content.offset = whole(in.readValueAsTree());
-                    case "above" -> content.above = whole(in.readValueAsTree());
-                    case "rows" -> each(in, content::addRow);
-                    case "deleted" -> each(in, content::addDeletion);
+                    case "offset" -> content.offset = readLong(in.readValueAsTree());
+                    case "above" -> content.since = readLong(in.readValueAsTree());
+                    case "rows" -> readArray(in, content::addRow);
+                    case "deleted" -> readArray(in, content::addDeletion);
                     default -> in.skipChildren();
                 }
             }
             require(in.currentToken() == JsonToken.END_OBJECT);
-            // The checksum stands behind the last byte, so the end must be read too.
+            // The gzip checksum follows the last byte, so the stream must be read to its end.
             require(in.nextToken() == null);
         }
-        require(content.isWhole());
+        require(content.isConsistent());
         return content;
     }
 
-    private static void each(JsonParser in, Element element) throws IOException {
+    private static void readArray(JsonParser in, ElementHandler element) throws IOException {
         require(in.currentToken() == JsonToken.START_ARRAY);
         while (in.nextToken() != JsonToken.END_ARRAY) {
             require(in.currentToken() == JsonToken.START_OBJECT);
-            element.take(in.readValueAsTree());
+            element.accept(in.readValueAsTree());
         }
     }
 
-    private static Either<String, FoldedTable> apply(FoldedTable base, Content content) {
-        if (content.above > base.offset()) {
-            return Either.left("The snapshot starts above the table in force; ask for one from its offset.");
+    private static Either<String, FoldedTable> apply(FoldedTable base, SnapshotContent content) {
+        if (content.since > base.offset()) {
+            return Either.left("The change set starts above the offset of the table; request one from that offset.");
         }
-        if (content.above != 0 && content.offset < base.offset()) {
+        if (content.since != 0 && content.offset < base.offset()) {
             return Either.right(base);
         }
-        FoldedTable table = content.above == 0 ? FoldedTable.empty() : base;
-        // A caller key may have moved from one changed row to another, so all old states go first.
+        FoldedTable table = content.since == 0 ? FoldedTable.empty() : base;
+        // A caller key may have moved from one changed row to another, so all old rows are removed first.
         for (Row row : content.rows) {
             table = table.without(row.key());
         }
-        for (Map.Entry<RowKey, Long> deletion : content.deleted.entrySet()) {
+        for (Map.Entry<RowKey, Long> deletion : content.deletions.entrySet()) {
             table = table.withDeletion(deletion.getKey(), deletion.getValue());
         }
         for (Row row : content.rows) {
             table = table.with(row);
         }
-        return Either.right(table.at(content.offset));
+        return Either.right(table.atOffset(content.offset));
     }
 
     private static ObjectNode keyNode(RowKey key, long version) {
@@ -191,16 +191,16 @@
         return node;
     }
 
-    private static long whole(JsonNode value) {
+    private static long readLong(JsonNode value) {
         if (value == null || !value.isIntegralNumber() || !value.canConvertToLong() || value.longValue() < 0) {
             throw new IllegalArgumentException("Not a whole number");
         }
         return value.longValue();
     }
 
-    private static void require(boolean holds) {
-        if (!holds) {
-            throw new IllegalArgumentException("Not in the agreed form");
+    private static void require(boolean condition) {
+        if (!condition) {
+            throw new IllegalArgumentException("Malformed snapshot");
         }
     }
 }
--- a/core/src/main/java/org/cornelramp/core/table/package-info.java
+++ b/core/src/main/java/org/cornelramp/core/table/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' table: a row for each organisation and service, folded from the log. */
+/** The operators' table: one row for each organisation and service, computed by folding the records of the log. */
 package org.cornelramp.core.table;
--- a/core/src/main/java/org/cornelramp/core/text/package-info.java
+++ b/core/src/main/java/org/cornelramp/core/text/package-info.java
@@ -1,2 +1,2 @@
-/** Text as the model engines see it: token numbers. */
+/** Conversion between text and the token numbers that the model engines process. */
 package org.cornelramp.core.text;
--- a/core/src/test/java/org/cornelramp/core/path/PathFinderTest.java
+++ b/core/src/test/java/org/cornelramp/core/path/PathFinderTest.java
@@ -130,7 +130,7 @@
                     loads,
                     new PathFinder.Demand(EngineFixtures.demand("dc1").clientDataCentre(), 772, 1, Set.of()));
         }
-        double tokensPerSecond = placed * roomy.usualTokens() / 4.0;
+        double tokensPerSecond = placed * roomy.meanRequestTokens() / 4.0;
         double megabits = tokensPerSecond * roomy.activationBytes() * 8 / 1e6;
         assertTrue(placed > 20, "the link is used at all, placed " + placed);
         assertTrue(megabits <= 9_000 * 0.5, "planned " + megabits + " Mbit/s");
@@ -171,7 +171,7 @@
             path = PathFinder.find(SPEC, engines, loads, EngineFixtures.demand("dc1"));
         }
         double freeMb = 72_000 - 27 * 1_750;
-        double takenMb = placed * 944.0 * 27 * SPEC.tokenLayerMb();
+        double takenMb = placed * 944.0 * 27 * SPEC.tokenMbPerLayer();
         assertTrue(takenMb <= freeMb, "taken " + takenMb + " of " + freeMb);
         assertTrue(takenMb > freeMb * 0.85, "the memory is used, taken " + takenMb + " of " + freeMb);
     }
--- a/core/src/test/java/org/cornelramp/core/placement/EngineDeathsUnderLoadTest.java
+++ b/core/src/test/java/org/cornelramp/core/placement/EngineDeathsUnderLoadTest.java
@@ -66,7 +66,7 @@
         double hops = 0;
         for (double now = 0; now < DURATION_MILLIS; now += 1_000 / STREAMS_PER_SECOND) {
             while (!activeStreams.isEmpty() && activeStreams.peek().endMillis() < now) {
-                loads.remove(activeStreams.poll().path(), SPEC.usualTokens());
+                loads.remove(activeStreams.poll().path(), SPEC.meanRequestTokens());
             }
             String from = DATA_CENTRES.get(random.nextInt(DATA_CENTRES.size()));
             int answer = MIN_ANSWER_TOKENS + random.nextInt(MAX_ANSWER_TOKENS - MIN_ANSWER_TOKENS);
@@ -77,7 +77,7 @@
                 continue;
             }
             hops += path.get().hops().size();
-            loads.add(path.get(), SPEC.usualTokens());
+            loads.add(path.get(), SPEC.meanRequestTokens());
             activeStreams.add(new ActiveStream(
                     now + answer * ACTUAL_TOKEN_TIME_PART * path.get().tokenMillis(), path.get()));
         }
--- a/core/src/test/java/org/cornelramp/core/route/ChooserProperties.java
+++ b/core/src/test/java/org/cornelramp/core/route/ChooserProperties.java
@@ -14,51 +14,52 @@
 import org.cornelramp.core.model.Problem;
 import org.cornelramp.core.model.ProblemKind;
 
-/** Whatever the fleet holds, a chosen chain runs every layer once, in order, on one version of the model. */
+/** For any fleet, a chosen chain covers every layer once, in order, with one version of the model. */
 class ChooserProperties {
-    private static final Work WORK = Fleets.request(100, 20, Duration.ofHours(10));
+    private static final RoutingRequest WORK = TestFleets.modelRequest(100, 20, Duration.ofHours(10));
 
     @Property(seed = "7101", tries = 400)
-    void everyChainIsWholeAndEveryWholeFleetGivesOne(
+    void chainsCoverAllLayersWheneverTheFleetDoes(
             @ForAll long seed,
             @ForAll @IntRange(min = 0, max = 40) int size,
             @ForAll @IntRange(min = 1, max = 12) int total,
             @ForAll ChoicePolicy policy) {
-        List<Candidate> fleet = Fleets.randomFleet(new Random(seed), size, total);
+        List<Candidate> fleet = TestFleets.randomFleet(new Random(seed), size, total);
         Either<Problem, Choice> choice = choose(policy, fleet, WORK, seed);
         assertEquals(choice.isRight(), coverable(fleet, "1", total) || coverable(fleet, "2", total));
-        choice.peek(c -> assertWhole(c.stages(), total));
+        choice.peek(c -> assertCoversAllLayers(c.stages(), total));
         choice.peekLeft(p -> assertEquals(p.kind(), ProblemKind.NO_BACKEND_SERVER));
     }
 
     @Property(seed = "7102", tries = 200)
-    void anAvoidedAgentIsNeverChosen(@ForAll long seed, @ForAll ChoicePolicy policy) {
-        List<Candidate> fleet = Fleets.randomFleet(new Random(seed), 30, 4);
+    void excludedAgentIsNeverChosen(@ForAll long seed, @ForAll ChoicePolicy policy) {
+        List<Candidate> fleet = TestFleets.randomFleet(new Random(seed), 30, 4);
         Candidate avoided = fleet.get(7);
-        Work work = new Work(Fleets.MODEL, 10, 10, WORK.deadline(), "", java.util.Set.of(avoided.incarnation()));
-        choose(policy, fleet, work, seed).peek(c -> assertTrue(!c.stages().contains(avoided)));
+        RoutingRequest request = new RoutingRequest(TestFleets.MODEL, 10, 10, WORK.deadline(), "", java.util.Set.of(avoided.incarnation()));
+        choose(policy, fleet, request, seed).peek(c -> assertTrue(!c.stages().contains(avoided)));
     }
 
     @Property(seed = "7103", tries = 300)
-    void whatIsChosenFitsTheDeadlineAndWhatIsRefusedSaysWhen(
+    void choicesMeetTheDeadlineAndRefusalsStateRetryAfter(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 20_000) int budgetMillis) {
-        List<Candidate> fleet = Fleets.randomFleet(new Random(seed), 30, 3);
+        List<Candidate> fleet = TestFleets.randomFleet(new Random(seed), 30, 3);
         Duration budget = Duration.ofMillis(budgetMillis);
         Either<Problem, Choice> choice =
-                choose(ChoicePolicy.EXPECTED_COMPLETION, fleet, Fleets.request(500, 100, budget), seed);
-        choice.peek(c -> assertTrue(c.expected().compareTo(budget) <= 0));
+                choose(ChoicePolicy.EXPECTED_COMPLETION, fleet, TestFleets.modelRequest(500, 100, budget), seed);
+        choice.peek(c -> assertTrue(c.expectedTime().compareTo(budget) <= 0));
         choice.peekLeft(p -> {
-            boolean waits = p.kind() == ProblemKind.OVERLOADED || p.kind() == ProblemKind.NO_BACKEND_SERVER;
-            assertEquals(waits, !p.retryAfter().isZero());
+            boolean retryable = p.kind() == ProblemKind.OVERLOADED || p.kind() == ProblemKind.NO_BACKEND_SERVER;
+            assertEquals(retryable, !p.retryAfter().isZero());
         });
     }
 
-    private static Either<Problem, Choice> choose(ChoicePolicy policy, List<Candidate> fleet, Work work, long seed) {
-        Chooser chooser = policy.chooser(PrefixHints.NONE);
-        return chooser.choose(fleet, work, Fleets.HERE, StaticLinkCosts.DEFAULTS, Fleets.NOW, new Random(seed));
+    private static Either<Problem, Choice> choose(ChoicePolicy policy, List<Candidate> fleet, RoutingRequest request, long seed) {
+        Chooser chooser = policy.newChooser(PrefixHints.NONE);
+        return chooser.choose(
+                fleet, request, TestFleets.HERE, StaticLinkCosts.DEFAULTS, TestFleets.NOW, new Random(seed));
     }
 
-    private static void assertWhole(List<Candidate> stages, int total) {
+    private static void assertCoversAllLayers(List<Candidate> stages, int total) {
         int layer = 0;
         for (Candidate c : stages) {
             LayerRange range = c.offer().layers().orElseThrow();
@@ -69,7 +70,7 @@
         assertEquals(layer, total);
     }
 
-    /** Finds by exhaustion, rather than as the choosers do it, whether the layers can be covered. */
+    /** Whether the layers can be covered; an exhaustive search, independent of the choosers. */
     private static boolean coverable(List<Candidate> fleet, String version, int total) {
         boolean[] reached = new boolean[total + 1];
         reached[0] = true;
--- a/core/src/test/java/org/cornelramp/core/route/MixedFleet.java
+++ b/core/src/test/java/org/cornelramp/core/route/MixedFleet.java
@@ -12,21 +12,21 @@
 import org.cornelramp.core.model.AgentLoad;
 
 /**
- * Engines of mixed speeds that hold the whole model, and several entries that choose among them by news that is a
- * heartbeat old.
+ * Simulates engines of different speeds, each with the whole model, and several entries that choose among them by
+ * load reports that are up to one heartbeat old.
  */
 final class MixedFleet {
     private static final int SLOTS = 16;
-    private static final int BEAT_MILLIS = 150;
-    private static final double[] BASE_MILLIS = {2, 4, 8, 16};
+    private static final int HEARTBEAT_MILLIS = 150;
+    private static final double[] BASE_STEP_MILLIS = {2, 4, 8, 16};
 
     private final List<Engine> engines = new ArrayList<>();
     private final List<Entry> entries = new ArrayList<>();
     private final Random random;
     private final Duration budget;
-    private int ms;
+    private int nowMillis;
 
-    final List<Integer> times = new ArrayList<>();
+    final List<Integer> answerMillis = new ArrayList<>();
     int refused;
     long inTimeTokens;
 
@@ -34,28 +34,28 @@
         this.random = random;
         this.budget = budget;
         for (int i = 0; i < size; i++) {
-            engines.add(new Engine(BASE_MILLIS[i % BASE_MILLIS.length]));
+            engines.add(new Engine(BASE_STEP_MILLIS[i % BASE_STEP_MILLIS.length]));
         }
         for (int i = 0; i < entryCount; i++) {
-            entries.add(new Entry(policy.chooser(PrefixHints.NONE), size));
+            entries.add(new Entry(policy.newChooser(PrefixHints.NONE), size));
         }
     }
 
-    /** Tokens a second of all engines together. */
-    double capacity() {
-        return engines.stream().mapToDouble(Engine::fullSpeed).sum();
+    /** Tokens per second of all engines together. */
+    double totalTokensPerSecond() {
+        return engines.stream().mapToDouble(Engine::maxTokensPerSecond).sum();
     }
 
-    /** Runs with Poisson arrivals of requests of 20 to 180 tokens. */
+    /** Runs the simulation with Poisson arrivals of requests of 20 to 180 tokens. */
     void run(int seconds, double load) {
-        double perMilli = load * capacity() / 100 / 1_000;
-        for (ms = 0; ms < seconds * 1_000; ms++) {
-            if (ms % BEAT_MILLIS == 0) {
-                engines.forEach(Engine::tell);
-                entries.forEach(Entry::heard);
+        double arrivalsPerMilli = load * totalTokensPerSecond() / 100 / 1_000;
+        for (nowMillis = 0; nowMillis < seconds * 1_000; nowMillis++) {
+            if (nowMillis % HEARTBEAT_MILLIS == 0) {
+                engines.forEach(Engine::reportLoad);
+                entries.forEach(Entry::onHeartbeats);
             }
             engines.forEach(Engine::advance);
-            for (double left = perMilli; left > 0; left--) {
+            for (double left = arrivalsPerMilli; left > 0; left--) {
                 if (random.nextDouble() < left) {
                     send(entries.get(random.nextInt(entries.size())), 20 + random.nextInt(161));
                 }
@@ -63,64 +63,70 @@
         }
     }
 
-    /** The time, in milliseconds, within which {@code part} of the answered requests ended. */
-    int quantile(double part) {
-        int[] sorted = times.stream().mapToInt(t -> t).sorted().toArray();
-        return sorted[(int) (part * (sorted.length - 1))];
+    /** The given quantile of the answer times, in milliseconds. */
+    int answerMillisQuantile(double fraction) {
+        int[] sorted = answerMillis.stream().mapToInt(t -> t).sorted().toArray();
+        return sorted[(int) (fraction * (sorted.length - 1))];
     }
 
-    double mean() {
-        return times.stream().mapToInt(t -> t).average().orElse(0);
+    double meanAnswerMillis() {
+        return answerMillis.stream().mapToInt(t -> t).average().orElse(0);
     }
 
-    /** Tokens a second of answers in time, over the capacity. */
-    double throughput() {
-        return inTimeTokens * 1_000.0 / ms / capacity();
+    /** Tokens per second of answers in time, relative to the total capacity. */
+    double relativeThroughput() {
+        return inTimeTokens * 1_000.0 / nowMillis / totalTokensPerSecond();
     }
 
     private void send(Entry entry, int tokens) {
-        Instant now = Fleets.NOW.plusMillis(ms);
+        Instant now = TestFleets.NOW.plusMillis(nowMillis);
         List<Candidate> candidates = new ArrayList<>();
         for (int i = 0; i < engines.size(); i++) {
-            Candidate c = Fleets.stage("b" + i, 0, 4, 4, engines.get(i).told);
+            Candidate c = TestFleets.stage("b" + i, 0, 4, 4, engines.get(i).reportedLoad);
             candidates.add(new Candidate(
-                    c.incarnation(), c.dataCentre(), c.offer(), c.load(), entry.sent[i], entry.calls[i], 1));
+                    c.incarnation(),
+                    c.dataCentre(),
+                    c.offer(),
+                    c.load(),
+                    entry.unreportedTokens[i],
+                    entry.outstandingCalls[i],
+                    1));
         }
-        Work work = new Work(Fleets.MODEL, 0, tokens, now.plus(budget), "", Set.of());
+        RoutingRequest request = new RoutingRequest(TestFleets.MODEL, 0, tokens, now.plus(budget), "", Set.of());
         entry.chooser
-                .choose(candidates, work, Fleets.HERE, StaticLinkCosts.DEFAULTS, now, random)
+                .choose(candidates, request, TestFleets.HERE, StaticLinkCosts.DEFAULTS, now, random)
                 .peek(choice -> {
                     int i = candidates.indexOf(choice.stages().get(0));
-                    entry.sent[i] += tokens;
-                    entry.calls[i]++;
-                    engines.get(i).add(new Job(tokens, ms, () -> entry.calls[i]--));
+                    entry.unreportedTokens[i] += tokens;
+                    entry.outstandingCalls[i]++;
+                    engines.get(i).add(new Job(tokens, nowMillis, () -> entry.outstandingCalls[i]--));
                 })
                 .peekLeft(p -> refused++);
     }
 
-    /** Runs iterations over up to {@link #SLOTS} sessions; more wait, and are given up when it is too late. */
+    /** Runs up to {@link #SLOTS} requests at once; more wait, and are refused once their deadline is unreachable. */
     private final class Engine {
-        private final double baseMillis;
-        private final List<Job> sessions = new ArrayList<>();
+        private final double baseStepMillis;
+        private final List<Job> running = new ArrayList<>();
         private final Deque<Job> waiting = new ArrayDeque<>();
-        private AgentLoad told;
+        private AgentLoad reportedLoad;
 
-        Engine(double baseMillis) {
-            this.baseMillis = baseMillis;
-            tell();
+        Engine(double baseStepMillis) {
+            this.baseStepMillis = baseStepMillis;
+            reportLoad();
         }
 
-        double fullSpeed() {
+        double maxTokensPerSecond() {
             return SLOTS / stepMillis(SLOTS) * 1_000;
         }
 
-        void tell() {
-            int batch = sessions.size();
-            double left = sessions.stream().mapToDouble(j -> j.left).sum();
-            double queued = waiting.stream().mapToDouble(j -> j.left).sum();
+        void reportLoad() {
+            int batch = running.size();
+            double left = running.stream().mapToDouble(j -> j.tokensLeft).sum();
+            double queued = waiting.stream().mapToDouble(j -> j.tokensLeft).sum();
             double step = stepMillis(Math.max(1, batch));
             double speed = Math.max(1, batch) / step * 1_000;
-            told = new AgentLoad(
+            reportedLoad = new AgentLoad(
                     batch, waiting.size(), (long) (left + queued), speed, (long) (step * 1e3), entries.size());
         }
 
@@ -130,63 +136,63 @@
         }
 
         void advance() {
-            double tokens = sessions.isEmpty() ? 0 : 1 / stepMillis(sessions.size());
-            for (Job j : List.copyOf(sessions)) {
-                j.left -= tokens;
-                if (j.left <= 0) {
-                    sessions.remove(j);
-                    j.ended.run();
-                    times.add(ms - j.sent);
-                    inTimeTokens += ms - j.sent <= budget.toMillis() ? j.tokens : 0;
+            double tokens = running.isEmpty() ? 0 : 1 / stepMillis(running.size());
+            for (Job j : List.copyOf(running)) {
+                j.tokensLeft -= tokens;
+                if (j.tokensLeft <= 0) {
+                    running.remove(j);
+                    j.onEnd.run();
+                    answerMillis.add(nowMillis - j.sentMillis);
+                    inTimeTokens += nowMillis - j.sentMillis <= budget.toMillis() ? j.tokens : 0;
                 }
             }
             start();
         }
 
         private void start() {
-            while (sessions.size() < SLOTS && !waiting.isEmpty()) {
+            while (running.size() < SLOTS && !waiting.isEmpty()) {
                 Job j = waiting.poll();
-                if (ms + j.tokens * stepMillis(SLOTS) > j.sent + budget.toMillis()) {
+                if (nowMillis + j.tokens * stepMillis(SLOTS) > j.sentMillis + budget.toMillis()) {
                     refused++;
-                    j.ended.run();
+                    j.onEnd.run();
                 } else {
-                    sessions.add(j);
+                    running.add(j);
                 }
             }
         }
 
         private double stepMillis(int batch) {
-            return baseMillis * (1 + batch / (double) SLOTS);
+            return baseStepMillis * (1 + batch / (double) SLOTS);
         }
     }
 
     private static final class Entry {
         private final Chooser chooser;
-        private final long[] sent;
-        private final int[] calls;
+        private final long[] unreportedTokens;
+        private final int[] outstandingCalls;
 
         Entry(Chooser chooser, int size) {
             this.chooser = chooser;
-            this.sent = new long[size];
-            this.calls = new int[size];
+            this.unreportedTokens = new long[size];
+            this.outstandingCalls = new int[size];
         }
 
-        void heard() {
-            Arrays.fill(sent, 0);
+        void onHeartbeats() {
+            Arrays.fill(unreportedTokens, 0);
         }
     }
 
     private static final class Job {
         private final int tokens;
-        private final int sent;
-        private final Runnable ended;
-        private double left;
+        private final int sentMillis;
+        private final Runnable onEnd;
+        private double tokensLeft;
 
-        Job(int tokens, int sent, Runnable ended) {
+        Job(int tokens, int sentMillis, Runnable onEnd) {
             this.tokens = tokens;
-            this.sent = sent;
-            this.ended = ended;
-            this.left = tokens;
+            this.sentMillis = sentMillis;
+            this.onEnd = onEnd;
+            this.tokensLeft = tokens;
         }
     }
 }
--- a/core/src/test/java/org/cornelramp/core/route/MixedFleetProperties.java
+++ b/core/src/test/java/org/cornelramp/core/route/MixedFleetProperties.java
@@ -8,26 +8,25 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** On mixed engines, with several entries and news a heartbeat old, the choice beats what it displaced. */
+/** On engines of mixed speeds, with several entries and delayed load reports, the choice beats the baselines. */
 class MixedFleetProperties {
     private static final Duration BUDGET = Duration.ofSeconds(6);
 
     @Property(seed = "7201", tries = 3)
-    void slowAnswersAreFasterThanWithAnyBaseline(@ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int entries) {
-        int p99 = run(ChoicePolicy.EXPECTED_COMPLETION, entries, 0.85, seed).quantile(0.99);
+    void p99IsBelowThatOfEveryBaseline(@ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int entries) {
+        int p99 = run(ChoicePolicy.EXPECTED_COMPLETION, entries, 0.85, seed).answerMillisQuantile(0.99);
         for (ChoicePolicy other : ChoicePolicy.values()) {
             if (other != ChoicePolicy.EXPECTED_COMPLETION) {
-                int theirs = run(other, entries, 0.85, seed).quantile(0.99);
-                assertTrue(p99 < 0.7 * theirs, p99 + " ms, with " + other.text() + " " + theirs + " ms");
+                int otherP99 = run(other, entries, 0.85, seed).answerMillisQuantile(0.99);
+                assertTrue(p99 < 0.7 * otherP99, p99 + " ms, with " + other.text() + " " + otherP99 + " ms");
             }
         }
     }
 
     @Property(seed = "7202", tries = 3)
-    void overloadLeavesTheEnginesBusyWithAnswersInTime(
-            @ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int entries) {
+    void overloadKeepsThroughputOfTimelyAnswers(@ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int entries) {
         double throughput =
-                run(ChoicePolicy.EXPECTED_COMPLETION, entries, 2, seed).throughput();
+                run(ChoicePolicy.EXPECTED_COMPLETION, entries, 2, seed).relativeThroughput();
         assertTrue(throughput > 0.93, "throughput " + throughput);
     }
 
--- a/core/src/test/java/org/cornelramp/core/route/Fleets.java
+++ b/core/src/test/java/org/cornelramp/core/route/TestFleets.java
@@ -15,14 +15,14 @@
 import org.cornelramp.core.model.Offer;
 import org.cornelramp.core.model.ServiceName;
 
-/** Candidates and requests for the tests of the choice. */
-final class Fleets {
+/** Candidates and requests for tests of the choosers. */
+final class TestFleets {
     static final ServiceName MODEL = new ServiceName("model");
     static final ServiceName BOOKING = new ServiceName("booking");
     static final DataCentre HERE = new DataCentre("dc-1");
     static final Instant NOW = Instant.ofEpochSecond(1_000_000);
 
-    private Fleets() {}
+    private TestFleets() {}
 
     static Candidate stage(String name, int from, int to, int total, AgentLoad load) {
         Offer offer = new Offer(MODEL, Optional.of(new LayerRange(from, to, total)), "1", "a", 16);
@@ -42,15 +42,15 @@
         return new AgentLoad(queuedTokens == 0 ? 0 : 1, 0, queuedTokens, tokensPerSecond, 0, 1);
     }
 
-    static Work request(int prompt, int tokens, Duration budget) {
-        return new Work(MODEL, prompt, tokens, NOW.plus(budget), "", Set.of());
+    static RoutingRequest modelRequest(int prompt, int tokens, Duration budget) {
+        return new RoutingRequest(MODEL, prompt, tokens, NOW.plus(budget), "", Set.of());
     }
 
-    static Work booking(Duration budget) {
-        return new Work(BOOKING, 0, 0, NOW.plus(budget), "", Set.of());
+    static RoutingRequest bookingRequest(Duration budget) {
+        return new RoutingRequest(BOOKING, 0, 0, NOW.plus(budget), "", Set.of());
     }
 
-    /** Stages over random layer ranges of a model, of two versions, with gaps left as they fall. */
+    /** Stages with random layer ranges of a model, of two versions; the ranges may leave gaps. */
     static List<Candidate> randomFleet(Random random, int size, int total) {
         List<Candidate> fleet = new ArrayList<>();
         for (int i = 0; i < size; i++) {
--- a/core/src/test/java/org/cornelramp/core/routing/RoutingConfigTest.java
+++ b/core/src/test/java/org/cornelramp/core/routing/RoutingConfigTest.java
@@ -30,7 +30,7 @@
             ClientLimits.DEFAULTS);
 
     @Test
-    public void theLongestPrefixOfTheHostWins() {
+    public void longestPrefixOfTheHostMatches() {
         assertEquals(CONFIG.route("a.example", "/x/y/z/1").orElseThrow().name(), "long");
         assertEquals(CONFIG.route("a.example", "/x/1").orElseThrow().name(), "short");
         assertEquals(CONFIG.route("b.example", "/x/1"), Optional.empty());
@@ -38,15 +38,15 @@
     }
 
     @Test
-    public void onlyAnonymousRoutesNeedNoKey() {
-        assertTrue(CONFIG.needsKey(CONFIG.route("a.example", "/x/1").orElseThrow()));
-        assertFalse(CONFIG.needsKey(CONFIG.route("a.example", "/x/y/1").orElseThrow()));
+    public void onlyAnonymousRoutesRequireNoKey() {
+        assertTrue(CONFIG.requiresKey(CONFIG.route("a.example", "/x/1").orElseThrow()));
+        assertFalse(CONFIG.requiresKey(CONFIG.route("a.example", "/x/y/1").orElseThrow()));
         assertEquals(CONFIG.organisation("key").orElseThrow().id(), new OrganisationId("org"));
         assertEquals(CONFIG.organisation("gone"), Optional.empty());
     }
 
     @Test
-    public void aSplitSendsEachRequestByItsDraw() {
+    public void splitChoosesTheServiceByTheDraw() {
         Route split = new Route(
                 "split",
                 "a",
@@ -69,7 +69,7 @@
     }
 
     @Test
-    public void whatMayBeRepeatedFollowsFromTheKind() {
+    public void routeKindDecidesWhetherRequestsMayBeRepeated() {
         assertTrue(RouteKind.SAFE.mayRepeat(false));
         assertFalse(RouteKind.UNSAFE.mayRepeat(true));
         assertFalse(RouteKind.STREAMING.mayRepeat(false));
--- a/core/src/test/java/org/cornelramp/core/session/PipelineSessionProperties.java
+++ b/core/src/test/java/org/cornelramp/core/session/PipelineSessionProperties.java
@@ -16,108 +16,111 @@
 import org.cornelramp.core.model.ProblemKind;
 
 /**
- * Whatever stages die, at whatever moment, and however late or doubled their messages come, the caller gets each
- * token once and in order, and an answer that ends is whole.
+ * Guards against lost, repeated or reordered tokens when stages die or lose links at any time and their messages arrive
+ * late or twice: the caller must receive each token once and in order, and a finished answer must be complete.
  */
 class PipelineSessionProperties {
     private static final int STAGES = 3;
     private static final int PROMPT = 5;
 
     @Property(seed = "71", tries = 2_000)
-    boolean everyTokenOnceAndInOrder(@ForAll long seed, @ForAll @IntRange(min = 1, max = 30) int maxTokens) {
-        World world = new World(new Random(seed), maxTokens);
-        world.run();
-        return world.isRight();
+    boolean tokensAreEmittedOnceAndInOrder(@ForAll long seed, @ForAll @IntRange(min = 1, max = 30) int maxTokens) {
+        Simulation simulation = new Simulation(new Random(seed), maxTokens);
+        simulation.run();
+        return simulation.isCorrect();
     }
 
     @Property(seed = "72", tries = 500)
-    boolean nothingOfAnOlderEpochChangesAnything(@ForAll @IntRange(min = 1, max = 6) int rebuilds) {
+    boolean olderEpochsChangeNothing(@ForAll @IntRange(min = 1, max = 6) int rebuilds) {
         PipelineSession session = new PipelineSession(new long[PROMPT], 8, 8);
-        session.use(stages(0));
+        session.assignStages(stages(0));
         for (int i = 1; i <= rebuilds; i++) {
-            session.lost(session.epoch(), 1, why());
-            session.use(stages(i));
+            session.onLost(session.epoch(), 1, lostProblem());
+            session.assignStages(stages(i));
         }
         int before = session.generatedTokens();
         List<SessionAction> actions = new ArrayList<>();
         for (int old = 0; old < session.epoch(); old++) {
-            actions.addAll(session.generated(old, PROMPT - 1, new int[] {9}));
-            actions.addAll(session.opened(old, 0, 3));
-            actions.addAll(session.lost(old, 0, why()));
+            actions.addAll(session.onGenerated(old, PROMPT - 1, new int[] {9}));
+            actions.addAll(session.onOpened(old, 0, 3));
+            actions.addAll(session.onLost(old, 0, lostProblem()));
         }
         return actions.isEmpty() && session.generatedTokens() == before && session.epoch() == rebuilds + 1;
     }
 
-    private static List<Incarnation> stages(int life) {
+    private static List<Incarnation> stages(int incarnation) {
         List<Incarnation> stages = new ArrayList<>();
         for (int i = 0; i < STAGES; i++) {
-            stages.add(new Incarnation(new BackendServerId("s" + i), life));
+            stages.add(new Incarnation(new BackendServerId("s" + i), incarnation));
         }
         return stages;
     }
 
-    private static Problem why() {
+    private static Problem lostProblem() {
         return Problem.notRun(ProblemKind.BACKEND_LOST, "lost");
     }
 
-    /** The token at an index of the true answer. */
-    private static int truth(int index) {
+    /** The token at an index of the expected answer. */
+    private static int expectedToken(int index) {
         return 1 + (index * 31) % 97;
     }
 
-    /** Agents that answer after random delays, some of which die; messages of one epoch keep their order. */
-    private static final class World {
+    /** Simulates agents that answer after random delays or die; messages of one epoch keep their order. */
+    private static final class Simulation {
         private final Random random;
         private final int maxTokens;
         private final PipelineSession session;
         private final Map<Incarnation, Integer> positions = new HashMap<>();
         private final Map<Integer, Deque<Runnable>> queues = new HashMap<>();
         private final List<Integer> emitted = new ArrayList<>();
-        private int lives;
-        private int ends;
+        private int nextIncarnation;
+        private int endActions;
         private boolean finished;
         private boolean actedAfterEnd;
 
-        World(Random random, int maxTokens) {
+        Simulation(Random random, int maxTokens) {
             this.random = random;
             this.maxTokens = maxTokens;
             this.session = new PipelineSession(new long[PROMPT], maxTokens, 6);
         }
 
         void run() {
-            apply(session.use(stages(lives++)));
+            apply(session.assignStages(stages(nextIncarnation++)));
             for (int i = 0; i < 400 && !session.isEnded(); i++) {
                 if (random.nextInt(25) == 0) {
-                    apply(session.lost(session.epoch(), random.nextInt(STAGES), why()));
+                    apply(session.onLost(session.epoch(), random.nextInt(STAGES), lostProblem()));
                 } else if (random.nextInt(40) == 0) {
                     Incarnation agent = session.stages().get(random.nextInt(STAGES));
-                    apply(random.nextBoolean() ? session.lost(agent, why()) : session.unlinked(agent, why()));
+                    apply(
+                            random.nextBoolean()
+                                    ? session.onLost(agent, lostProblem())
+                                    : session.onLinkLost(agent, lostProblem()));
                 } else {
                     deliver();
                 }
             }
-            apply(session.generated(session.epoch(), PROMPT - 1, new int[] {5}));
+            apply(session.onGenerated(session.epoch(), PROMPT - 1, new int[] {5}));
         }
 
-        boolean isRight() {
+        boolean isCorrect() {
             for (int i = 0; i < emitted.size(); i++) {
-                if (emitted.get(i) != truth(i)) {
+                if (emitted.get(i) != expectedToken(i)) {
                     return false;
                 }
             }
-            return !actedAfterEnd && ends <= 1 && (!finished || emitted.size() == maxTokens);
+            return !actedAfterEnd && endActions <= 1 && (!finished || emitted.size() == maxTokens);
         }
 
         private void deliver() {
-            List<Deque<Runnable>> filled =
+            List<Deque<Runnable>> nonEmpty =
                     queues.values().stream().filter(queue -> !queue.isEmpty()).toList();
-            if (!filled.isEmpty()) {
-                filled.get(random.nextInt(filled.size())).poll().run();
+            if (!nonEmpty.isEmpty()) {
+                nonEmpty.get(random.nextInt(nonEmpty.size())).poll().run();
             }
         }
 
         private void apply(List<SessionAction> actions) {
-            actedAfterEnd |= ends > 0 && !actions.isEmpty();
+            actedAfterEnd |= endActions > 0 && !actions.isEmpty();
             for (SessionAction action : actions) {
                 if (action instanceof SessionAction.Open open) {
                     open(open);
@@ -127,13 +130,13 @@
                     for (int token : emit.tokens()) {
                         emitted.add(token);
                     }
-                } else if (action instanceof SessionAction.Rechoose) {
+                } else if (action instanceof SessionAction.SelectStages) {
                     rechoose();
                 } else if (action instanceof SessionAction.Finish) {
                     finished = true;
-                    ends++;
+                    endActions++;
                 } else if (action instanceof SessionAction.Fail) {
-                    ends++;
+                    endActions++;
                 }
             }
         }
@@ -142,7 +145,7 @@
             for (int i = 0; i < STAGES; i++) {
                 int stage = i;
                 int position = positions.computeIfAbsent(open.stages().get(i), key -> 0);
-                queue(open.epoch(), () -> apply(session.opened(open.epoch(), stage, position)));
+                queue(open.epoch(), () -> apply(session.onOpened(open.epoch(), stage, position)));
             }
         }
 
@@ -153,10 +156,10 @@
                 int count = Math.min(last - next, 1 + random.nextInt(3));
                 int[] tokens = new int[count];
                 for (int i = 0; i < count; i++) {
-                    tokens[i] = truth(next + i - (PROMPT - 1));
+                    tokens[i] = expectedToken(next + i - (PROMPT - 1));
                 }
                 int position = next;
-                Runnable token = () -> apply(session.generated(from.epoch(), position, tokens));
+                Runnable token = () -> apply(session.onGenerated(from.epoch(), position, tokens));
                 queue(from.epoch(), token);
                 if (random.nextInt(6) == 0) {
                     queue(from.epoch(), token);
@@ -168,14 +171,14 @@
         private void rechoose() {
             List<Incarnation> next = new ArrayList<>(session.stages());
             for (int i = 0; i < STAGES; i++) {
-                if (session.failed().contains(next.get(i))) {
-                    next.set(i, new Incarnation(new BackendServerId("s" + i), lives++));
+                if (session.failedAgents().contains(next.get(i))) {
+                    next.set(i, new Incarnation(new BackendServerId("s" + i), nextIncarnation++));
                 }
             }
             if (random.nextInt(10) == 0) {
-                apply(session.giveUp(why()));
+                apply(session.fail(lostProblem()));
             } else {
-                apply(session.use(next));
+                apply(session.assignStages(next));
             }
         }
 
--- a/core/src/test/java/org/cornelramp/core/settings/GatewaySettingsReaderTest.java
+++ b/core/src/test/java/org/cornelramp/core/settings/GatewaySettingsReaderTest.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** A gateway's settings, right and wrong. */
+/** Valid and invalid settings of a gateway. */
 public class GatewaySettingsReaderTest {
-    private static final String GOOD =
+    private static final String VALID =
             """
             {"name":"g1","dataCentre":"dc1","requests":"10.0.0.1:80","readiness":"10.0.0.1:81",
              "metrics":"10.0.0.1:82","peers":"10.0.0.1:83","store":"10.0.0.2:90",
@@ -22,26 +22,26 @@
 
     @Test
     public void readsAllFields() {
-        GatewaySettings settings = new GatewaySettingsReader().read(GOOD).get();
+        GatewaySettings settings = new GatewaySettingsReader().read(VALID).get();
         assertEquals(settings.timing().graceMillis(), 8_000);
         assertEquals(settings.retries().reserve(), 198.0);
         assertEquals(settings.peers().port(), 83);
     }
 
     @Test
-    public void everyFaultIsToldAtOnceWithItsPlaceAndRemedy() {
-        String wrong = GOOD.replace("10.0.0.1:80", "nowhere")
+    public void reportsEveryFaultWithPathAndRemedy() {
+        String invalid = VALID.replace("10.0.0.1:80", "nowhere")
                 .replace("\"ratio\":0.2", "\"ratio\":-1")
                 .replace("\"dataCentre\":\"dc1\",", "")
                 .replace("\"store\"", "\"stroe\"");
-        List<String> places =
-                faults(wrong).stream().map(SettingsFault::path).sorted().toList();
-        assertEquals(places, List.of("/dataCentre", "/requests", "/retries/ratio", "/store", "/stroe"));
-        faults(wrong).forEach(fault -> assertTrue(!fault.remedy().isBlank()));
+        List<String> paths =
+                faults(invalid).stream().map(SettingsFault::path).sorted().toList();
+        assertEquals(paths, List.of("/dataCentre", "/requests", "/retries/ratio", "/store", "/stroe"));
+        faults(invalid).forEach(fault -> assertTrue(!fault.remedy().isBlank()));
     }
 
     @Test
-    public void textThatIsNoJsonIsOneFault() {
+    public void invalidJsonIsOneFault() {
         assertEquals(faults("{").size(), 1);
         assertEquals(faults("").isEmpty(), false);
     }
--- a/core/src/test/java/org/cornelramp/core/settings/SampleSettingsTest.java
+++ b/core/src/test/java/org/cornelramp/core/settings/SampleSettingsTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** The sample files that a newcomer copies are valid, and name no other values than the defaults. */
+/** The sample settings files are valid, and their timing and bounds equal the defaults. */
 public class SampleSettingsTest {
     private static final Path SAMPLES = Path.of("..", "config", "samples");
 
--- a/core/src/test/java/org/cornelramp/core/settings/SettingsReaderTest.java
+++ b/core/src/test/java/org/cornelramp/core/settings/SettingsReaderTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** A settings file is read whole or refused with every fault at once. */
+/** A settings file is read completely or rejected with every fault at once. */
 public class SettingsReaderTest {
     private static final String PLATFORM =
             "\"platform\":{\"logUrl\":\"http://127.0.0.1:1\",\"vmListUrl\":\"http://127.0.0.1:2\"}";
@@ -23,7 +23,7 @@
     }
 
     @Test
-    public void takesTheDefaultsWhereSectionsAreAbsentOrPartial() {
+    public void usesDefaultsForAbsentSettings() {
         DaemonSettings settings = new SettingsReader()
                 .read(ENTRY + ",\"timing\":{\"drainMillis\":5},\"log\":{\"json\":true}}")
                 .get();
@@ -42,7 +42,7 @@
     }
 
     @Test
-    public void tellsEveryFaultAtOnce() {
+    public void reportsEveryFaultAtOnce() {
         String text = "{\"role\":\"agent\",\"name\":\"bad name\",\"dataCentre\":\"dc1\",\"http\":\"nowhere\","
                 + "\"platform\":{\"logUrl\":\"ftp://x\"},\"timing\":{\"heartbeatMillis\":0,\"drainMilis\":4},"
                 + "\"bounds\":{\"ringSlots\":1000},\"backend\":{\"kind\":\"gpu\",\"url\":\"http://127.0.0.1:3\"}}";
@@ -61,23 +61,23 @@
     }
 
     @Test
-    public void refusesWhatBelongsToTheOtherRole() {
+    public void rejectsSettingsOfTheOtherRole() {
         assertEquals(faultsOf(ENTRY + ",\"links\":\"127.0.0.1:0\"}"), List.of("/links"));
         assertEquals(faultsOf(AGENT + ",\"operators\":{\"keyHashes\":[]}}"), List.of("/operators"));
     }
 
     @Test
-    public void refusesARepeatedName() {
+    public void rejectsRepeatedName() {
         assertEquals(faultsOf("{\"role\":\"entry\",\"role\":\"agent\"}"), List.of(""));
     }
 
     @Test
-    public void refusesTextBehindTheObject() {
+    public void rejectsTextAfterTheObject() {
         assertEquals(faultsOf(ENTRY + "} {}"), List.of(""));
     }
 
     @Test
-    public void neverShowsASecret() {
+    public void faultsNeverShowSecrets() {
         String secret = "not-a-hash-but-the-key-itself";
         String faults = new SettingsReader()
                 .read(ENTRY + ",\"operators\":{\"keyHashes\":[\"" + secret + "\"]},\"operator\":\"" + secret + "\"}")
--- a/core/src/test/java/org/cornelramp/core/step/PipelineProperties.java
+++ b/core/src/test/java/org/cornelramp/core/step/PipelineProperties.java
@@ -10,9 +10,9 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * Stages die, leave with their cache, and lose links while a request runs; steps come late, twice, and from older
- * epochs. Every engine runs each position once and in order (the model's engines fail otherwise), and the caller
- * gets the tokens of a run that nothing disturbed.
+ * Guards against wrong or missing tokens when stages die, leave with an export of their cache, or lose links during a
+ * request, and when steps arrive late, twice or from older epochs. Every engine must run each position once and in
+ * order (the simulated engines fail otherwise), and the caller must receive the tokens of a run without faults.
  */
 class PipelineProperties {
 
@@ -27,7 +27,7 @@
     }
 
     @Property(seed = "31337", tries = 1_500)
-    void tokensEqualTheUndisturbedRun(
+    void tokensEqualThoseOfAFaultFreeRun(
             @ForAll @IntRange(min = 1, max = 4) int stages,
             @ForAll @IntRange(min = 1, max = 5) int promptTokens,
             @ForAll @IntRange(min = 1, max = 12) int maxTokens,
@@ -36,10 +36,10 @@
         for (int i = 0; i < promptTokens; i++) {
             prompt[i] = 3 + 7L * i;
         }
-        PipelineModel model = new PipelineModel(stages, prompt, maxTokens);
-        choices.forEach(model::act);
-        model.settle();
-        List<Long> expected = PipelineModel.undisturbed(stages, prompt, maxTokens);
+        PipelineSimulation model = new PipelineSimulation(stages, prompt, maxTokens);
+        choices.forEach(model::step);
+        model.runToEnd();
+        List<Long> expected = PipelineSimulation.faultFreeAnswer(stages, prompt, maxTokens);
         if (!model.answer().equals(expected)) {
             throw new AssertionError("Expected " + expected + " and got " + model.answer());
         }
--- a/core/src/test/java/org/cornelramp/core/table/FaultyCsvTest.java
+++ b/core/src/test/java/org/cornelramp/core/table/FaultyCsvTest.java
@@ -7,11 +7,11 @@
 import org.testng.annotations.Test;
 
 /**
- * An operator imports a file with a renamed column, a number written with a comma, or a weight out of its range.
- * Nothing may be edited then, and every fault is told with its line and column.
+ * Guards against a partial import of an invalid file, such as one with a renamed column, a number with a decimal comma
+ * or a weight out of range: no row is returned, and every fault is reported with its line and column.
  */
 public class FaultyCsvTest {
-    private static final String HEAD = String.join(",", TableCsv.COLUMNS) + "\n";
+    private static final String HEADER = String.join(",", TableCsv.COLUMNS) + "\n";
     private static final String GOOD = "o1,s,4,1,0,0,0,0,1000,99.5,\n";
 
     private static List<String> faults(String text) {
@@ -20,19 +20,19 @@
 
     @Test
     public void readsAGoodFile() {
-        assertEquals(TableCsv.read(HEAD + GOOD + "\n").get().get(0).row().version(), 4);
+        assertEquals(TableCsv.read(HEADER + GOOD + "\n").get().get(0).row().version(), 4);
     }
 
     @Test
-    public void tellsTheWrongColumn() {
-        List<String> faults = faults(HEAD.replace("weight", "wieght") + GOOD);
+    public void reportsWrongColumn() {
+        List<String> faults = faults(HEADER.replace("weight", "wieght") + GOOD);
         assertEquals(faults.get(0), "line 1 column weight: Add the column; commas separate columns.");
         assertTrue(faults.get(1).startsWith("line 1 column wieght: Remove or rename it"));
     }
 
     @Test
-    public void tellsEveryBadValueWithItsPlace() {
-        List<String> faults = faults(HEAD + GOOD + "o 2,s,x,0,ten,0,0,0,1000,100,abc\n" + "o3,s,1\n" + GOOD);
+    public void reportsEveryBadValueWithItsPosition() {
+        List<String> faults = faults(HEADER + GOOD + "o 2,s,x,0,ten,0,0,0,1000,100,abc\n" + "o3,s,1\n" + GOOD);
         assertEquals(
                 faults.stream()
                         .map(fault -> fault.substring(0, fault.indexOf(':')))
@@ -49,7 +49,7 @@
     }
 
     @Test
-    public void tellsAnEmptyFile() {
+    public void reportsEmptyFile() {
         assertEquals(faults("").size(), TableCsv.COLUMNS.size());
     }
 }
