--- a/core/src/test/java/org/cornelramp/core/table/LogModel.java
+++ b/core/src/test/java/org/cornelramp/core/table/InMemoryLog.java
@@ -7,8 +7,8 @@
 import org.cornelramp.core.model.OrganisationId;
 import org.cornelramp.core.model.ServiceName;
 
-/** A log in memory that forgets, with the table after each of its records. */
-final class LogModel {
+/** A log in memory with retention, and the table after each of its records. */
+final class InMemoryLog {
     final List<LoggedRecord> records = new ArrayList<>();
     final List<FoldedTable> tables = new ArrayList<>(List.of(FoldedTable.empty()));
     long oldest;
@@ -44,34 +44,34 @@
         append(TableRecords.writeEdit(edit), next());
     }
 
-    /** A snapshot of the table as it was some records ago. */
-    void snapshot(int ago) {
-        FoldedTable old = tables.get(Math.max(0, tables.size() - 1 - ago));
+    /** Appends a snapshot of the table as it was some records ago. */
+    void snapshot(int recordsAgo) {
+        FoldedTable old = tables.get(Math.max(0, tables.size() - 1 - recordsAgo));
         append(
                 TableRecords.writeSnapshot(
                         new TableRecords.SnapshotRecord(old.offset(), TableSnapshotCodec.write(old)), "e1"),
                 next());
     }
 
-    void forget(int count) {
+    void truncate(int count) {
         oldest = Math.min(next(), oldest + count);
     }
 
-    /** Reads one page, as a process would. */
-    TableReading read(TableReading reading, int max) {
-        long from = reading.readFrom();
+    /** Reads one page, as a process does. */
+    TableReadState read(TableReadState state, int maxRecords) {
+        long from = state.readFrom();
         if (from < oldest) {
-            return reading.onGone(bounds());
+            return state.onRecordsGone(bounds());
         }
-        int end = (int) Math.min(next(), from + max);
-        return reading.onPage(bounds(), from >= end ? List.of() : records.subList((int) from, end));
+        int end = (int) Math.min(next(), from + maxRecords);
+        return state.onPage(bounds(), from >= end ? List.of() : records.subList((int) from, end));
     }
 
-    /** Whether a process that starts now can find a snapshot, or needs none. */
+    /** Whether a process that starts now finds a usable snapshot or needs none. */
     boolean isReadable() {
         return oldest == 0
                 || records.subList((int) oldest, records.size()).stream()
                         .flatMap(record -> TableRecords.readSnapshot(record.value()).stream())
-                        .anyMatch(snapshot -> snapshot.covers() >= oldest);
+                        .anyMatch(snapshot -> snapshot.coveredOffset() >= oldest);
     }
 }
--- a/core/src/test/java/org/cornelramp/core/table/TableCsvProperties.java
+++ b/core/src/test/java/org/cornelramp/core/table/TableCsvProperties.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** What was written reads back, and whatever else is fed to the readers gives faults or rows, never an exception. */
+/** Written rows and tables read back unchanged; any other input yields faults or rows, never an exception. */
 public class TableCsvProperties {
 
     @Provide
@@ -29,7 +29,7 @@
                         hashes.add(Integer.toHexString(i).repeat(64));
                     }
                     RowValues values = new RowValues(weight, 3, rate, 7, 0, 1_000, 99.5, hashes);
-                    return new Row(LogModel.key(weight), version, values);
+                    return new Row(InMemoryLog.key(weight), version, values);
                 })
                 .list()
                 .uniqueElements(Row::key)
@@ -57,31 +57,31 @@
     }
 
     @Property(seed = "51", tries = 300)
-    void whatWasWrittenReadsBack(@ForAll("rows") List<Row> rows) {
+    void writtenRowsReadBackUnchanged(@ForAll("rows") List<Row> rows) {
         Either<List<CsvFault>, List<TableCsv.CsvRow>> read = TableCsv.read(TableCsv.write(rows));
         assertEquals(read.get().stream().map(TableCsv.CsvRow::row).toList(), rows);
     }
 
     @Property(seed = "52", tries = 1_000)
-    void garbageGivesFaultsWithTheirPlaces(@ForAll("garbage") String text) {
+    void garbageGivesFaultsWithLineNumbers(@ForAll("garbage") String text) {
         TableCsv.read(text)
                 .peekLeft(faults -> {
                     assertTrue(!faults.isEmpty());
                     faults.forEach(fault -> assertTrue(fault.line() >= 1, fault.toString()));
                 })
                 .peek(rows -> rows.forEach(
-                        row -> assertEquals(RowChecks.check(row.row().values()), List.of())));
+                        row -> assertEquals(RowChecks.validate(row.row().values()), List.of())));
     }
 
     @Property(seed = "53", tries = 500)
-    void garbageForASnapshotIsRefused(@ForAll byte[] bytes) {
-        FoldedTable base = FoldedTable.empty().at(7);
+    void garbageIsNoSnapshot(@ForAll byte[] bytes) {
+        FoldedTable base = FoldedTable.empty().atOffset(7);
         assertTrue(TableSnapshotCodec.read(base, bytes).isLeft());
     }
 
     @Property(seed = "54", tries = 500)
-    void aSnapshotWithAChangedByteIsRefusedOrTheSame(@ForAll int place, @ForAll byte change) {
-        LogModel log = new LogModel();
+    void corruptedSnapshotIsRejectedOrUnchanged(@ForAll int place, @ForAll byte change) {
+        InMemoryLog log = new InMemoryLog();
         log.edit(0, 1);
         log.edit(1, 2);
         byte[] bytes = TableSnapshotCodec.write(log.table());
--- a/core/src/test/java/org/cornelramp/core/table/TableFoldProperties.java
+++ b/core/src/test/java/org/cornelramp/core/table/TableFoldProperties.java
@@ -19,22 +19,22 @@
 import org.cornelramp.core.model.OrganisationId;
 import org.cornelramp.core.model.ServiceName;
 
-/** Whatever lands on the log, in whatever order, all readers hold the same table and the first edit wins. */
+/** For any records in any order, all readers compute the same table, and the first edit of a version is accepted. */
 public class TableFoldProperties {
     private static final int ROWS = 3;
 
-    /** An edit whose author saw the log up to {@code seen} records back. */
-    record Draft(int row, int seen, boolean deletes, int weight, boolean garbage) {}
+    /** An edit based on the log as it was some records back. */
+    record EditDraft(int row, int recordsBehind, boolean deletes, int weight, boolean garbage) {}
 
     @Provide
-    Arbitrary<List<Draft>> drafts() {
+    Arbitrary<List<EditDraft>> drafts() {
         return Combinators.combine(
                         Arbitraries.integers().between(0, ROWS - 1),
                         Arbitraries.integers().between(0, 4),
                         Arbitraries.of(true, false, false),
                         Arbitraries.integers().between(0, 5),
                         Arbitraries.of(true, false, false, false))
-                .as(Draft::new)
+                .as(EditDraft::new)
                 .list()
                 .ofMaxSize(30);
     }
@@ -47,12 +47,12 @@
         return new RowValues(weight, 0, 0, 0, 0, 1_000, 99.0, List.of());
     }
 
-    /** Turns drafts into records, each made against the state that its author saw. */
-    private static List<JsonNode> records(List<Draft> drafts) {
+    /** Converts drafts to records, each based on the table that its author read. */
+    private static List<JsonNode> records(List<EditDraft> drafts) {
         List<JsonNode> records = new ArrayList<>();
         List<FoldedTable> states = new ArrayList<>(List.of(FoldedTable.empty()));
-        for (Draft draft : drafts) {
-            FoldedTable seen = states.get(Math.max(0, states.size() - 1 - draft.seen()));
+        for (EditDraft draft : drafts) {
+            FoldedTable seen = states.get(Math.max(0, states.size() - 1 - draft.recordsBehind()));
             RowKey key = key(draft.row());
             Optional<RowValues> values = draft.deletes() ? Optional.empty() : Optional.of(values(draft.weight()));
             JsonNode record = draft.garbage()
@@ -76,18 +76,18 @@
     }
 
     @Property(seed = "17", tries = 300)
-    void ofAllEditsAgainstOneVersionAtMostOneIsAccepted(@ForAll("drafts") List<Draft> drafts) {
+    void atMostOneEditOfEachBaseVersionIsAccepted(@ForAll("drafts") List<EditDraft> drafts) {
         Map<String, Integer> accepted = new HashMap<>();
         FoldedTable table = FoldedTable.empty();
         for (JsonNode record : records(drafts)) {
-            Folded folded = TableFold.apply(table, table.offset(), record);
-            if (folded.verdict().isAccepted()) {
+            FoldResult folded = TableFold.apply(table, table.offset(), record);
+            if (folded.outcome().isAccepted()) {
                 TableEdit edit = TableRecords.readEdit(record).orElseThrow();
-                assertEquals(edit.against(), table.version(edit.key()));
-                accepted.merge(edit.key() + "@" + edit.against(), 1, Integer::sum);
+                assertEquals(edit.baseVersion(), table.version(edit.key()));
+                accepted.merge(edit.key() + "@" + edit.baseVersion(), 1, Integer::sum);
                 assertEquals(folded.table().version(edit.key()), table.offset());
             } else {
-                assertEquals(folded.table(), table.at(table.offset() + 1));
+                assertEquals(folded.table(), table.atOffset(table.offset() + 1));
             }
             table = folded.table();
         }
@@ -95,7 +95,7 @@
     }
 
     @Property(seed = "18", tries = 300)
-    void aSnapshotAtAnyOffsetLeadsToTheSameTable(@ForAll("drafts") List<Draft> drafts, @ForAll int cut) {
+    void snapshotAtAnyOffsetLeadsToTheSameTable(@ForAll("drafts") List<EditDraft> drafts, @ForAll int cut) {
         List<JsonNode> records = records(drafts);
         int at = Math.floorMod(cut, records.size() + 1);
         FoldedTable part = fold(FoldedTable.empty(), records.subList(0, at));
@@ -106,28 +106,27 @@
     }
 
     @Property(seed = "19", tries = 300)
-    void aChangeSetLeadsToTheSameTableFromAnyBaseAboveItsStart(
-            @ForAll("drafts") List<Draft> drafts, @ForAll int cutA, @ForAll int cutB) {
+    void changeSetLeadsToTheSameTableFromAnyLaterBase(
+            @ForAll("drafts") List<EditDraft> drafts, @ForAll int cutA, @ForAll int cutB) {
         List<JsonNode> records = records(drafts);
         int above = Math.floorMod(cutA, records.size() + 1);
         int base = above + Math.floorMod(cutB, records.size() + 1 - above);
         FoldedTable whole = fold(FoldedTable.empty(), records);
         FoldedTable part = fold(FoldedTable.empty(), records.subList(0, base));
         assertEquals(
-                TableSnapshotCodec.read(part, TableSnapshotCodec.writeAbove(whole, above))
+                TableSnapshotCodec.read(part, TableSnapshotCodec.writeChangesSince(whole, above))
                         .get(),
                 whole);
     }
 
     @Property(seed = "20", tries = 300)
-    void anEditAgainstAnythingButTheNewestVersionChangesNoRow(
-            @ForAll("drafts") List<Draft> drafts, @ForAll long against) {
+    void editOfStaleBaseVersionChangesNoRow(@ForAll("drafts") List<EditDraft> drafts, @ForAll long baseVersion) {
         FoldedTable table = fold(FoldedTable.empty(), records(drafts));
         RowKey key = key(0);
-        long stale = against == table.version(key) ? against + 1 : against;
+        long stale = baseVersion == table.version(key) ? baseVersion + 1 : baseVersion;
         JsonNode record = TableRecords.writeEdit(new TableEdit("late", key, stale, Optional.of(values(9)), "operator"));
-        Folded folded = TableFold.apply(table, table.offset(), record);
-        assertEquals(folded.verdict().kind(), Verdict.Kind.LOST_RACE);
-        assertEquals(folded.table(), table.at(table.offset() + 1));
+        FoldResult folded = TableFold.apply(table, table.offset(), record);
+        assertEquals(folded.outcome().kind(), RecordOutcome.Kind.LOST_RACE);
+        assertEquals(folded.table(), table.atOffset(table.offset() + 1));
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/Agent.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/Agent.java
@@ -369,7 +369,7 @@
         for (Stage stage : stages.stages()) {
             running += stage.session.running() > 0 ? 1 : 0;
             waiting += stage.session.isReady() ? 1 : 0;
-            queued += Math.max(0, stage.session.shape().limit() - stage.session.position());
+            queued += Math.max(0, stage.session.spec().positionLimit() - stage.session.position());
         }
         long mean = Math.max(calls.meanMicros(), batcher.meanMicros());
         return new AgentLoad(running, waiting, queued, batcher.positionsPerSecond(), mean, entryHeartbeats.size());
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/OutputSender.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/OutputSender.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.cornelramp.core.model.ProblemKind;
 import org.cornelramp.core.settings.HostPort;
-import org.cornelramp.core.step.StepSend;
+import org.cornelramp.core.step.OutputBatch;
 import org.cornelramp.wire.link.Link;
 import org.cornelramp.wire.message.Step;
 import org.cornelramp.wire.message.Token;
@@ -80,7 +80,7 @@
         for (Stage stage : stages) {
             if (stage.nextAddress().equals(address)) {
                 stage.nextMissingAt = 0;
-                stage.session.sendAgain();
+                stage.session.resendAll();
                 sendPending(stage, now);
             }
         }
@@ -88,26 +88,26 @@
 
     /** Sends the pending outputs of a stage until the link accepts no more. */
     void sendPending(Stage stage, Moment now) {
-        Optional<StepSend> send = stage.session.nextSend(MAX_OUTPUTS_PER_STEP);
+        Optional<OutputBatch> send = stage.session.nextSend(MAX_OUTPUTS_PER_STEP);
         while (send.isPresent() && send(stage, send.get(), now)) {
-            stage.session.sent(send.get());
+            stage.session.markSent(send.get());
             send = stage.session.nextSend(MAX_OUTPUTS_PER_STEP);
         }
     }
 
-    private boolean send(Stage stage, StepSend send, Moment now) {
-        return stage.session.shape().isLast()
+    private boolean send(Stage stage, OutputBatch send, Moment now) {
+        return stage.session.spec().isLast()
                 ? sendTokens(stage, send, now)
                 : sendStep(stage, toStep(stage, send), now);
     }
 
-    private static Step toStep(Stage stage, StepSend send) {
+    private static Step toStep(Stage stage, OutputBatch send) {
         return new Step(stage.id(), stage.session.epoch(), send.position(), send.outputs());
     }
 
     /** Skips outputs before the prompt's last position: they predict tokens that the caller supplied. */
-    private boolean sendTokens(Stage stage, StepSend send, Moment now) {
-        int first = Math.max(send.position(), stage.session.shape().promptTokens() - 1);
+    private boolean sendTokens(Stage stage, OutputBatch send, Moment now) {
+        int first = Math.max(send.position(), stage.session.spec().promptTokens() - 1);
         int skip = first - send.position();
         if (skip >= send.outputs().length) {
             return true;
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/StageHandler.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/StageHandler.java
@@ -9,8 +9,8 @@
 import org.cornelramp.core.model.ProblemKind;
 import org.cornelramp.core.settings.DaemonSettings;
 import org.cornelramp.core.step.StageSession;
-import org.cornelramp.core.step.StageShape;
-import org.cornelramp.core.step.StepVerdict;
+import org.cornelramp.core.step.StageSpec;
+import org.cornelramp.core.step.StepAcceptance;
 import org.cornelramp.ports.EngineClient;
 import org.cornelramp.wire.link.Link;
 import org.cornelramp.wire.message.CloseStage;
@@ -97,7 +97,7 @@
     }
 
     private void reopen(Stage held, Link link, OpenStage open, Moment now) {
-        if (!held.session.open(open.epoch())) {
+        if (!held.session.openEpoch(open.epoch())) {
             link.send(new StageRefused(
                     open.session(),
                     open.epoch(),
@@ -169,8 +169,8 @@
         return new StageSession(shape(open), open.epoch());
     }
 
-    private static StageShape shape(OpenStage open) {
-        return new StageShape(open.stage(), open.stages().size(), open.promptTokens(), open.maxTokens());
+    private static StageSpec shape(OpenStage open) {
+        return new StageSpec(open.stage(), open.stages().size(), open.promptTokens(), open.maxTokens());
     }
 
     private void add(Link link, OpenStage open, StageSession session, Moment now) {
@@ -212,8 +212,8 @@
         if (stage == null) {
             return;
         }
-        StepVerdict verdict = stage.session.accept(step.epoch(), step.position(), step.inputs());
-        if (verdict == StepVerdict.GAP) {
+        StepAcceptance verdict = stage.session.accept(step.epoch(), step.position(), step.inputs());
+        if (verdict == StepAcceptance.OUT_OF_RANGE) {
             stage.reportLost(stage.open.stage(), ProblemKind.BACKEND_LOST, "Inputs before the received step were lost");
         }
         if (stage.session.isReady()) {
@@ -224,7 +224,7 @@
     /** Starts to send outputs, beginning at a position. */
     void sendFrom(SendFrom from, Moment now) {
         Stage stage = stages.get(from.session());
-        if (stage != null && stage.session.sendFrom(from.epoch(), from.position())) {
+        if (stage != null && stage.session.startSending(from.epoch(), from.position())) {
             sender.sendPending(stage, now);
         }
     }
@@ -309,7 +309,7 @@
             if (sameEntry && !stage.entryLink.isOpen()) {
                 stage.entryLink = link;
                 stage.orphanedAt = 0;
-                stage.session.sendAgain();
+                stage.session.resendAll();
                 sender.sendPending(stage, now);
             }
         }
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/StepBatcher.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/StepBatcher.java
@@ -10,7 +10,7 @@
 import java.util.function.Supplier;
 import org.cornelramp.core.model.ProblemKind;
 import org.cornelramp.core.settings.DaemonSettings;
-import org.cornelramp.core.step.StepRun;
+import org.cornelramp.core.step.InputBatch;
 import org.cornelramp.ports.EngineClient;
 import org.cornelramp.ports.EngineStep;
 import org.cornelramp.ports.EngineStepResult;
@@ -98,7 +98,7 @@
         Batch batch = new Batch(now.nanos());
         for (Stage stage : candidates) {
             readyStages.remove(stage);
-            Optional<StepRun> run = stage.session.nextRun(MAX_POSITIONS_PER_STEP);
+            Optional<InputBatch> run = stage.session.nextRun(MAX_POSITIONS_PER_STEP);
             run.ifPresent(r -> batch.entries.add(new BatchEntry(stage, r)));
             if (batch.entries.size() >= slots) {
                 break;
@@ -164,7 +164,7 @@
                     stage, ProblemKind.BACKEND_FAILED, "The engine's output count differs from its input count");
             return;
         }
-        stage.session.ran(outputs);
+        stage.session.completeRun(outputs);
         handler.exportIfIdle(stage);
         sender.sendPending(stage, now);
         if (stage.session.isReady()) {
@@ -181,7 +181,7 @@
                 continue;
             }
             if (kind == PlatformException.Kind.REFUSED) {
-                entry.stage.session.putBack();
+                entry.stage.session.cancelRun();
                 readyStages.add(entry.stage);
             } else {
                 suspects.recordLostAnswer(entry.stage.open.fingerprint(), now);
@@ -260,5 +260,5 @@
     }
 
     /** The part of a batch that belongs to one session. */
-    private record BatchEntry(Stage stage, StepRun run) {}
+    private record BatchEntry(Stage stage, InputBatch run) {}
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/CallRun.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/CallRun.java
@@ -16,7 +16,7 @@
 import org.cornelramp.core.model.Problem;
 import org.cornelramp.core.model.ProblemKind;
 import org.cornelramp.core.route.Choice;
-import org.cornelramp.core.route.Work;
+import org.cornelramp.core.route.RoutingRequest;
 import org.cornelramp.core.table.RowKey;
 import org.cornelramp.wire.message.Invoke;
 import org.cornelramp.wire.message.Settle;
@@ -156,12 +156,12 @@
             pendingActions.addAll(state.notChosen(Refusals.overloaded("The organisation's retries are used up.")));
             return;
         }
-        Work work = new Work(row.service(), 0, 0, call.request().deadline(), "", state.failed());
+        RoutingRequest work = new RoutingRequest(row.service(), 0, 0, call.request().deadline(), "", state.failed());
         Either<Problem, Choice> choice = context.selection().chooseRepeatable(work, now);
         if (choice.isLeft()) {
             pendingActions.addAll(state.notChosen(choice.getLeft()));
         } else {
-            expected = choice.get().expected();
+            expected = choice.get().expectedTime();
             pendingActions.addAll(state.chosen(choice.get().stages().get(0).incarnation()));
         }
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/ChatQueue.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/ChatQueue.java
@@ -19,7 +19,7 @@
 import org.cornelramp.core.model.ServiceName;
 import org.cornelramp.core.route.Candidate;
 import org.cornelramp.core.route.Choice;
-import org.cornelramp.core.route.Work;
+import org.cornelramp.core.route.RoutingRequest;
 import org.cornelramp.core.table.Row;
 
 /**
@@ -55,7 +55,7 @@
     }
 
     /** Whether a request for this work has to wait for a free slot. */
-    boolean mustWait(Work work, Instant now) {
+    boolean mustWait(RoutingRequest work, Instant now) {
         FairQueue<QueuedChat> queue = queues.get(work.service());
         return (queue != null && queue.size() > 0) || isFull(work.service(), now);
     }
@@ -68,13 +68,13 @@
      * @param refuser receives other requests that are refused to make room
      */
     Optional<Problem> offer(
-            long id, CallerRequest request, Work work, Consumer<Instant> start, RefusalHandler refuser, Instant now) {
+            long id, CallerRequest request, RoutingRequest work, Consumer<Instant> start, RefusalHandler refuser, Instant now) {
         Either<Problem, Choice> idle = selection.chooseAsIfIdle(work, now);
         if (idle.isLeft()) {
             return Optional.of(idle.getLeft());
         }
         Waiting<QueuedChat> waiting =
-                queuedRequest(id, request, work, idle.get().expected(), new QueuedChat(request, start));
+                queuedRequest(id, request, work, idle.get().expectedTime(), new QueuedChat(request, start));
         Either<Problem, List<Refusal<QueuedChat>>> result = queues.computeIfAbsent(
                         work.service(), service -> new FairQueue<>(capacity, random))
                 .offer(waiting, now);
@@ -109,7 +109,7 @@
     }
 
     private static Waiting<QueuedChat> queuedRequest(
-            long id, CallerRequest request, Work work, Duration runTime, QueuedChat chat) {
+            long id, CallerRequest request, RoutingRequest work, Duration runTime, QueuedChat chat) {
         Row row = request.row();
         return new Waiting<>(
                 id,
@@ -149,7 +149,7 @@
                 .orElse(1);
         int entries = Math.max(1, candidate.load().linkedEntries());
         int entryShare = Math.max(1, candidate.offer().slots() * stages / entries);
-        return candidate.sentCalls() < entryShare;
+        return candidate.outstandingCalls() < entryShare;
     }
 
     private static boolean isCompletePipeline(List<Candidate> candidates) {
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/ChatRun.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/ChatRun.java
@@ -13,10 +13,10 @@
 import org.cornelramp.core.model.ProblemKind;
 import org.cornelramp.core.route.Candidate;
 import org.cornelramp.core.route.Choice;
-import org.cornelramp.core.route.Work;
+import org.cornelramp.core.route.RoutingRequest;
 import org.cornelramp.core.session.PipelineSession;
 import org.cornelramp.core.session.SessionAction;
-import org.cornelramp.core.text.Vocabulary;
+import org.cornelramp.core.text.Tokenizer;
 import org.cornelramp.wire.message.CloseStage;
 import org.cornelramp.wire.message.Message;
 import org.cornelramp.wire.message.OpenStage;
@@ -71,7 +71,7 @@
         this.context = context;
         this.agents = context.agents();
         this.tracker = context.tracker();
-        long[] prompt = Vocabulary.encode(chat.messages());
+        long[] prompt = Tokenizer.encode(chat.messages());
         this.promptTokens = prompt.length;
         this.state = new PipelineSession(prompt, chat.maxTokens(), MAX_REBUILDS);
         this.responseWriter = new ChatResponseWriter(request.id(), request.arrived(), chat.model());
@@ -83,22 +83,22 @@
     }
 
     void handle(StageOpened message, Instant now) {
-        apply(state.opened(message.epoch(), message.stage(), message.position()), now);
+        apply(state.onOpened(message.epoch(), message.stage(), message.position()), now);
     }
 
     void handle(StageRefused message, Instant now) {
         Problem why = Problem.notRun(message.kind(), message.detail())
                 .withRetryAfter(Duration.ofMillis(Math.max(0, message.retryAfterMillis())));
-        apply(state.lost(message.epoch(), message.stage(), why), now);
+        apply(state.onLost(message.epoch(), message.stage(), why), now);
     }
 
     void handle(StageLost message, Instant now) {
         recordFailure(message, now);
-        apply(state.lost(message.epoch(), message.stage(), Problem.notRun(message.kind(), message.detail())), now);
+        apply(state.onLost(message.epoch(), message.stage(), Problem.notRun(message.kind(), message.detail())), now);
     }
 
     private void recordFailure(StageLost message, Instant now) {
-        boolean isCurrent = message.epoch() == state.epoch() && !state.isChoosing();
+        boolean isCurrent = message.epoch() == state.epoch() && !state.isAwaitingStages();
         if (isCurrent
                 && message.stage() >= 0
                 && message.stage() < state.stages().size()) {
@@ -108,17 +108,17 @@
     }
 
     void handle(Token message, Instant now) {
-        apply(state.generated(message.epoch(), message.position(), message.tokens()), now);
+        apply(state.onGenerated(message.epoch(), message.position(), message.tokens()), now);
     }
 
     /** Handles the loss of the link to an agent, which may still be running. */
     void linkLost(Incarnation agent, String detail, Instant now) {
-        apply(state.unlinked(agent, Problem.notRun(ProblemKind.BACKEND_LOST, detail)), now);
+        apply(state.onLinkLost(agent, Problem.notRun(ProblemKind.BACKEND_LOST, detail)), now);
     }
 
     /** Handles the end of an incarnation of an agent. */
     void incarnationEnded(Incarnation agent, String detail, Instant now) {
-        apply(state.lost(agent, Problem.notRun(ProblemKind.BACKEND_LOST, detail)), now);
+        apply(state.onLost(agent, Problem.notRun(ProblemKind.BACKEND_LOST, detail)), now);
     }
 
     /** Chooses a pipeline again when that is due, and ends the session at its deadline. */
@@ -134,7 +134,7 @@
 
     /** Ends the session with a problem, for example when its caller has disconnected. */
     void giveUp(Problem problem, Instant now) {
-        apply(state.giveUp(problem), now);
+        apply(state.fail(problem), now);
     }
 
     boolean isEnded() {
@@ -143,7 +143,7 @@
 
     private void usePipeline(Either<Problem, Choice> choice, Instant now) {
         if (choice.isLeft()) {
-            apply(state.giveUp(choice.getLeft()), now);
+            apply(state.fail(choice.getLeft()), now);
             return;
         }
         List<Incarnation> stages =
@@ -153,9 +153,9 @@
                 now,
                 "chosen",
                 "epoch=" + (state.epoch() + 1) + " stages=" + stages + " expected_millis="
-                        + choice.get().expected().toMillis());
+                        + choice.get().expectedTime().toMillis());
         moveCountedWork(stages, now);
-        apply(state.use(stages), now);
+        apply(state.assignStages(stages), now);
     }
 
     private void moveCountedWork(List<Incarnation> stages, Instant now) {
@@ -167,9 +167,9 @@
         countedAgents = stages;
     }
 
-    private Work work() {
+    private RoutingRequest work() {
         int remainingTokens = Math.max(1, chat.maxTokens() - state.generatedTokens());
-        return new Work(chat.model(), promptTokens, remainingTokens, request.deadline(), "", state.failed());
+        return new RoutingRequest(chat.model(), promptTokens, remainingTokens, request.deadline(), "", state.failedAgents());
     }
 
     /** Performs actions from a queue rather than by recursion, because a failed send adds further actions. */
@@ -191,9 +191,9 @@
             send(0, new Step(session, feed.epoch(), feed.position(), feed.tokens()), feed.epoch());
         } else if (action instanceof SessionAction.Emit emit) {
             emit(emit.tokens(), now);
-        } else if (action instanceof SessionAction.Rechoose rechoose) {
+        } else if (action instanceof SessionAction.SelectStages rechoose) {
             lostAt = lostAt.or(() -> Optional.of(now));
-            tracker.recordDecision(request, now, "rebuild", "why=" + rechoose.why() + " failed=" + state.failed());
+            tracker.recordDecision(request, now, "rebuild", "why=" + rechoose.reason() + " failed=" + state.failedAgents());
             rechooseOrDelay(now);
         } else if (action instanceof SessionAction.Close close) {
             agents.closeStage(close.agent(), new CloseStage(session, close.epoch()), request.deadline());
@@ -225,7 +225,7 @@
     }
 
     private void rechoose(Instant now) {
-        if (!state.isChoosing()) {
+        if (!state.isAwaitingStages()) {
             return;
         }
         Optional<Problem> stop = context.admission().stopReason(fingerprint, now);
@@ -251,7 +251,7 @@
         return withinTimeout
                 && state.stages().stream()
                         .anyMatch(agent ->
-                                !agents.isLinked(agent) && !state.failed().contains(agent));
+                                !agents.isLinked(agent) && !state.failedAgents().contains(agent));
     }
 
     private void open(SessionAction.Open open, Instant now) {
@@ -284,20 +284,20 @@
     }
 
     private void send(int stage, Message message, int epoch) {
-        if (epoch != state.epoch() || state.isEnded() || state.isChoosing()) {
+        if (epoch != state.epoch() || state.isEnded() || state.isAwaitingStages()) {
             return;
         }
         if (!agents.send(state.stages().get(stage), message)) {
             Problem why = Problem.notRun(ProblemKind.BACKEND_LOST, "The link to a stage refused a message.");
             refusedByLink = true;
-            pendingActions.addAll(state.unlinked(state.stages().get(stage), why));
+            pendingActions.addAll(state.onLinkLost(state.stages().get(stage), why));
         }
     }
 
     private void emit(int[] tokens, Instant now) {
         StringBuilder piece = new StringBuilder();
         for (int token : tokens) {
-            piece.append(Vocabulary.render(token));
+            piece.append(Tokenizer.decode(token));
         }
         emittedTokens += tokens.length;
         lostAt.ifPresent(at -> resumed(Duration.between(at, now), now));
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/EntryPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/EntryPlugin.java
@@ -120,7 +120,7 @@
                 settings.bounds().inProgress(), settings.timing().heartbeatMillis(), poisonTracker, random);
         AgentHealthTracker healthTracker = new AgentHealthTracker();
         AgentRegistry agents = new AgentRegistry(new Lives(keyWindow, IdempotencyKey.CLOCK_SKEW), healthTracker);
-        Chooser chooser = settings.choice().chooser(PrefixHints.NONE);
+        Chooser chooser = settings.choice().newChooser(PrefixHints.NONE);
         Selection selection = new Selection(agents, chooser, settings.dataCentre(), StaticLinkCosts.DEFAULTS, random);
         RequestTracker tracker = new RequestTracker(registry.need(RequestRecorder.class), registry.meters(), admission);
         ChatQueue chatQueue = new ChatQueue(agents, selection, settings.bounds().inProgress(), random);
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/RequestIntake.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/RequestIntake.java
@@ -15,8 +15,8 @@
 import org.cornelramp.core.model.Problem;
 import org.cornelramp.core.model.ProblemKind;
 import org.cornelramp.core.route.Choice;
-import org.cornelramp.core.route.Work;
-import org.cornelramp.core.text.Vocabulary;
+import org.cornelramp.core.route.RoutingRequest;
+import org.cornelramp.core.text.Tokenizer;
 
 /**
  * Submits callers' requests to the router: refuses those that may not start, binds keys, and starts or queues the
@@ -62,9 +62,9 @@
     }
 
     private void startOrWait(long session, CallerRequest request, ChatRequest chat, String fingerprint, Instant now) {
-        Work work = new Work(
+        RoutingRequest work = new RoutingRequest(
                 chat.model(),
-                Vocabulary.encode(chat.messages()).length,
+                Tokenizer.encode(chat.messages()).length,
                 chat.maxTokens(),
                 request.deadline(),
                 "",
@@ -140,7 +140,7 @@
     }
 
     private Either<Problem, Incarnation> chooseAgent(CallerRequest request, Instant now) {
-        Work work = new Work(request.row().key().service(), 0, 0, request.deadline(), "", Set.of());
+        RoutingRequest work = new RoutingRequest(request.row().key().service(), 0, 0, request.deadline(), "", Set.of());
         Either<Problem, Choice> choice = context.selection().choose(work, now);
         return choice.map(chosen -> chosen.stages().get(0).incarnation());
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/Selection.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/Selection.java
@@ -18,7 +18,7 @@
 import org.cornelramp.core.route.Choice;
 import org.cornelramp.core.route.Chooser;
 import org.cornelramp.core.route.LinkCosts;
-import org.cornelramp.core.route.Work;
+import org.cornelramp.core.route.RoutingRequest;
 
 /** Chooses backend servers among the known agents. Confined to the router's thread. */
 final class Selection {
@@ -44,7 +44,7 @@
     }
 
     /** Chooses for new work that may run at most once where it is sent. */
-    Either<Problem, Choice> choose(Work work, Instant now) {
+    Either<Problem, Choice> choose(RoutingRequest work, Instant now) {
         return choose(agents.candidates(now), work, now);
     }
 
@@ -52,9 +52,9 @@
      * Chooses for new work that may safely run again elsewhere. An ejected agent that is due for a probe is chosen for
      * it: only such work can safely test whether the agent has recovered, and it has all its retries left.
      */
-    Either<Problem, Choice> chooseRepeatable(Work work, Instant now) {
+    Either<Problem, Choice> chooseRepeatable(RoutingRequest work, Instant now) {
         List<Candidate> candidates = agents.candidates(now);
-        Optional<Candidate> probe = agents.claimProbe(work.service(), work.avoid(), now);
+        Optional<Candidate> probe = agents.claimProbe(work.service(), work.excludedAgents(), now);
         if (probe.isPresent()) {
             candidates.removeIf(candidate ->
                     candidate.offer().layers().equals(probe.get().offer().layers())
@@ -65,7 +65,7 @@
     }
 
     /** Chooses as if no backend server had any work, to estimate how long the request itself takes. */
-    Either<Problem, Choice> chooseAsIfIdle(Work work, Instant now) {
+    Either<Problem, Choice> chooseAsIfIdle(RoutingRequest work, Instant now) {
         List<Candidate> idle =
                 agents.candidates(now).stream().map(Selection::asIfIdle).toList();
         return choose(idle, work, now);
@@ -75,19 +75,19 @@
      * Chooses for a session that lost a stage. The remaining stages stay, because they hold the session's state, and
      * only lost ones are replaced. If this gives no complete pipeline, all stages are chosen again.
      */
-    Either<Problem, Choice> chooseReplacement(Work original, List<Incarnation> stages, Instant now) {
+    Either<Problem, Choice> chooseReplacement(RoutingRequest original, List<Incarnation> stages, Instant now) {
         // A prediction must not end a running stream that may still complete in time; only its deadline does. Speeds
         // measured in the seconds after a fault are low, and with the real deadline streams would be ended with half
         // their time left.
-        Work work = new Work(
+        RoutingRequest work = new RoutingRequest(
                 original.service(),
                 original.promptTokens(),
                 original.maxTokens(),
                 now.plus(REPLACEMENT_HORIZON),
-                original.prefix(),
-                original.avoid());
+                original.prefixHash(),
+                original.excludedAgents());
         Set<Incarnation> kept = new HashSet<>(stages);
-        kept.removeAll(work.avoid());
+        kept.removeAll(work.excludedAgents());
         List<Candidate> survivors = agents.linkedCandidates(kept);
         List<Candidate> candidates = new ArrayList<>(survivors);
         agents.candidates(now).stream()
@@ -97,7 +97,7 @@
         return choice.isRight() ? choice : choose(work, now);
     }
 
-    private Either<Problem, Choice> choose(List<Candidate> candidates, Work work, Instant now) {
+    private Either<Problem, Choice> choose(List<Candidate> candidates, RoutingRequest work, Instant now) {
         return chooser.choose(candidates, work, localDataCentre, costs, now, random);
     }
 
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/EditEndpoint.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/EditEndpoint.java
@@ -24,7 +24,7 @@
 import org.cornelramp.core.table.RowKey;
 import org.cornelramp.core.table.TableEdit;
 import org.cornelramp.core.table.TableFold;
-import org.cornelramp.core.table.Verdict;
+import org.cornelramp.core.table.RecordOutcome;
 import org.cornelramp.daemon.table.TableKeeper;
 
 /**
@@ -95,7 +95,7 @@
             if (!keys.add(edit.key())) {
                 return Optional.of(place + "Edit each row at most once in a request.");
             }
-            List<ColumnFault> faults = edit.values().map(RowChecks::check).orElse(List.of());
+            List<ColumnFault> faults = edit.values().map(RowChecks::validate).orElse(List.of());
             if (!faults.isEmpty()) {
                 return Optional.of(place
                         + String.join(
@@ -114,7 +114,7 @@
             EditDocument document = request.edits().get(i);
             TableEdit edit = new TableEdit(
                     request.id() + "-" + i, document.key(), document.against(), document.values(), request.by());
-            Optional<Verdict> verdict = rejection(table, edit);
+            Optional<RecordOutcome> verdict = rejection(table, edit);
             if (verdict.isPresent()) {
                 results[i] = EditResultResolver.rejected(
                         table, edit, Optional.empty(), verdict.get().detail());
@@ -140,7 +140,7 @@
      * can never be accepted. An edit against a higher version is submitted, because this entry may not have read that
      * version yet.
      */
-    private static Optional<Verdict> rejection(FoldedTable table, TableEdit edit) {
-        return edit.against() > table.version(edit.key()) ? Optional.empty() : TableFold.judge(table, edit);
+    private static Optional<RecordOutcome> rejection(FoldedTable table, TableEdit edit) {
+        return edit.baseVersion() > table.version(edit.key()) ? Optional.empty() : TableFold.findRejection(table, edit);
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/EditService.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/EditService.java
@@ -71,7 +71,7 @@
      * instead if that is still on the log.
      */
     EditResult staleVersionResult(FoldedTable table, TableEdit edit) throws InterruptedException {
-        long start = conflictStart(table.offset(), edit.against());
+        long start = conflictStart(table.offset(), edit.baseVersion());
         return EditResultResolver.staleVersion(
                 table, edit, logReader.read(start, table.offset()).orElse(List.of()));
     }
@@ -82,7 +82,7 @@
      */
     private Optional<List<LoggedRecord>> readBack(List<TableEdit> edits, long start, long end)
             throws InterruptedException {
-        long early = edits.stream().mapToLong(TableEdit::against).reduce(start, this::conflictStart);
+        long early = edits.stream().mapToLong(TableEdit::baseVersion).reduce(start, this::conflictStart);
         Optional<List<LoggedRecord>> records = logReader.read(early, end);
         return records.isPresent() || early == start ? records : logReader.read(start, end);
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/HistoryEndpoint.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/HistoryEndpoint.java
@@ -46,13 +46,13 @@
                 history.edits().stream().map(entry -> edit(history, entry)).toList()));
     }
 
-    private static HistoryDocument.HistoryEdit edit(RowHistory history, RowHistory.Entry entry) {
+    private static HistoryDocument.HistoryEdit edit(RowHistory history, RowHistory.LoggedEdit entry) {
         return new HistoryDocument.HistoryEdit(
                 entry.offset(),
-                entry.at(),
+                entry.appendedAtMillis(),
                 entry.edit().id(),
-                entry.edit().by(),
-                entry.edit().against(),
+                entry.edit().author(),
+                entry.edit().baseVersion(),
                 history.isAccepted(entry.offset()),
                 entry.edit().values());
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/table/TableFollower.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/table/TableFollower.java
@@ -12,8 +12,8 @@
 import org.cornelramp.core.table.FoldedTable;
 import org.cornelramp.core.table.LogBounds;
 import org.cornelramp.core.table.LoggedRecord;
-import org.cornelramp.core.table.SnapshotPlan;
-import org.cornelramp.core.table.TableReading;
+import org.cornelramp.core.table.SnapshotSchedule;
+import org.cornelramp.core.table.TableReadState;
 import org.cornelramp.core.table.TableRecords;
 import org.cornelramp.core.table.TableSnapshotCodec;
 import org.cornelramp.daemon.kernel.Component;
@@ -47,8 +47,8 @@
     private final Thread thread = new Thread(this::run, "table");
     private volatile boolean running = true;
     private volatile String logFault = "";
-    private volatile TableReading reading = TableReading.start();
-    private SnapshotPlan plan = SnapshotPlan.start();
+    private volatile TableReadState reading = TableReadState.start();
+    private SnapshotSchedule plan = SnapshotSchedule.start();
     private long backoffMillis = INITIAL_BACKOFF_MILLIS;
 
     TableFollower(
@@ -94,7 +94,7 @@
 
     /** Returns the state of the log for the status document. */
     ObjectNode status() {
-        TableReading current = reading;
+        TableReadState current = reading;
         ObjectNode node = JsonNodeFactory.instance.objectNode();
         node.put("reachable", logFault.isEmpty());
         node.put("trouble", logFault);
@@ -102,8 +102,8 @@
         node.put("offset", current.table().offset());
         node.put("oldest", current.bounds().oldest());
         current.newestSnapshot()
-                .ifPresent(mark -> node.put("snapshotCovers", mark.covers()).put("snapshotAt", mark.at()));
-        node.put("divergences", current.divergences());
+                .ifPresent(mark -> node.put("snapshotCovers", mark.coveredOffset()).put("snapshotAt", mark.appendedAtMillis()));
+        node.put("divergences", current.divergentSnapshots());
         return node;
     }
 
@@ -113,7 +113,7 @@
                 follow();
                 setLogFault(describeFault(reading));
                 backoffMillis = INITIAL_BACKOFF_MILLIS;
-                if (reading.phase() == TableReading.Phase.STUCK) {
+                if (reading.phase() == TableReadState.Phase.STUCK) {
                     backOff();
                 }
             } catch (InterruptedException e) {
@@ -127,22 +127,22 @@
     }
 
     private void follow() throws InterruptedException, ExecutionException, TimeoutException {
-        TableReading before = reading.onPeerTable(keeper.folded());
-        TableReading after = read(before);
+        TableReadState before = reading.onPeerTable(keeper.folded());
+        TableReadState after = read(before);
         reading = after;
         reportDivergence(before, after);
         // States from before the end of the log, as read during the start, are no longer in force.
         if (after.isAtEnd() || keeper.isReady()) {
             keeper.take(after.table());
         }
-        SnapshotPlan.Step step = plan.look(after, snapshotAge, processName, clock.instant());
-        plan = step.plan();
+        SnapshotSchedule.Decision step = plan.evaluate(after, snapshotAge, processName, clock.instant());
+        plan = step.schedule();
         if (step.write()) {
             writeSnapshot(after.table());
         }
     }
 
-    private TableReading read(TableReading from) throws InterruptedException, ExecutionException, TimeoutException {
+    private TableReadState read(TableReadState from) throws InterruptedException, ExecutionException, TimeoutException {
         long wait = from.isAtEnd() ? LONG_POLL_MILLIS : 0;
         try {
             LogPage page = log.read(LogStream.TABLE, from.readFrom(), PAGE_RECORDS, wait)
@@ -150,7 +150,7 @@
             return from.onPage(boundsOf(page), recordsOf(page));
         } catch (ExecutionException e) {
             if (e.getCause() instanceof PlatformException fault && fault.kind() == PlatformException.Kind.GONE) {
-                return from.onGone(
+                return from.onRecordsGone(
                         boundsOf(log.bounds(LogStream.TABLE).get(ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)));
             }
             throw e;
@@ -161,9 +161,9 @@
      * Reports two different folds of the same records. They would put two different tables in force, so they are
      * compared wherever possible.
      */
-    private void reportDivergence(TableReading before, TableReading after) {
+    private void reportDivergence(TableReadState before, TableReadState after) {
         boolean moved = after.table().offset() > before.table().offset();
-        if (after.divergences() > before.divergences() || (moved && keeper.differsFrom(after.table()))) {
+        if (after.divergentSnapshots() > before.divergentSnapshots() || (moved && keeper.differsFrom(after.table()))) {
             meters.divergenceDetected();
             LOG.log(
                     System.Logger.Level.ERROR,
@@ -200,8 +200,8 @@
                 .toList();
     }
 
-    private static String describeFault(TableReading reading) {
-        if (reading.phase() == TableReading.Phase.STUCK) {
+    private static String describeFault(TableReadState reading) {
+        if (reading.phase() == TableReadState.Phase.STUCK) {
             return "the log no longer holds the records from " + reading.table().offset()
                     + " on and has no snapshot that covers them; a peer with a newer table can supply them";
         }
--- a/daemon/src/main/java/org/cornelramp/daemon/table/TableKeeper.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/table/TableKeeper.java
@@ -90,7 +90,7 @@
 
     @Override
     public byte[] snapshotAbove(long above) {
-        return above <= 0 ? snapshot() : TableSnapshotCodec.writeAbove(table, above);
+        return above <= 0 ? snapshot() : TableSnapshotCodec.writeChangesSince(table, above);
     }
 
     @Override
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/FakePipeline.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/FakePipeline.java
@@ -17,7 +17,7 @@
 import org.cornelramp.core.model.ProblemKind;
 import org.cornelramp.core.model.ServiceName;
 import org.cornelramp.core.poison.CrashReport;
-import org.cornelramp.core.text.Vocabulary;
+import org.cornelramp.core.text.Tokenizer;
 import org.cornelramp.wire.link.Link;
 import org.cornelramp.wire.message.CloseStage;
 import org.cornelramp.wire.message.Message;
@@ -84,11 +84,11 @@
         long[] state = new long[LAYERS];
         StringBuilder text = new StringBuilder();
         int token = 0;
-        for (long input : Vocabulary.encode(List.of(prompt))) {
+        for (long input : Tokenizer.encode(List.of(prompt))) {
             token = runLayers(state, input);
         }
-        for (int i = 0; i < maxTokens && token != Vocabulary.END; i++) {
-            text.append(Vocabulary.render(token));
+        for (int i = 0; i < maxTokens && token != Tokenizer.END_TOKEN; i++) {
+            text.append(Tokenizer.decode(token));
             token = runLayers(state, token);
         }
         return text.toString();
--- a/gateway/src/main/java/org/cornelramp/gateway/request/Intake.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/Intake.java
@@ -95,7 +95,7 @@
             return;
         }
         Optional<RoutingConfig.Organisation> organisation = head.key().flatMap(version.get()::organisation);
-        if (version.get().needsKey(route.get()) && organisation.isEmpty()) {
+        if (version.get().requiresKey(route.get()) && organisation.isEmpty()) {
             refuse(request, response, callback, head, Refusal.NO_KEY);
             return;
         }
--- a/gateway/src/main/java/org/cornelramp/gateway/route/Dispatcher.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Dispatcher.java
@@ -76,7 +76,7 @@
                     .choose(beliefs.usable(flight.service(), now), flight.avoid(), settings.dataCentre())
                     .map(server -> new Choice(server, Optional.empty()));
         }
-        flight.expectTokens(engine.get().usualTokens());
+        flight.expectTokens(engine.get().meanRequestTokens());
         return path(flight, engine.get(), now).map(way -> new Choice(way.first(), Optional.of(way)));
     }
 
--- a/system-tests/src/test/java/org/cornelramp/systemtests/WholePathTest.java
+++ b/system-tests/src/test/java/org/cornelramp/systemtests/WholePathTest.java
@@ -6,7 +6,7 @@
 import org.cornelramp.bench.fleet.Fleet;
 import org.cornelramp.bench.fleet.FleetPlan;
 import org.cornelramp.bench.fleet.JsonHttp;
-import org.cornelramp.core.text.Vocabulary;
+import org.cornelramp.core.text.Tokenizer;
 import org.cornelramp.standins.engine.ModelMath;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
@@ -52,10 +52,10 @@
     }
 
     private static String expected(String prompt, int count) {
-        long[] tokens = ModelMath.generate(Vocabulary.encode(List.of(prompt)), Processes.layers(), count);
+        long[] tokens = ModelMath.generate(Tokenizer.encode(List.of(prompt)), Processes.layers(), count);
         StringBuilder text = new StringBuilder();
         for (long token : tokens) {
-            text.append(Vocabulary.render((int) token));
+            text.append(Tokenizer.decode((int) token));
         }
         return text.toString();
     }
