--- a/core/src/main/java/org/cornelramp/core/admission/DrainRate.java
+++ b/core/src/main/java/org/cornelramp/core/admission/DrainRate.java
@@ -4,56 +4,58 @@
 import java.time.Instant;
 
 /**
- * Cost a second at which a queue drains, measured only while requests wait: an idle time says nothing of how fast
- * a backlog would go. Owned by one thread.
+ * Estimates the rate, in cost per second, at which a queue drains.
+ *
+ * <p>Only time with a backlog counts, since an idle period says nothing about how fast a backlog would drain. The
+ * estimate is exponentially weighted. Owned by one thread.
  */
 final class DrainRate {
-    private static final double TAU_SECONDS = 2;
-    private static final double LEAST_SECONDS = 0.2;
-    private static final Duration BACKLOG = Duration.ofMillis(1);
+    private static final double TIME_CONSTANT_SECONDS = 2;
+    private static final double MIN_OBSERVED_SECONDS = 0.2;
+    private static final Duration MIN_BACKLOG_AGE = Duration.ofMillis(1);
 
-    private double cost;
-    private double seconds;
+    private double drainedCost;
+    private double observedSeconds;
     private Instant backlogStart;
-    private Instant since;
-
-    /** Notes that cost is about to leave a queue in which it waits. */
-    void drained(double amount, Instant now) {
-        pass(now);
-        // What a free slot takes the moment it comes would count for no time at all, and the rate be endless.
-        if (since != null && !now.isBefore(backlogStart.plus(BACKLOG))) {
-            cost += amount;
+    private Instant updatedAt;
+
+    /** Records that a request is about to be dequeued; {@code amount} is its cost. */
+    void recordDequeue(double amount, Instant now) {
+        advance(now);
+        // A request that a free slot takes at once adds cost but no waiting time, which would make the rate infinite.
+        if (updatedAt != null && !now.isBefore(backlogStart.plus(MIN_BACKLOG_AGE))) {
+            drainedCost += amount;
         }
     }
 
-    /** Notes that requests wait from now on. */
-    void backlogged(Instant now) {
-        if (since == null) {
-            since = now;
+    /** Records that the queue holds requests from now on. */
+    void recordBacklog(Instant now) {
+        if (updatedAt == null) {
+            updatedAt = now;
             backlogStart = now;
         }
     }
 
-    /** Notes that no request waits. */
-    void idle(Instant now) {
-        pass(now);
-        since = null;
+    /** Records that the queue is empty. */
+    void recordEmpty(Instant now) {
+        advance(now);
+        updatedAt = null;
     }
 
-    /** Cost a second; 0 while too little has been seen. */
+    /** Estimated cost per second; 0 until enough backlogged time has been observed. */
     double perSecond(Instant now) {
-        pass(now);
-        return seconds < LEAST_SECONDS ? 0 : cost / seconds;
+        advance(now);
+        return observedSeconds < MIN_OBSERVED_SECONDS ? 0 : drainedCost / observedSeconds;
     }
 
-    private void pass(Instant now) {
-        if (since == null) {
+    private void advance(Instant now) {
+        if (updatedAt == null) {
             return;
         }
-        double passed = Math.max(0, Duration.between(since, now).toNanos() / 1e9);
-        double kept = Math.exp(-passed / TAU_SECONDS);
-        cost *= kept;
-        seconds = (seconds + passed) * kept;
-        since = now.isAfter(since) ? now : since;
+        double elapsed = Math.max(0, Duration.between(updatedAt, now).toNanos() / 1e9);
+        double decay = Math.exp(-elapsed / TIME_CONSTANT_SECONDS);
+        drainedCost *= decay;
+        observedSeconds = (observedSeconds + elapsed) * decay;
+        updatedAt = now.isAfter(updatedAt) ? now : updatedAt;
     }
 }
--- a/core/src/main/java/org/cornelramp/core/admission/FairQueue.java
+++ b/core/src/main/java/org/cornelramp/core/admission/FairQueue.java
@@ -10,43 +10,44 @@
 import java.util.Optional;
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
-import org.cornelramp.core.admission.Share.Entry;
+import org.cornelramp.core.admission.OrganisationShare.Entry;
 import org.cornelramp.core.model.OrganisationId;
 import org.cornelramp.core.model.Problem;
 import org.cornelramp.core.model.ProblemKind;
 
 /**
- * A bounded queue that gives organisations service in proportion to their weights, and orders the requests of one
- * organisation by priority and deadline.
+ * A bounded weighted fair queue: organisations get service in proportion to their weights, and the requests of one
+ * organisation are ordered by priority and deadline.
  *
- * <p>Shares are kept by virtual time: an organisation's tag rises by cost / weight with each request that it
- * starts, and the lowest tag goes next. One that was idle starts at the present virtual time, so it neither saves
- * up service nor pays for what others used. What can no longer be done in its deadline is given up at once; nothing
- * that was given up is held. Every operation takes time logarithmic in the requests and organisations that wait.
+ * <p>Scheduling uses virtual time. The tag of an organisation rises by cost / weight with each request that it
+ * starts, and the organisation with the lowest tag is served next. One that was idle starts at the current virtual
+ * time, so it neither accumulates credit nor is charged for service that others received. A request that can no
+ * longer meet its deadline is removed at once and not kept. Every operation takes time logarithmic in the number of
+ * queued requests and organisations.
  *
- * <p>Owned by one thread, which passes the present time in.
+ * <p>Owned by one thread, which passes the current time in.
  */
 public final class FairQueue<T> {
-    private static final double LEAST_WAIT_SECONDS = 0.1;
-    private static final double MOST_WAIT_SECONDS = 60;
+    private static final double MIN_RETRY_SECONDS = 0.1;
+    private static final double MAX_RETRY_SECONDS = 60;
 
     private final int capacity;
     private final RandomGenerator random;
     private final Map<Long, Entry<T>> byId = new HashMap<>();
-    private final Map<OrganisationId, Share<T>> shares = new HashMap<>();
-    private final TreeSet<Share<T>> due = new TreeSet<>(Share.byTag());
-    private final TreeSet<Share<T>> crowded = new TreeSet<>(Share.byCrowding());
-    private final TreeSet<Share<T>> resting = new TreeSet<>(Share.byTag());
+    private final Map<OrganisationId, OrganisationShare<T>> shares = new HashMap<>();
+    private final TreeSet<OrganisationShare<T>> backlogged = new TreeSet<>(OrganisationShare.byTag());
+    private final TreeSet<OrganisationShare<T>> byOccupancy = new TreeSet<>(OrganisationShare.byOccupancy());
+    private final TreeSet<OrganisationShare<T>> idle = new TreeSet<>(OrganisationShare.byTag());
     private final TreeSet<Entry<T>> byLatestStart = new TreeSet<>(Entry.byLatestStart());
-    private final DrainRate drain = new DrainRate();
+    private final DrainRate drainRate = new DrainRate();
     private double virtualTime;
-    private double dueWeight;
-    private double waitingCost;
+    private double backloggedWeight;
+    private double queuedCost;
     private long sequence;
 
     /**
-     * @param capacity most requests that wait
-     * @param random spreads the times at which refused callers come back
+     * @param capacity maximum number of queued requests
+     * @param random adds jitter to the retry-after times of refused requests
      */
     public FairQueue(int capacity, RandomGenerator random) {
         this.capacity = capacity;
@@ -54,238 +55,242 @@
     }
 
     /**
-     * Takes a request in, or refuses it at once if it cannot be answered in its deadline or there is no room.
+     * Enqueues a request, or refuses it at once if it cannot meet its deadline or the queue has no room.
      *
-     * <p>A full queue takes a request of an organisation that holds fewer places for its weight than another, and
-     * gives up the last request of that other one: otherwise the first organisation to send much would keep all
-     * others out.
+     * <p>A full queue drops the last request of the organisation that holds the most places for its weight; if that is
+     * the new request itself, it is refused. Otherwise an organisation that filled the queue first would keep all others
+     * out.
      *
-     * @return the refusal, or the requests that were given up to make room, at most one
+     * @return the refusal, or the requests that were evicted to make room, at most one
      */
-    public Either<Problem, List<Refusal<T>>> offer(Waiting<T> waiting, Instant now) {
-        if (byId.containsKey(waiting.id())) {
-            throw new IllegalArgumentException("Each request waits under an id of its own; id=" + waiting.id());
+    public Either<Problem, List<Refusal<T>>> offer(QueuedRequest<T> request, Instant now) {
+        if (byId.containsKey(request.id())) {
+            throw new IllegalArgumentException("Request ids must be unique in the queue; id=" + request.id());
         }
-        if (waiting.latestStart().isBefore(now)) {
-            return Either.left(unreachable(waiting, now));
+        if (request.latestStart().isBefore(now)) {
+            return Either.left(deadlineRefusal(request, now));
         }
-        double wait = expectedWait(waiting, now);
-        double slack = seconds(Duration.between(now, waiting.latestStart()));
+        double wait = expectedWait(request, now);
+        double slack = seconds(Duration.between(now, request.latestStart()));
         if (wait > slack) {
-            return Either.left(overloaded("about " + millis(wait) + " ms of work wait before it", wait - slack));
+            return Either.left(
+                    overloadRefusal("about " + millis(wait) + " ms of work are queued ahead of it", wait - slack));
         }
-        insert(new Entry<>(waiting, sequence++), now);
+        insert(new Entry<>(request, sequence++), now);
         if (byId.size() <= capacity) {
             return Either.right(List.of());
         }
-        Entry<T> last = crowded.last().items.last();
+        Entry<T> last = byOccupancy.last().entries.last();
         remove(last, now);
-        Problem problem = overloaded("the queue holds " + capacity, backlogSeconds(now));
-        if (last.waiting().id() == waiting.id()) {
+        Problem problem = overloadRefusal("the queue holds " + capacity, backlogSeconds(now));
+        if (last.request().id() == request.id()) {
             return Either.left(problem);
         }
-        return Either.right(List.of(new Refusal<>(last.waiting(), problem)));
+        return Either.right(List.of(new Refusal<>(last.request(), problem)));
     }
 
-    /** Takes out the next request to start; {@link #expire} comes first, so that none is started in vain. */
-    public Optional<Waiting<T>> poll(Instant now) {
-        if (due.isEmpty()) {
+    /** Removes the next request to start. Call {@link #expire} first, so that no request starts past its deadline. */
+    public Optional<QueuedRequest<T>> poll(Instant now) {
+        if (backlogged.isEmpty()) {
             return Optional.empty();
         }
-        Share<T> next = due.first();
-        Entry<T> first = next.items.first();
+        OrganisationShare<T> next = backlogged.first();
+        Entry<T> first = next.entries.first();
         virtualTime = Math.max(virtualTime, next.tag);
-        drain.drained(first.waiting().cost(), now);
+        drainRate.recordDequeue(first.request().cost(), now);
         remove(first, now);
-        charge(next, first.waiting().cost());
-        forgetRested();
-        return Optional.of(first.waiting());
+        charge(next, first.request().cost());
+        removeIdleShares();
+        return Optional.of(first.request());
     }
 
-    /** Takes out every request that can no longer be answered in its deadline. */
+    /** Removes every request that can no longer meet its deadline. */
     public List<Refusal<T>> expire(Instant now) {
         List<Refusal<T>> expired = new ArrayList<>();
         while (!byLatestStart.isEmpty()
-                && byLatestStart.first().waiting().latestStart().isBefore(now)) {
+                && byLatestStart.first().request().latestStart().isBefore(now)) {
             Entry<T> e = byLatestStart.first();
             remove(e, now);
-            expired.add(new Refusal<>(e.waiting(), overloaded("its deadline came too near", backlogSeconds(now))));
+            expired.add(new Refusal<>(
+                    e.request(),
+                    overloadRefusal("the request could not start in time for its deadline", backlogSeconds(now))));
         }
         return expired;
     }
 
-    /** Takes out a request that its caller gave up; empty if it does not wait. */
-    public Optional<Waiting<T>> cancel(long id, Instant now) {
+    /** Removes a request that its caller cancelled; empty if it is not queued. */
+    public Optional<QueuedRequest<T>> cancel(long id, Instant now) {
         Entry<T> e = byId.get(id);
         if (e == null) {
             return Optional.empty();
         }
         remove(e, now);
-        return Optional.of(e.waiting());
+        return Optional.of(e.request());
     }
 
-    /** Takes out everything, for a planned stop that hands waiting requests back. */
-    public List<Waiting<T>> drainAll(Instant now) {
-        List<Waiting<T>> all = new ArrayList<>();
+    /** Removes all requests, for a planned stop that hands queued requests back. */
+    public List<QueuedRequest<T>> drainAll(Instant now) {
+        List<QueuedRequest<T>> all = new ArrayList<>();
         while (!byLatestStart.isEmpty()) {
             Entry<T> e = byLatestStart.first();
             remove(e, now);
-            all.add(e.waiting());
+            all.add(e.request());
         }
         return all;
     }
 
     /**
-     * Corrects the charge for a request that has ended, so that an organisation is not made to pay for tokens that
-     * it asked for and did not use.
+     * Corrects the charge for a request that has ended, so that an organisation is not charged for tokens that it
+     * requested and did not use.
      *
-     * @param used what it really cost, in the unit of {@link Waiting#cost}
+     * @param used actual cost, in the unit of {@link QueuedRequest#cost}
      */
-    public void ended(Waiting<T> waiting, double used) {
-        Share<T> share = shares.get(waiting.organisation());
+    public void correctCharge(QueuedRequest<T> request, double used) {
+        OrganisationShare<T> share = shares.get(request.organisation());
         if (share != null) {
-            charge(share, used - waiting.cost());
+            charge(share, used - request.cost());
         }
     }
 
-    /** Requests that wait. */
+    /** Number of queued requests. */
     public int size() {
         return byId.size();
     }
 
-    /** Cost of all requests that wait. */
+    /** Total cost of the queued requests. */
     public double cost() {
-        return waitingCost;
+        return queuedCost;
     }
 
-    /** When the next request has to be given up, if any waits. */
+    /** When the next request expires; empty if the queue is empty. */
     public Optional<Instant> nextExpiry() {
         return byLatestStart.isEmpty()
                 ? Optional.empty()
-                : Optional.of(byLatestStart.first().waiting().latestStart());
+                : Optional.of(byLatestStart.first().request().latestStart());
     }
 
-    /** Cost a second at which the queue drains; 0 while unknown. */
+    /** Cost per second at which the queue drains; 0 while unknown. */
     public double drainPerSecond(Instant now) {
-        return drain.perSecond(now);
+        return drainRate.perSecond(now);
     }
 
     private void insert(Entry<T> e, Instant now) {
-        Waiting<T> w = e.waiting();
-        Share<T> share = shares.computeIfAbsent(w.organisation(), o -> new Share<>(o, virtualTime));
-        unlist(share);
-        if (share.items.isEmpty()) {
+        QueuedRequest<T> request = e.request();
+        OrganisationShare<T> share =
+                shares.computeIfAbsent(request.organisation(), o -> new OrganisationShare<>(o, virtualTime));
+        removeFromIndexes(share);
+        if (share.entries.isEmpty()) {
             share.tag = Math.max(share.tag, virtualTime);
         }
         share.add(e);
-        list(share);
-        byId.put(w.id(), e);
+        addToIndexes(share);
+        byId.put(request.id(), e);
         byLatestStart.add(e);
-        waitingCost += w.cost();
-        drain.backlogged(now);
+        queuedCost += request.cost();
+        drainRate.recordBacklog(now);
     }
 
     private void remove(Entry<T> e, Instant now) {
-        Share<T> share = shares.get(e.waiting().organisation());
-        unlist(share);
+        OrganisationShare<T> share = shares.get(e.request().organisation());
+        removeFromIndexes(share);
         share.remove(e);
-        list(share);
-        byId.remove(e.waiting().id());
+        addToIndexes(share);
+        byId.remove(e.request().id());
         byLatestStart.remove(e);
-        waitingCost = byId.isEmpty() ? 0 : waitingCost - e.waiting().cost();
+        queuedCost = byId.isEmpty() ? 0 : queuedCost - e.request().cost();
         if (byId.isEmpty()) {
-            drain.idle(now);
+            drainRate.recordEmpty(now);
         }
     }
 
-    private void charge(Share<T> share, double cost) {
-        unlist(share);
+    private void charge(OrganisationShare<T> share, double cost) {
+        removeFromIndexes(share);
         share.tag += cost / share.weight;
-        list(share);
+        addToIndexes(share);
     }
 
-    /** Sorted sets find an element by its sort key, so a share leaves them before the key changes. */
-    private void unlist(Share<T> share) {
-        resting.remove(share);
-        crowded.remove(share);
-        if (due.remove(share)) {
-            dueWeight -= share.weight;
+    /** Removes an organisation from the sorted sets, which must happen before its sort keys change. */
+    private void removeFromIndexes(OrganisationShare<T> share) {
+        idle.remove(share);
+        byOccupancy.remove(share);
+        if (backlogged.remove(share)) {
+            backloggedWeight -= share.weight;
         }
     }
 
-    private void list(Share<T> share) {
-        if (share.items.isEmpty()) {
-            resting.add(share);
+    private void addToIndexes(OrganisationShare<T> share) {
+        if (share.entries.isEmpty()) {
+            idle.add(share);
             return;
         }
-        due.add(share);
-        crowded.add(share);
-        dueWeight += share.weight;
+        backlogged.add(share);
+        byOccupancy.add(share);
+        backloggedWeight += share.weight;
     }
 
     /**
-     * An organisation that rests keeps its tag until virtual time has passed it. Forgotten earlier, one that always
-     * has a single request waiting would start afresh each time and get more than its share.
+     * Removes idle organisations whose tag virtual time has passed. If they were removed earlier, an organisation that
+     * only ever has a single queued request would restart at the current virtual time after each and exceed its share.
      */
-    private void forgetRested() {
-        if (due.isEmpty() && !resting.isEmpty()) {
-            virtualTime = Math.max(virtualTime, resting.last().tag);
+    private void removeIdleShares() {
+        if (backlogged.isEmpty() && !idle.isEmpty()) {
+            virtualTime = Math.max(virtualTime, idle.last().tag);
         }
-        while (!resting.isEmpty() && resting.first().tag <= virtualTime) {
-            shares.remove(resting.pollFirst().organisation);
+        while (!idle.isEmpty() && idle.first().tag <= virtualTime) {
+            shares.remove(idle.pollFirst().organisation);
         }
     }
 
     /**
-     * Seconds until a newcomer starts: the backlog of its organisation that goes before it, and what the others get
-     * until virtual time reaches its tag, at most all that they have waiting.
+     * Expected seconds until a new request starts: the cost that its own organisation has ahead of it, plus the service
+     * that the others get until virtual time reaches its tag, bounded by their queued cost.
      */
-    private double expectedWait(Waiting<T> w, Instant now) {
-        double rate = drain.perSecond(now);
+    private double expectedWait(QueuedRequest<T> request, Instant now) {
+        double rate = drainRate.perSecond(now);
         if (rate <= 0 || byId.isEmpty()) {
             return 0;
         }
-        Share<T> share = shares.get(w.organisation());
-        boolean waits = share != null && !share.items.isEmpty();
-        double own = waits ? ahead(share, w) : 0;
-        double tag = Math.max(virtualTime, share == null ? 0 : share.tag) + own / w.weight();
-        double othersWeight = dueWeight - (waits ? share.weight : 0);
-        double othersCost = waitingCost - (waits ? share.cost : 0);
+        OrganisationShare<T> share = shares.get(request.organisation());
+        boolean hasBacklog = share != null && !share.entries.isEmpty();
+        double own = hasBacklog ? costAhead(share, request) : 0;
+        double tag = Math.max(virtualTime, share == null ? 0 : share.tag) + own / request.weight();
+        double othersWeight = backloggedWeight - (hasBacklog ? share.weight : 0);
+        double othersCost = queuedCost - (hasBacklog ? share.cost : 0);
         double others = Math.min(othersCost, (tag - virtualTime) * othersWeight);
         return (own + others) / rate;
     }
 
-    /** Backlog of the organisation that goes before the newcomer, estimated from its place in their order. */
-    private static <T> double ahead(Share<T> share, Waiting<T> w) {
-        Entry<T> last = share.items.last();
-        Entry<T> newcomer = new Entry<>(w, Long.MAX_VALUE);
-        if (Entry.<T>order().compare(last, newcomer) <= 0) {
+    /** Cost that the organisation has ahead of the new request, estimated from the request's place in its order. */
+    private static <T> double costAhead(OrganisationShare<T> share, QueuedRequest<T> request) {
+        Entry<T> last = share.entries.last();
+        Entry<T> added = new Entry<>(request, Long.MAX_VALUE);
+        if (Entry.<T>order().compare(last, added) <= 0) {
             return share.cost;
         }
-        Entry<T> first = share.items.first();
-        return Entry.<T>order().compare(first, newcomer) > 0 ? 0 : share.cost / 2;
+        Entry<T> first = share.entries.first();
+        return Entry.<T>order().compare(first, added) > 0 ? 0 : share.cost / 2;
     }
 
     private double backlogSeconds(Instant now) {
-        double rate = drain.perSecond(now);
-        return rate > 0 ? waitingCost / rate : LEAST_WAIT_SECONDS;
+        double rate = drainRate.perSecond(now);
+        return rate > 0 ? queuedCost / rate : MIN_RETRY_SECONDS;
     }
 
-    private static <T> Problem unreachable(Waiting<T> w, Instant now) {
-        if (!w.deadline().isAfter(now)) {
+    private static <T> Problem deadlineRefusal(QueuedRequest<T> request, Instant now) {
+        if (!request.deadline().isAfter(now)) {
             return Problem.notRun(
                     ProblemKind.DEADLINE_PASSED, "The deadline had passed before the request could start");
         }
         return Problem.notRun(
                 ProblemKind.DEADLINE_UNREACHABLE,
-                "The answer takes about " + w.runTime().toMillis() + " ms even without waiting");
+                "The request needs about " + request.runTime().toMillis() + " ms to run, more than the time left");
     }
 
-    /** Callers refused together and told the same time would come back together, so each is told another. */
-    private Problem overloaded(String why, double seconds) {
-        double least = Math.min(MOST_WAIT_SECONDS, Math.max(LEAST_WAIT_SECONDS, seconds));
-        Duration wait = Duration.ofNanos((long) (least * (1 + random.nextDouble()) * 1e9));
-        return Problem.notRun(ProblemKind.OVERLOADED, "The backend server is overloaded: " + why)
+    /** Builds a refusal with jitter in its retry-after time, so that callers refused together do not retry together. */
+    private Problem overloadRefusal(String reason, double seconds) {
+        double minSeconds = Math.min(MAX_RETRY_SECONDS, Math.max(MIN_RETRY_SECONDS, seconds));
+        Duration wait = Duration.ofNanos((long) (minSeconds * (1 + random.nextDouble()) * 1e9));
+        return Problem.notRun(ProblemKind.OVERLOADED, "The backend server is overloaded: " + reason)
                 .withRetryAfter(wait);
     }
 
--- a/core/src/main/java/org/cornelramp/core/admission/Refusal.java
+++ b/core/src/main/java/org/cornelramp/core/admission/Refusal.java
@@ -3,9 +3,9 @@
 import org.cornelramp.core.model.Problem;
 
 /**
- * A request that the queue gives up, with its final answer: it did not run. Immutable, safe for use by any thread.
+ * A request that the queue dropped before it ran, with its final answer. Immutable, safe for use by any thread.
  *
  * @param waiting the request
- * @param problem why, and when to come back
+ * @param problem the reason, and when to retry
  */
-public record Refusal<T>(Waiting<T> waiting, Problem problem) {}
+public record Refusal<T>(QueuedRequest<T> waiting, Problem problem) {}
--- a/core/src/main/java/org/cornelramp/core/burn/BurnCounts.java
+++ b/core/src/main/java/org/cornelramp/core/burn/BurnCounts.java
@@ -4,19 +4,19 @@
  * Requests that ended in a window. Immutable, safe for use by any thread.
  *
  * @param total all requests
- * @param bad those whose caller had no whole answer in time
+ * @param bad those whose caller did not get a complete answer in time
  */
 public record BurnCounts(long total, long bad) {
-    /** No request. */
+    /** No requests. */
     public static final BurnCounts NONE = new BurnCounts(0, 0);
 
-    /** The requests of both. */
+    /** The sum of both counts. */
     public BurnCounts plus(BurnCounts other) {
         return new BurnCounts(total + other.total, bad + other.bad);
     }
 
     /**
-     * How many times faster failures come than the objective allows; 1 uses the allowance up just in time.
+     * The failure rate as a multiple of the rate that the objective allows; at 1 the error budget lasts exactly its period.
      *
      * @param objectivePercent share of requests that should be answered in time, above 0 and below 100
      */
--- a/core/src/main/java/org/cornelramp/core/burn/BurnMeter.java
+++ b/core/src/main/java/org/cornelramp/core/burn/BurnMeter.java
@@ -7,8 +7,8 @@
 /**
  * Counts the requests of one row over all windows in a fixed number of buckets.
  *
- * <p>Safe for use by any thread: calls take turns. Invariant: the memory does not grow with time or requests. A
- * window's count reaches back by its length and up to a bucket more, a twelfth of the length.
+ * <p>Safe for use by any thread: methods are synchronized. Invariant: memory does not grow with time or requests. The
+ * counts of a window cover its length and up to one bucket more, a twelfth of the length.
  */
 public final class BurnMeter {
     private static final int BUCKETS = 12;
@@ -26,12 +26,12 @@
         rings.values().forEach(ring -> ring.add(bad, now.toEpochMilli()));
     }
 
-    /** The requests of a window that ends now. */
+    /** The counts of a window that ends now. */
     public synchronized BurnCounts counts(BurnWindow window, Instant now) {
         return rings.get(window).sum(now.toEpochMilli());
     }
 
-    /** Buckets of equal length; the one under way and the twelve before it count. */
+    /** A ring of buckets of equal length: the current one and the twelve before it. */
     private static final class Ring {
         private final long bucketMillis;
         private final int[] total = new int[BUCKETS + 1];
@@ -60,7 +60,10 @@
             return new BurnCounts(totals, bads);
         }
 
-        /** A clock that is set back goes on in the newest bucket, so that nothing is counted twice. */
+        /**
+         * Clears the buckets up to the given one. If the clock is set back, the newest bucket stays current, so that nothing
+         * is counted twice.
+         */
         private void advance(long bucket) {
             long steps = Math.min(bucket - newest, BUCKETS + 1);
             for (long i = 0; i < steps; i++) {
--- a/core/src/main/java/org/cornelramp/core/burn/BurnReport.java
+++ b/core/src/main/java/org/cornelramp/core/burn/BurnReport.java
@@ -8,9 +8,9 @@
 import org.cornelramp.core.table.RowKey;
 
 /**
- * The burn of all rows over all entries that answered. Immutable, safe for use by any thread.
+ * The burn rates of all rows over all entries that answered. Immutable, safe for use by any thread.
  *
- * @param rows the rows, the most urgent first
+ * @param rows the rows, most urgent first
  */
 public record BurnReport(List<BurnRow> rows) {
 
@@ -18,15 +18,15 @@
         rows = List.copyOf(rows);
     }
 
-    /** Adds up what the entries counted; each request ends at one entry, so nothing is counted twice. */
+    /** Adds up the counts of the entries; each request ends at one entry, so none is counted twice. */
     public static BurnReport merge(Collection<List<BurnRow>> entries) {
         Map<RowKey, BurnRow> sums = new TreeMap<>();
         for (List<BurnRow> rows : entries) {
             rows.forEach(row -> sums.merge(new RowKey(row.organisation(), row.service()), row, BurnRow::plus));
         }
-        Comparator<BurnRow> urgent = Comparator.comparing(BurnRow::alert);
-        Comparator<BurnRow> fast = Comparator.comparingDouble(row -> -row.rate(BurnWindow.HOUR));
+        Comparator<BurnRow> byAlert = Comparator.comparing(BurnRow::alert);
+        Comparator<BurnRow> byRate = Comparator.comparingDouble(row -> -row.rate(BurnWindow.HOUR));
         return new BurnReport(
-                sums.values().stream().sorted(urgent.thenComparing(fast)).toList());
+                sums.values().stream().sorted(byAlert.thenComparing(byRate)).toList());
     }
 }
--- a/core/src/main/java/org/cornelramp/core/burn/BurnRow.java
+++ b/core/src/main/java/org/cornelramp/core/burn/BurnRow.java
@@ -6,12 +6,12 @@
 import org.cornelramp.core.model.ServiceName;
 
 /**
- * The requests of one row that ended at one entry, or at several after {@link #plus}. Immutable, safe for use by any
- * thread.
+ * Counts of the requests of one row that ended at one entry, or at several after {@link #plus}. Immutable, safe for use
+ * by any thread.
  *
  * @param organisation the organisation
  * @param service the service
- * @param objectivePercent share of requests that should be answered in time, from the table
+ * @param objectivePercent percentage of requests that should be answered in time, from the table
  * @param windows the counts of each window
  */
 public record BurnRow(
@@ -24,7 +24,7 @@
         windows = Map.copyOf(windows);
     }
 
-    /** The counts of a window. */
+    /** The counts of a window; {@link BurnCounts#NONE} if it has none. */
     public BurnCounts counts(BurnWindow window) {
         return windows.getOrDefault(window, BurnCounts.NONE);
     }
@@ -34,7 +34,7 @@
         return counts(window).burnRate(objectivePercent);
     }
 
-    /** How urgent the burn is. */
+    /** The alert level for the burn rates of all windows. */
     public BurnAlert alert() {
         Map<BurnWindow, Double> rates = new EnumMap<>(BurnWindow.class);
         for (BurnWindow window : BurnWindow.values()) {
@@ -43,7 +43,7 @@
         return BurnAlert.of(rates);
     }
 
-    /** The requests of both, which are of the same row at different entries. */
+    /** The sum with the counts of the same row at other entries. */
     public BurnRow plus(BurnRow other) {
         Map<BurnWindow, BurnCounts> sums = new EnumMap<>(BurnWindow.class);
         for (BurnWindow window : BurnWindow.values()) {
--- a/core/src/main/java/org/cornelramp/core/burn/BurnWindow.java
+++ b/core/src/main/java/org/cornelramp/core/burn/BurnWindow.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.time.Duration;
 
-/** The windows over which burn is told. */
+/** The time windows over which burn rates are computed. */
 public enum BurnWindow {
     @JsonProperty("5m")
     FIVE_MINUTES("5m", Duration.ofMinutes(5)),
@@ -22,7 +22,7 @@
         this.length = length;
     }
 
-    /** The form that reports carry. */
+    /** The text form used in reports. */
     public String text() {
         return text;
     }
--- a/core/src/main/java/org/cornelramp/core/burn/package-info.java
+++ b/core/src/main/java/org/cornelramp/core/burn/package-info.java
@@ -1,2 +1,2 @@
-/** Service-level burn: how fast each organisation and service uses up the failures that its objective allows. */
+/** Burn rates: how fast each organisation and service uses up the error budget of its service-level objective. */
 package org.cornelramp.core.burn;
--- a/core/src/main/java/org/cornelramp/core/call/CallAction.java
+++ b/core/src/main/java/org/cornelramp/core/call/CallAction.java
@@ -3,24 +3,24 @@
 import org.cornelramp.core.model.Incarnation;
 import org.cornelramp.core.model.Problem;
 
-/** What a call wants done. Immutable. */
+/** An action that the state machine of a call requests from its owner. Immutable. */
 public sealed interface CallAction {
 
-    /** Choose a backend server; those that failed the call are avoided. */
+    /** Choose a backend server, excluding those that failed the call. */
     record Choose() implements CallAction {}
 
     /** Hand the call to an agent. */
     record Send(Incarnation agent) implements CallAction {}
 
-    /** Ask an agent, on its present link, what became of the key; a key that has not started must never run. */
+    /** Ask an agent, over its current link, for the result of the key; a key that has not started must never run. */
     record Ask(Incarnation agent) implements CallAction {}
 
-    /** Look on the log for what a planned stop of the agent settled. */
+    /** Look up on the log what the agent settled at a planned stop. */
     record LookUp(Incarnation agent) implements CallAction {}
 
     /** Pass the answer to the caller. */
     record Answer(CallResult result) implements CallAction {}
 
-    /** Tell the caller why there is no answer. */
+    /** Report to the caller why there is no answer. */
     record Fail(Problem problem) implements CallAction {}
 }
--- a/core/src/main/java/org/cornelramp/core/call/PlainCall.java
+++ b/core/src/main/java/org/cornelramp/core/call/PlainCall.java
@@ -20,23 +20,23 @@
 import org.cornelramp.core.retry.RetryPolicy;
 
 /**
- * The state of one call to a plain service at its entry.
+ * State machine of one call to a plain service at its entry.
  *
- * <p>A call with a key is bound to one incarnation and is handed to no other. It is reported as not run only by
- * that agent's word, even if this entry never handed it over: an earlier attempt with the same key, by way of
- * another entry, may have. A call without a key is idempotent and may be sent elsewhere after a failure.
+ * <p>A call with a key is bound to one incarnation and is sent to no other. It is reported as not run only if that agent
+ * says so, even if this entry never sent it: an earlier attempt with the same key through another entry may have. A call
+ * without a key is idempotent and may be retried on another agent after a failure.
  *
- * <p>Confined to one thread. Invariants: at most one final action, {@link Answer} or {@link Fail}; a keyed call is
- * sent at most once, and from then on only asked for.
+ * <p>Confined to one thread. Invariants: there is at most one final action, {@link Answer} or {@link Fail}; a keyed call
+ * is sent at most once, and after that the agent is only asked for its result.
  */
 public final class PlainCall {
-    /** Part of the time left that is kept for asking the agent before the deadline passes. */
-    private static final int ASK_PART = 10;
+    /** Divisor: this part of the time left is reserved for asking the agent before the deadline. */
+    private static final int ASK_DIVISOR = 10;
 
-    private static final Duration LONGEST_ASK = Duration.ofMillis(250);
+    private static final Duration MAX_ASK_MARGIN = Duration.ofMillis(250);
 
-    private static final Problem NOT_TAKEN =
-            Problem.notRun(ProblemKind.NO_BACKEND_SERVER, "No backend server took the call.");
+    private static final Problem NOT_ACCEPTED =
+            Problem.notRun(ProblemKind.NO_BACKEND_SERVER, "No backend server accepted the call.");
 
     private enum Phase {
         NEW,
@@ -54,16 +54,16 @@
     private final Set<Incarnation> failed = new HashSet<>();
     private Phase phase = Phase.NEW;
     private Incarnation target;
-    private boolean refuse;
+    private boolean refused;
     private boolean sent;
     private int retries;
     private int crashes;
-    private Problem last = NOT_TAKEN;
+    private Problem lastProblem = NOT_ACCEPTED;
 
     /**
      * @param bound the incarnation that the call's key is bound to; empty for an idempotent call without a key
-     * @param now the present time
-     * @param deadline when the caller's final answer must be out
+     * @param now the current time
+     * @param deadline when the caller must have its final answer
      */
     public PlainCall(Optional<Incarnation> bound, Instant now, Instant deadline) {
         this.bound = bound;
@@ -71,10 +71,10 @@
         this.askAt = askAt(now, deadline);
     }
 
-    /** When the last question before a deadline goes out, so that its answer can come in time. */
+    /** When to ask the agent for the result, so that the reply can arrive before the deadline. */
     public static Instant askAt(Instant now, Instant deadline) {
-        Duration part = Duration.between(now, deadline).dividedBy(ASK_PART);
-        return deadline.minus(part.compareTo(LONGEST_ASK) < 0 ? part : LONGEST_ASK);
+        Duration part = Duration.between(now, deadline).dividedBy(ASK_DIVISOR);
+        return deadline.minus(part.compareTo(MAX_ASK_MARGIN) < 0 ? part : MAX_ASK_MARGIN);
     }
 
     /** Starts the call. */
@@ -88,23 +88,23 @@
     }
 
     /**
-     * Starts a keyed call that is refused before it is handed over.
+     * Starts a call that is refused before it is sent.
      *
-     * <p>The refusal is still settled with the agent: an earlier attempt with the same key may have run, and a
-     * caller told not-run would then book twice.
+     * <p>A call without a key fails at once. For a keyed call the agent is still asked: an earlier attempt with the same key
+     * may have run, and a caller that is told otherwise would make a second booking.
      */
-    public List<CallAction> startRefused(Problem why) {
+    public List<CallAction> startRefused(Problem reason) {
         if (bound.isEmpty()) {
-            return end(new Fail(why));
+            return end(new Fail(reason));
         }
-        last = why;
-        refuse = true;
+        lastProblem = reason;
+        refused = true;
         target = bound.get();
         phase = Phase.ASKED;
         return List.of(new Ask(target));
     }
 
-    /** A backend server was chosen after {@link Choose}. */
+    /** Handles the choice of a backend server after {@link Choose}. */
     public List<CallAction> chosen(Incarnation agent) {
         if (phase != Phase.CHOOSING) {
             return List.of();
@@ -113,46 +113,46 @@
         return send();
     }
 
-    /** No backend server will do, or the retry budget is spent. */
+    /** Handles a {@link Choose} without result: no backend server is suitable, or the retry budget is exhausted. */
     public List<CallAction> notChosen(Problem problem) {
         if (phase != Phase.CHOOSING) {
             return List.of();
         }
-        Problem why = retries == 0 ? problem : last;
-        return end(new Fail(sent ? withOutcome(why, Outcome.UNKNOWN) : why));
+        Problem reason = retries == 0 ? problem : lastProblem;
+        return end(new Fail(sent ? withOutcome(reason, Outcome.UNKNOWN) : reason));
     }
 
-    /** The link would not take the message: nothing was handed over. */
+    /** Handles a message that the link did not accept, so that nothing was sent. */
     public List<CallAction> notSent(Instant now) {
         if (phase == Phase.SENT) {
             sent = bound.isEmpty() && retries > 0;
-            return bound.isPresent() ? waitForLink() : elsewhere(NOT_TAKEN, now);
+            return bound.isPresent() ? waitForLink() : retryElsewhere(NOT_ACCEPTED, now);
         }
         return phase == Phase.ASKED ? waitForLink() : List.of();
     }
 
-    /** The link to the agent that has the call is gone; the agent itself may live. */
+    /** Handles the loss of the link to an agent; the agent itself may still run. */
     public List<CallAction> linkLost(Incarnation agent, Instant now) {
         if (!agent.equals(target) || (phase != Phase.SENT && phase != Phase.ASKED)) {
             return List.of();
         }
         Problem lost = Problem.unknown(ProblemKind.BACKEND_LOST, "The link to the backend server was lost.");
-        return bound.isPresent() ? waitForLink() : elsewhere(lost, now);
+        return bound.isPresent() ? waitForLink() : retryElsewhere(lost, now);
     }
 
-    /** A new link to an agent is up. */
+    /** Handles a new link to an agent. */
     public List<CallAction> linkOpened(Incarnation agent) {
         if (phase != Phase.WAITING_FOR_LINK || !agent.equals(target)) {
             return List.of();
         }
-        if (sent || refuse) {
+        if (sent || refused) {
             phase = Phase.ASKED;
             return List.of(new Ask(target));
         }
         return send();
     }
 
-    /** The agent's life has ended: a newer incarnation of it has been seen, or the platform took its VM away. */
+    /** Handles the end of an incarnation: a newer one has been seen, or the platform removed its VM. */
     public List<CallAction> incarnationGone(Incarnation agent, Instant now) {
         if (phase == Phase.ENDED || phase == Phase.LOOKING_UP || !agent.equals(target)) {
             return List.of();
@@ -164,29 +164,33 @@
         return List.of(new LookUp(target));
     }
 
-    /** What the log holds of the key: the result that a planned stop settled, or nothing. */
-    public List<CallAction> lookedUp(Optional<AgentWord> settled) {
+    /**
+     * Handles the end of a {@link LookUp}.
+     *
+     * @param settled the result that the agent settled at a planned stop; empty if the log has none
+     */
+    public List<CallAction> lookedUp(Optional<AgentReply> settled) {
         if (phase != Phase.LOOKING_UP) {
             return List.of();
         }
         return settled.map(this::conclude)
                 .orElseGet(() -> end(new Fail(Problem.unknown(
                         ProblemKind.BACKEND_LOST,
-                        "The backend server that the key is bound to ended without a word."))));
+                        "The backend server that the key is bound to ended without reporting a result."))));
     }
 
-    /** The agent's final word has come. */
-    public List<CallAction> said(AgentWord word, Instant now) {
+    /** Handles the final reply of the agent. */
+    public List<CallAction> replyReceived(AgentReply reply, Instant now) {
         if (phase != Phase.SENT && phase != Phase.ASKED) {
             return List.of();
         }
-        if (bound.isEmpty() && word.problem().isPresent()) {
-            return elsewhere(word.problem().get(), now);
+        if (bound.isEmpty() && reply.problem().isPresent()) {
+            return retryElsewhere(reply.problem().get(), now);
         }
-        return conclude(word);
+        return conclude(reply);
     }
 
-    /** Time passes: asks before the deadline, and gives the final answer at it. */
+    /** Asks the agent shortly before the deadline, and gives the final answer at the deadline. */
     public List<CallAction> tick(Instant now) {
         if (phase == Phase.ENDED) {
             return List.of();
@@ -204,13 +208,13 @@
         return List.of();
     }
 
-    /** Refuses a keyed call instead of handing it over; as in {@link #startRefused}, its agent has the word. */
-    public List<CallAction> refuse(Problem why) {
+    /** Refuses a keyed call instead of sending it; as in {@link #startRefused}, its agent decides on the outcome. */
+    public List<CallAction> refuse(Problem reason) {
         if (phase != Phase.SENT) {
             return List.of();
         }
-        last = why;
-        refuse = true;
+        lastProblem = reason;
+        refused = true;
         phase = Phase.ASKED;
         return List.of(new Ask(target));
     }
@@ -220,7 +224,7 @@
         return Set.copyOf(failed);
     }
 
-    /** The agent that has or is meant to have the call; empty before one is chosen. */
+    /** The agent that the call was or will be sent to; empty before one is chosen. */
     public Optional<Incarnation> target() {
         return Optional.ofNullable(target);
     }
@@ -230,7 +234,7 @@
         return phase == Phase.ENDED;
     }
 
-    /** How many times the call was sent elsewhere. */
+    /** How many times the call was retried on another agent. */
     public int retries() {
         return retries;
     }
@@ -246,34 +250,34 @@
         return List.of();
     }
 
-    private List<CallAction> elsewhere(Problem why, Instant now) {
+    private List<CallAction> retryElsewhere(Problem reason, Instant now) {
         failed.add(target);
-        last = why;
-        if (why.kind() == ProblemKind.BACKEND_LOST && why.outcome() == Outcome.UNKNOWN) {
+        lastProblem = reason;
+        if (reason.kind() == ProblemKind.BACKEND_LOST && reason.outcome() == Outcome.UNKNOWN) {
             crashes++;
         }
-        FailedAttempt attempt = new FailedAttempt(why, true, retries + 1, crashes, deadline, Duration.ZERO);
+        FailedAttempt attempt = new FailedAttempt(reason, true, retries + 1, crashes, deadline, Duration.ZERO);
         if (!RetryPolicy.mayRetry(attempt, now)) {
-            return end(new Fail(why));
+            return end(new Fail(reason));
         }
         retries++;
         phase = Phase.CHOOSING;
         return List.of(new Choose());
     }
 
-    private List<CallAction> conclude(AgentWord word) {
-        if (word.result().isPresent()) {
-            return end(new Answer(word.result().get()));
+    private List<CallAction> conclude(AgentReply reply) {
+        if (reply.result().isPresent()) {
+            return end(new Answer(reply.result().get()));
         }
-        Problem problem = word.problem().orElseThrow();
-        boolean ours = refuse && problem.outcome() == Outcome.NOT_RUN;
-        return end(new Fail(ours ? spent(last) : problem));
+        Problem problem = reply.problem().orElseThrow();
+        boolean refusalConfirmed = refused && problem.outcome() == Outcome.NOT_RUN;
+        return end(new Fail(refusalConfirmed ? withNewKeyAdvice(lastProblem) : problem));
     }
 
-    /** The agent has noted that the key never runs, so coming back with it would be in vain. */
-    private static Problem spent(Problem why) {
-        String detail = why.detail() + " Come back with a new key: this one never runs.";
-        return new Problem(why.kind(), Outcome.NOT_RUN, detail, why.retryAfter());
+    /** Adds to a refusal that the key cannot be used again, since the agent has recorded that it never runs. */
+    private static Problem withNewKeyAdvice(Problem reason) {
+        String detail = reason.detail() + " Retry with a new key: this one will never run.";
+        return new Problem(reason.kind(), Outcome.NOT_RUN, detail, reason.retryAfter());
     }
 
     private List<CallAction> end(CallAction action) {
--- a/core/src/main/java/org/cornelramp/core/call/Denial.java
+++ b/core/src/main/java/org/cornelramp/core/call/UnboundCallRefusal.java
@@ -13,36 +13,40 @@
 import org.cornelramp.core.model.Problem;
 
 /**
- * Refuses a call whose key cannot be bound, and finds out whether "not run" may be said.
+ * Refuses a call whose key cannot be bound, and determines whether it may be reported as not run.
  *
- * <p>An earlier attempt with the key may have been bound through another entry. Each agent that may have run it is
- * asked, and with that made never to run it. Only if all of them deny it is the call reported as not run; one that
- * ran it gives the answer; anything else leaves the outcome unknown.
+ * <p>An earlier attempt with the key may have been bound through another entry. Therefore each agent that may have run
+ * the key is asked, which also keeps it from running the key later. The call is reported as not run only if all of them
+ * deny having run it. If one ran it, its answer is returned; in all other cases the outcome is unknown.
  *
  * <p>Confined to one thread. Invariant: exactly one final action, {@link Answer} or {@link Fail}.
  */
-public final class Denial {
+public final class UnboundCallRefusal {
     private final Problem reason;
-    private final Instant giveUpAt;
-    private final Set<Incarnation> open = new HashSet<>();
+    private final Instant deadline;
+    private final Set<Incarnation> pending = new HashSet<>();
     private boolean asking;
     private boolean ended;
 
     /**
      * @param reason why the call is refused
-     * @param giveUpAt when the final answer must be out
+     * @param deadline when the final answer must be given
      */
-    public Denial(Problem reason, Instant giveUpAt) {
+    public UnboundCallRefusal(Problem reason, Instant deadline) {
         this.reason = reason;
-        this.giveUpAt = giveUpAt;
+        this.deadline = deadline;
     }
 
-    /** Whether the agents to ask are still to be named. */
+    /** Whether {@link #ask} has not been called yet. */
     public boolean isWaiting() {
         return !asking && !ended;
     }
 
-    /** Names the agents that may have run the key; empty if one may be missing. */
+    /**
+     * Asks the agents that may have run the key.
+     *
+     * @param holders the agents; empty if one may be missing
+     */
     public List<CallAction> ask(Optional<Set<Incarnation>> holders) {
         if (!isWaiting()) {
             return List.of();
@@ -51,38 +55,38 @@
             return fail(Outcome.UNKNOWN);
         }
         asking = true;
-        open.addAll(holders.get());
-        if (open.isEmpty()) {
+        pending.addAll(holders.get());
+        if (pending.isEmpty()) {
             return fail(Outcome.NOT_RUN);
         }
-        return open.stream().map(agent -> (CallAction) new Ask(agent)).toList();
+        return pending.stream().map(agent -> (CallAction) new Ask(agent)).toList();
     }
 
-    /** An agent's final word has come. */
-    public List<CallAction> said(Incarnation agent, AgentWord word) {
-        if (ended || !open.contains(agent)) {
+    /** Handles the final reply of an agent. */
+    public List<CallAction> replyReceived(Incarnation agent, AgentReply reply) {
+        if (ended || !pending.contains(agent)) {
             return List.of();
         }
-        if (word.result().isPresent()) {
+        if (reply.result().isPresent()) {
             ended = true;
-            return List.of(new Answer(word.result().get()));
+            return List.of(new Answer(reply.result().get()));
         }
-        Problem problem = word.problem().orElseThrow();
+        Problem problem = reply.problem().orElseThrow();
         if (problem.outcome() != Outcome.NOT_RUN) {
             return fail(Outcome.UNKNOWN);
         }
-        open.remove(agent);
-        return open.isEmpty() ? fail(Outcome.NOT_RUN) : List.of();
+        pending.remove(agent);
+        return pending.isEmpty() ? fail(Outcome.NOT_RUN) : List.of();
     }
 
-    /** The link to an agent is gone, or would not take the question. */
+    /** Handles the loss of the link to an agent, or a question that could not be sent. */
     public List<CallAction> linkLost(Incarnation agent) {
-        return open.contains(agent) ? fail(Outcome.UNKNOWN) : List.of();
+        return pending.contains(agent) ? fail(Outcome.UNKNOWN) : List.of();
     }
 
-    /** Time passes. */
+    /** Fails with the outcome unknown once the time limit is reached. */
     public List<CallAction> tick(Instant now) {
-        return now.isBefore(giveUpAt) ? List.of() : fail(Outcome.UNKNOWN);
+        return now.isBefore(deadline) ? List.of() : fail(Outcome.UNKNOWN);
     }
 
     /** Whether the final answer has been given. */
--- a/core/src/main/java/org/cornelramp/core/call/package-info.java
+++ b/core/src/main/java/org/cornelramp/core/call/package-info.java
@@ -1,2 +1,2 @@
-/** One call to a plain service as its entry sees it: a state machine without I/O. */
+/** State machines, without I/O, of calls to plain services at an entry. */
 package org.cornelramp.core.call;
--- a/core/src/main/java/org/cornelramp/core/fence/package-info.java
+++ b/core/src/main/java/org/cornelramp/core/fence/package-info.java
@@ -1,2 +1,2 @@
-/** Which orders an agent passes to its backend server. */
+/** Fencing: which orders an agent forwards to its backend server. */
 package org.cornelramp.core.fence;
--- a/core/src/main/java/org/cornelramp/core/fleet/BackendServer.java
+++ b/core/src/main/java/org/cornelramp/core/fleet/BackendServer.java
@@ -8,15 +8,18 @@
 import org.cornelramp.core.settings.HostPort;
 
 /**
- * One life of a backend server, as its last registration says. Immutable, safe for use by any thread.
+ * One incarnation of a backend server, as given by its latest registration. Immutable, safe for use by any thread.
  *
- * @param id names this life; the next one has another id, so what is known of this one ends with it
- * @param name what the server calls itself; it may start again under the same name
+ * <p>A server may restart under the same name. Its next incarnation has another id, so state that is kept by id does not
+ * carry over.
+ *
+ * @param id identifies this incarnation
+ * @param name name of the server, which it keeps over restarts
  * @param service the service it belongs to
- * @param address where it takes requests
+ * @param address where it accepts requests
  * @param dataCentre where it runs
- * @param state whether it takes new work
- * @param slots requests that it runs at once
+ * @param state whether it accepts new work
+ * @param slots requests that it runs concurrently
  * @param card kind of its accelerator card; empty for a plain service
  * @param layers layers of the model that it holds; empty if none
  */
@@ -37,12 +40,12 @@
                 .isPresent();
     }
 
-    /** The same life with other layers. */
+    /** Returns a copy with other layers. */
     public BackendServer withLayers(Optional<LayerRange> other) {
         return new BackendServer(id, name, service, address, dataCentre, state, slots, card, other);
     }
 
-    /** The same life in another state. */
+    /** Returns a copy in another state. */
     public BackendServer withState(ServerState other) {
         return new BackendServer(id, name, service, address, dataCentre, other, slots, card, layers);
     }
--- a/core/src/main/java/org/cornelramp/core/fleet/ServerRegistry.java
+++ b/core/src/main/java/org/cornelramp/core/fleet/ServerRegistry.java
@@ -11,123 +11,127 @@
 /**
  * The backend servers registered in the platform's store, as far as this process has read.
  *
- * <p>A server may start again under the name that it had. Its new life is another server with another id: whatever was
- * believed of the old one, that it leaves or is being removed for instance, ends with it.
+ * <p>A server may restart under the same name. Its new incarnation counts as another server with another id, so state of
+ * the old one, such as that it was leaving or being removed, does not carry over.
  *
- * <p>Records may be read more than once and pages out of order; the offset of each record decides, so an older one
- * never undoes a newer. Owned by one thread.
+ * <p>Records may be read more than once, and pages out of order. The offset of each record decides, so an older record
+ * never undoes a newer one. Owned by one thread.
  *
- * <p>While the store is down, registrations run out although their servers live and serve. Removing them at once
- * would leave requests without any server just when the store returns; therefore a removal that is read within
- * {@link #RETURN_MILLIS} of an outage takes effect only after that time, unless the server registers again before.
+ * <p>While the store is down, registrations expire although their servers still run. Removing them at once would leave
+ * requests without any server just when the store returns. Therefore a removal that is read within
+ * {@link #REGISTRATION_GRACE_MILLIS} of an outage takes effect only after that time, unless the server registers again before.
  */
 public final class ServerRegistry {
-    /** Registrations that ran out during an outage are back within two seconds; half a second for reading them. */
-    public static final long RETURN_MILLIS = 2_500;
+    /**
+     * Grace period for registrations that expired during an outage: servers register again within two seconds, and reading
+     * the registrations takes up to half a second.
+     */
+    public static final long REGISTRATION_GRACE_MILLIS = 2_500;
 
-    /** By the name that a server keeps over its lives. */
-    private final Map<BackendServerId, Entry> entries = new HashMap<>();
+    /** By the name that a server keeps over restarts. */
+    private final Map<BackendServerId, Entry> byName = new HashMap<>();
 
-    /** By the id of the life. */
-    private final Map<BackendServerId, Entry> lives = new HashMap<>();
+    /** By the id of the incarnation. */
+    private final Map<BackendServerId, Entry> byId = new HashMap<>();
 
-    private final Map<BackendServerId, Long> removed = new HashMap<>();
-    private final EndedLives ended = new EndedLives();
+    private final Map<BackendServerId, Long> removedOffsets = new HashMap<>();
+    private final EndedIncarnations endedIncarnations = new EndedIncarnations();
 
-    /** Registrations of a restored store that are not used before they are confirmed, by name. */
+    /** Registrations read from a restored store that are not used until they are confirmed, by name. */
     private final Map<BackendServerId, Unconfirmed> unconfirmed = new HashMap<>();
 
-    /** Offsets below it may be of the copy from which the store was restored. */
-    private long inheritedEnd;
+    /** Records below this offset may come from the copy from which the store was restored. */
+    private long restoredEnd;
 
-    private boolean connected = true;
-    private long connectedAt = Long.MIN_VALUE / 2;
+    private boolean storeAvailable = true;
+    private long storeAvailableSince = Long.MIN_VALUE / 2;
 
     private static final class Entry {
         private BackendServer server;
         private long offset;
         private long removeAtMillis = Long.MAX_VALUE;
         private long leavingSinceMillis = Long.MAX_VALUE;
-        /** Whether the store was restored since the life began to leave. */
-        private boolean leavesForGood;
+        /** Whether the store was restored after the incarnation began to leave. */
+        private boolean staysLeaving;
 
-        private void forgetOffset() {
+        private void resetOffset() {
             offset = -1;
-            leavesForGood |= leavingSinceMillis != Long.MAX_VALUE;
+            staysLeaving |= leavingSinceMillis != Long.MAX_VALUE;
         }
     }
 
     private record Unconfirmed(Registration record, long untilMillis) {}
 
     /**
-     * One record of the registrations. Immutable, safe for use by any thread.
+     * One registration record. Immutable, safe for use by any thread.
      *
-     * @param offset place of the record; higher is newer
-     * @param name the server that it is about
-     * @param server what it says; empty if the registration was removed, or names no server that can be used
+     * @param offset offset of the record; higher is newer
+     * @param name name of the server
+     * @param server the registered server; empty if the registration was removed or describes no usable server
      */
     public record Registration(long offset, BackendServerId name, Optional<BackendServer> server) {}
 
-    /** Takes one record; true if it changed anything. */
+    /** Applies one record; returns whether it changed anything. */
     public boolean apply(Registration record, long nowMillis) {
-        Entry known = entries.get(record.name());
-        if (record.offset() <= removed.getOrDefault(record.name(), -1L)
+        Entry known = byName.get(record.name());
+        if (record.offset() <= removedOffsets.getOrDefault(record.name(), -1L)
                 || (known != null && record.offset() <= known.offset)
-                || isUnconfirmed(record)) {
+                || isUnconfirmedDuplicate(record)) {
             return false;
         }
         if (record.server().isEmpty()) {
             return remove(record, nowMillis);
         }
         unconfirmed.remove(record.name());
-        if (record.offset() < inheritedEnd
-                && ended.isReplaced(record.server().get().id())) {
+        if (record.offset() < restoredEnd
+                && endedIncarnations.isReplaced(record.server().get().id())) {
             return false;
         }
         return register(record, nowMillis);
     }
 
-    /** Whether it is a record that waits for its confirmation, read again. */
-    private boolean isUnconfirmed(Registration record) {
-        Unconfirmed waiting = unconfirmed.get(record.name());
-        return waiting != null && record.offset() <= waiting.record().offset();
+    /** Whether the record is a repeated read of one that is still unconfirmed. */
+    private boolean isUnconfirmedDuplicate(Registration record) {
+        Unconfirmed existing = unconfirmed.get(record.name());
+        return existing != null && record.offset() <= existing.record().offset();
     }
 
     private boolean register(Registration record, long nowMillis) {
-        Entry known = entries.get(record.name());
+        Entry known = byName.get(record.name());
         BackendServer server = record.server().orElseThrow();
         if (known != null && !known.server.id().equals(server.id())) {
-            endLife(known);
+            endIncarnation(known);
         }
-        Entry entry = entries.computeIfAbsent(record.name(), name -> new Entry());
-        lives.put(server.id(), entry);
-        ended.returned(server.id());
-        BackendServer now = entry.leavesForGood ? server.withState(ServerState.DRAINING) : server;
-        boolean changed = !now.equals(entry.server) || entry.removeAtMillis != Long.MAX_VALUE;
-        entry.server = now;
+        Entry entry = byName.computeIfAbsent(record.name(), name -> new Entry());
+        byId.put(server.id(), entry);
+        endedIncarnations.markRegistered(server.id());
+        BackendServer effective = entry.staysLeaving ? server.withState(ServerState.DRAINING) : server;
+        boolean changed = !effective.equals(entry.server) || entry.removeAtMillis != Long.MAX_VALUE;
+        entry.server = effective;
         entry.offset = record.offset();
         entry.removeAtMillis = Long.MAX_VALUE;
-        boolean leaves = !entry.server.state().takesWork();
-        entry.leavingSinceMillis = leaves ? Math.min(entry.leavingSinceMillis, nowMillis) : Long.MAX_VALUE;
+        boolean leaving = !entry.server.state().takesWork();
+        entry.leavingSinceMillis = leaving ? Math.min(entry.leavingSinceMillis, nowMillis) : Long.MAX_VALUE;
         return changed;
     }
 
-    private void endLife(Entry old) {
-        forget(old);
-        ended.replaced(old.server.id());
+    private void endIncarnation(Entry entry) {
+        removeEntry(entry);
+        endedIncarnations.markReplaced(entry.server.id());
     }
 
-    private void forget(Entry entry) {
-        entries.remove(entry.server.name());
-        lives.remove(entry.server.id());
-        ended.removed(entry.server.id());
+    private void removeEntry(Entry entry) {
+        byName.remove(entry.server.name());
+        byId.remove(entry.server.id());
+        endedIncarnations.markRemoved(entry.server.id());
     }
 
     /**
-     * Takes the newest record of every server at once; whoever is not among them has gone.
+     * Applies a complete read: the newest record of every server. Servers that are missing from it are removed.
      *
      * @param records the records
-     * @param end offset from which records may be missing here
+     * @param end records at or above this offset may be missing from the read
+     * @return whether anything changed
      */
     public boolean replaceAll(Collection<Registration> records, long end, long nowMillis) {
         boolean changed = false;
@@ -137,8 +141,8 @@
             changed |= apply(record, nowMillis);
         }
         unconfirmed.keySet().retainAll(newest.keySet());
-        for (BackendServerId name : List.copyOf(entries.keySet())) {
-            if (!newest.containsKey(name) && entries.get(name).offset < end) {
+        for (BackendServerId name : List.copyOf(byName.keySet())) {
+            if (!newest.containsKey(name) && byName.get(name).offset < end) {
                 changed |= remove(new Registration(end - 1, name, Optional.empty()), nowMillis);
             }
         }
@@ -146,73 +150,76 @@
     }
 
     /**
-     * Takes the newest record of every server from a store that was restored from an older copy.
+     * Applies a complete read of a store that was restored from an older copy.
      *
-     * <p>Offsets go back and are given out again, so none known before means anything. The copy lacks what was written in
-     * the seconds before: servers that have left or ended stand there as ready until they write again, and new ones do not
-     * stand there at all. So a life that was leaving goes on leaving, one that was replaced stays so, and one that had been
-     * removed is used again only when it has written since, or its registration has outlived the time in which one that
-     * nobody renews runs out. Those that are missing get the time to register again.
+     * <p>The store assigns offsets again from the end of the copy, so offsets known before are discarded. The copy lacks the
+     * writes of the last seconds before the failure: servers that were leaving or have ended appear as ready until they
+     * write again, and new servers are missing. Therefore an incarnation that was leaving remains leaving, and one that was
+     * replaced remains replaced. One that was removed is used again only after it has written again, or once its
+     * registration has outlasted the time in which an unrenewed one expires. Missing servers get the grace period of
+     * {@link #REGISTRATION_GRACE_MILLIS} to register again.
      *
-     * @param end offset from which records may be missing here
-     * @param confirmMillis time in which a registration that nobody renews runs out
+     * @param end records at or above this offset may be missing from the read
+     * @param confirmMillis time after which a registration that is not renewed expires
+     * @return whether anything changed
      */
     public boolean restore(Collection<Registration> records, long end, long confirmMillis, long nowMillis) {
-        removed.clear();
-        inheritedEnd = records.stream().mapToLong(Registration::offset).reduce(end - 1, Math::max) + 1;
-        connectedAt = nowMillis;
-        entries.values().forEach(Entry::forgetOffset);
+        removedOffsets.clear();
+        restoredEnd = records.stream().mapToLong(Registration::offset).reduce(end - 1, Math::max) + 1;
+        storeAvailableSince = nowMillis;
+        byName.values().forEach(Entry::resetOffset);
         List<Registration> known = new ArrayList<>();
-        List<Registration> waiting = new ArrayList<>();
+        List<Registration> toConfirm = new ArrayList<>();
         for (Registration record : records) {
             boolean wasRemoved = record.server()
-                    .filter(server -> ended.isRemoved(server.id()))
+                    .filter(server -> endedIncarnations.isRemoved(server.id()))
                     .isPresent();
-            (wasRemoved ? waiting : known).add(record);
+            (wasRemoved ? toConfirm : known).add(record);
         }
         boolean changed = replaceAll(known, end, nowMillis);
-        waiting.forEach(record -> unconfirmed.put(record.name(), new Unconfirmed(record, nowMillis + confirmMillis)));
+        toConfirm.forEach(record -> unconfirmed.put(record.name(), new Unconfirmed(record, nowMillis + confirmMillis)));
         return changed;
     }
 
     private boolean remove(Registration record, long nowMillis) {
         unconfirmed.remove(record.name());
-        removed.put(record.name(), record.offset());
-        Entry entry = entries.get(record.name());
+        removedOffsets.put(record.name(), record.offset());
+        Entry entry = byName.get(record.name());
         if (entry == null) {
             return false;
         }
         entry.offset = record.offset();
-        if (!connected || nowMillis - connectedAt < RETURN_MILLIS) {
-            entry.removeAtMillis = Math.max(nowMillis, connectedAt + RETURN_MILLIS);
+        if (!storeAvailable || nowMillis - storeAvailableSince < REGISTRATION_GRACE_MILLIS) {
+            entry.removeAtMillis = Math.max(nowMillis, storeAvailableSince + REGISTRATION_GRACE_MILLIS);
             return true;
         }
-        forget(entry);
+        removeEntry(entry);
         return true;
     }
 
-    /** Notes whether the store answers; a change from false to true starts the time of return. */
-    public void storeAnswers(boolean answers, long nowMillis) {
-        if (answers && !connected) {
-            connectedAt = nowMillis;
+    /** Records whether the store is available; a change from false to true starts the grace period. */
+    public void setStoreAvailable(boolean available, long nowMillis) {
+        if (available && !storeAvailable) {
+            storeAvailableSince = nowMillis;
         }
-        connected = answers;
+        storeAvailable = available;
     }
 
     /**
-     * Removes those whose registration did not come back in time, and takes those that were confirmed; true if there were
-     * any.
+     * Removes servers that did not register again within the grace period, and registers those that were confirmed.
+     *
+     * @return whether there were any
      */
     public boolean expire(long nowMillis) {
-        if (!connected) {
+        if (!storeAvailable) {
             return false;
         }
-        List<Entry> due = entries.values().stream()
+        List<Entry> due = byName.values().stream()
                 .filter(entry -> entry.removeAtMillis <= nowMillis)
                 .toList();
-        due.forEach(this::forget);
+        due.forEach(this::removeEntry);
         List<Registration> confirmed = unconfirmed.values().stream()
-                .filter(waiting -> waiting.untilMillis() <= nowMillis)
+                .filter(entry -> entry.untilMillis() <= nowMillis)
                 .map(Unconfirmed::record)
                 .toList();
         for (Registration record : confirmed) {
@@ -222,26 +229,26 @@
         return !due.isEmpty() || !confirmed.isEmpty();
     }
 
-    /** The servers known now. */
+    /** The servers that are currently known. */
     public List<BackendServer> servers() {
-        List<BackendServer> servers = new ArrayList<>(entries.size());
-        entries.values().forEach(entry -> servers.add(entry.server));
+        List<BackendServer> servers = new ArrayList<>(byName.size());
+        byName.values().forEach(entry -> servers.add(entry.server));
         return servers;
     }
 
-    /** The server in the life of that id; empty if the life is not known or has ended. */
+    /** The server with that id; empty if the incarnation is unknown or has ended. */
     public Optional<BackendServer> server(BackendServerId id) {
-        return Optional.ofNullable(lives.get(id)).map(entry -> entry.server);
+        return Optional.ofNullable(byId.get(id)).map(entry -> entry.server);
     }
 
-    /** Whether the life has ended, as its server has registered in another one; what ran in it is lost. */
+    /** Whether the incarnation has ended because its server registered as another one; requests on it are lost. */
     public boolean isReplaced(BackendServerId id) {
-        return ended.isReplaced(id);
+        return endedIncarnations.isReplaced(id);
     }
 
-    /** Since when the server is known to be leaving; empty while it is not. */
+    /** When the server was first seen leaving, in milliseconds; empty if it is not leaving. */
     public Optional<Long> leavingSinceMillis(BackendServerId id) {
-        return Optional.ofNullable(lives.get(id))
+        return Optional.ofNullable(byId.get(id))
                 .map(entry -> entry.leavingSinceMillis)
                 .filter(since -> since != Long.MAX_VALUE);
     }
--- a/core/src/main/java/org/cornelramp/core/fleet/ServerState.java
+++ b/core/src/main/java/org/cornelramp/core/fleet/ServerState.java
@@ -1,10 +1,10 @@
 package org.cornelramp.core.fleet;
 
-/** What a backend server says of itself. Immutable, safe for use by any thread. */
+/** State that a backend server reports of itself. Immutable, safe for use by any thread. */
 public enum ServerState {
-    /** Takes new work. */
+    /** Accepts new work. */
     READY(true),
-    /** Is leaving: finishes what it has and takes nothing new. */
+    /** Is leaving: finishes its current work and accepts no new work. */
     DRAINING(false);
 
     private final boolean takesWork;
--- a/core/src/main/java/org/cornelramp/core/fleet/package-info.java
+++ b/core/src/main/java/org/cornelramp/core/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** The backend servers that the router knows: what each says of itself, and what the router has seen of it. */
+/** The backend servers that the router knows: their registrations, and the failures and load it has observed. */
 package org.cornelramp.core.fleet;
--- a/core/src/main/java/org/cornelramp/core/health/AgentHealth.java
+++ b/core/src/main/java/org/cornelramp/core/health/AgentHealth.java
@@ -3,67 +3,67 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** What is known of one agent. Owned by one thread. */
+/** Health statistics of one agent. Owned by one thread. */
 final class AgentHealth {
-    private static final double NEWEST_PART = 0.2;
-    private static final int FEWEST_TIMED = 8;
-    private static final double FIRST_SHARE = 0.1;
+    private static final double SMOOTHING_FACTOR = 0.2;
+    private static final int MIN_TIMED_REQUESTS = 8;
+    private static final double INITIAL_SHARE = 0.1;
     private static final double FAILURE_FACTOR = 0.5;
 
     final String group;
     private final HealthSettings settings;
-    private Instant rampFrom;
-    private int failures;
+    private Instant rampStart;
+    private int consecutiveFailures;
     private double failureRate;
-    private double ratio = 1;
-    private int timed;
+    private double smoothedRatio = 1;
+    private int timedRequests;
     private boolean ejected;
     private boolean probing;
-    private Duration probeAfter;
-    private Instant probeAt;
+    private Duration probeInterval;
+    private Instant nextProbeAt;
 
     AgentHealth(String group, HealthSettings settings, Instant now) {
         this.group = group;
         this.settings = settings;
-        this.rampFrom = now;
-        this.probeAfter = settings.firstProbe();
-        this.probeAt = now;
+        this.rampStart = now;
+        this.probeInterval = settings.initialProbeInterval();
+        this.nextProbeAt = now;
     }
 
-    void succeeded(double timeRatio, Instant now) {
-        failures = 0;
-        ratio += (timed == 0 ? 1 : NEWEST_PART) * (timeRatio - ratio);
-        timed++;
-        failureRate -= NEWEST_PART * failureRate;
+    void recordSuccess(double timeRatio, Instant now) {
+        consecutiveFailures = 0;
+        smoothedRatio += (timedRequests == 0 ? 1 : SMOOTHING_FACTOR) * (timeRatio - smoothedRatio);
+        timedRequests++;
+        failureRate -= SMOOTHING_FACTOR * failureRate;
         if (ejected) {
             ejected = false;
-            probeAfter = settings.firstProbe();
-            rampFrom = now;
-            // What was slow before the ejection says nothing of the server that answers now.
-            ratio = timeRatio;
-            timed = 1;
+            probeInterval = settings.initialProbeInterval();
+            rampStart = now;
+            // Times from before the ejection say nothing about the server after its recovery.
+            smoothedRatio = timeRatio;
+            timedRequests = 1;
         }
         probing = false;
     }
 
-    void failed(Instant now) {
-        failures++;
-        failureRate += NEWEST_PART * (1 - failureRate);
+    void recordFailure(Instant now) {
+        consecutiveFailures++;
+        failureRate += SMOOTHING_FACTOR * (1 - failureRate);
         if (ejected && probing) {
-            Duration doubled = probeAfter.multipliedBy(2);
-            probeAfter = doubled.compareTo(settings.lastProbe()) < 0 ? doubled : settings.lastProbe();
-            probeAt = now.plus(probeAfter);
-        } else if (!ejected && failures >= settings.failuresToEject()) {
+            Duration doubled = probeInterval.multipliedBy(2);
+            probeInterval = doubled.compareTo(settings.maxProbeInterval()) < 0 ? doubled : settings.maxProbeInterval();
+            nextProbeAt = now.plus(probeInterval);
+        } else if (!ejected && consecutiveFailures >= settings.failuresToEject()) {
             ejected = true;
-            probeAt = now.plus(probeAfter);
+            nextProbeAt = now.plus(probeInterval);
         }
         probing = false;
     }
 
-    /** Marks the one request that an ejected agent is given. A lost one must not block the next for ever. */
-    void probeSent(Instant now) {
+    /** Records that the agent got a probe. The next one becomes due even if this one is never answered. */
+    void recordProbe(Instant now) {
         probing = true;
-        probeAt = now.plus(settings.lastProbe());
+        nextProbeAt = now.plus(settings.maxProbeInterval());
     }
 
     boolean isEjected() {
@@ -71,31 +71,35 @@
     }
 
     boolean probeDue(Instant now) {
-        return ejected && !now.isBefore(probeAt);
+        return ejected && !now.isBefore(nextProbeAt);
     }
 
-    int failures() {
-        return failures;
+    int consecutiveFailures() {
+        return consecutiveFailures;
     }
 
-    /** Observed over expected time, smoothed; 0 while too few were seen. */
+    /** Smoothed ratio of observed to expected time; 0 while there are too few samples. */
     double timeRatio() {
-        return timed < FEWEST_TIMED ? 0 : ratio;
+        return timedRequests < MIN_TIMED_REQUESTS ? 0 : smoothedRatio;
     }
 
-    /** The share before the group is looked at: ramp-up, failures in a row and slowness against the median. */
+    /**
+     * The share of this agent, from ramp-up, failures and slowness, without the bound on the ejected part of its group.
+     *
+     * @param median median time ratio of the group; 0 if unknown
+     */
     double share(double median, Instant now) {
-        double ramp = FIRST_SHARE + (1 - FIRST_SHARE) * ramped(now);
-        // One that fails every other request never has many in a row, so its rate counts as well.
-        double failing = Math.min(Math.pow(FAILURE_FACTOR, failures), (1 - failureRate) * (1 - failureRate));
+        double ramp = INITIAL_SHARE + (1 - INITIAL_SHARE) * rampProgress(now);
+        // An agent that fails every other request never has many consecutive failures, so its failure rate counts too.
+        double failing = Math.min(Math.pow(FAILURE_FACTOR, consecutiveFailures), (1 - failureRate) * (1 - failureRate));
         double limit = median * settings.slowRatio();
         double slow = median > 0 && timeRatio() > limit ? limit / timeRatio() : 1;
         return ramp * failing * slow;
     }
 
-    private double ramped(Instant now) {
-        double passed = Duration.between(rampFrom, now).toNanos();
-        double whole = Math.max(1, settings.rampUp().toNanos());
-        return Math.max(0, Math.min(1, passed / whole));
+    private double rampProgress(Instant now) {
+        double elapsed = Duration.between(rampStart, now).toNanos();
+        double total = Math.max(1, settings.rampUp().toNanos());
+        return Math.max(0, Math.min(1, elapsed / total));
     }
 }
--- a/core/src/main/java/org/cornelramp/core/health/FleetHealth.java
+++ b/core/src/main/java/org/cornelramp/core/health/FleetHealth.java
@@ -11,21 +11,21 @@
 import org.cornelramp.core.model.Incarnation;
 
 /**
- * The share of work that an entry gives each agent, from how its requests went there.
+ * The share of work that an entry gives each agent, from the results of its requests there.
  *
- * <p>Failures in a row and times far above the peers' lower the share; enough failures eject the agent, which then
- * gets one request at a time as a probe until one is answered, and comes back by the ramp-up of a new one. Time is
- * judged as observed over expected, so that a slow kind of accelerator is not taken for a sick one.
+ * <p>Failures, and times far above those of its peers, lower the share of an agent. Enough consecutive failures eject
+ * it. An ejected agent gets one request at a time as a probe until one is answered, and then ramps up like a new agent.
+ * Times are compared as the ratio of observed to expected, so that a slow kind of accelerator is not taken for a fault.
  *
- * <p>Invariant: of the agents of one group (those that can stand in for each other) no more than the stated part is
- * ejected: if most of them fail, the cause is elsewhere, and the load of all on the rest would bring those down as
- * well. Owned by one thread.
+ * <p>Invariant: of the agents of one group (agents that can replace each other) at most the configured part is
+ * unavailable through ejection. If most of a group fails, the cause is elsewhere, and the whole load on the remaining
+ * agents would bring those down as well. Owned by one thread.
  */
 public final class FleetHealth {
-    /** Share of an agent that is kept in use only because too many of its group are ejected. */
-    public static final double SHARE_WHEN_KEPT = 0.2;
+    /** Share of an ejected agent that stays in use because too many of its group are ejected. */
+    public static final double RETAINED_SHARE = 0.2;
 
-    private static final double LEAST_SHARE = 0.02;
+    private static final double MIN_SHARE = 0.02;
 
     private final HealthSettings settings;
     private final Map<Incarnation, AgentHealth> agents = new HashMap<>();
@@ -35,68 +35,67 @@
     }
 
     /**
-     * Adds an agent, which ramps up from now; one that is known already is left as it is.
+     * Adds an agent, which ramps up from now; has no effect if the agent is already known.
      *
-     * @param group names the agents that can stand in for each other, such as the service and layer range
+     * @param group identifies the agents that can replace each other, such as a service and layer range
      */
-    public void joined(Incarnation agent, String group, Instant now) {
+    public void add(Incarnation agent, String group, Instant now) {
         agents.computeIfAbsent(agent, a -> new AgentHealth(group, settings, now));
     }
 
-    /** Forgets an agent that has left. */
-    public void left(Incarnation agent) {
+    /** Removes an agent that has left. */
+    public void remove(Incarnation agent) {
         agents.remove(agent);
     }
 
     /**
-     * Notes an answered request.
+     * Records an answered request.
      *
      * @param observed time that it took
-     * @param expected time that the choice expected
+     * @param expected time that was predicted when the agent was chosen
      */
-    public void succeeded(Incarnation agent, Duration observed, Duration expected, Instant now) {
+    public void recordSuccess(Incarnation agent, Duration observed, Duration expected, Instant now) {
         AgentHealth h = agents.get(agent);
         if (h != null) {
-            h.succeeded(observed.toNanos() / (double) Math.max(1, expected.toNanos()), now);
+            h.recordSuccess(observed.toNanos() / (double) Math.max(1, expected.toNanos()), now);
         }
     }
 
-    /** Notes a failure that was the agent's or its backend server's: not a refusal, nor a fault of the request. */
-    public void failed(Incarnation agent, Instant now) {
+    /** Records a failure of the agent or its backend server; refusals and faulty requests do not count. */
+    public void recordFailure(Incarnation agent, Instant now) {
         AgentHealth h = agents.get(agent);
         if (h != null) {
-            h.failed(now);
+            h.recordFailure(now);
         }
     }
 
-    /** Notes that an ejected agent got the request that {@link #probe} named it for. */
-    public void probeSent(Incarnation agent, Instant now) {
+    /** Records that a request was sent to the ejected agent that {@link #dueProbe} returned. */
+    public void recordProbe(Incarnation agent, Instant now) {
         AgentHealth h = agents.get(agent);
         if (h != null) {
-            h.probeSent(now);
+            h.recordProbe(now);
         }
     }
 
     /**
-     * The ejected agent of a group that is due a probe, if any. The next request that may safely run again goes
+     * The ejected agent of a group that is due for a probe, if any. The next request that may safely be retried goes
      * there, with all its retries left.
      */
-    public Optional<Incarnation> probe(String group, Instant now) {
+    public Optional<Incarnation> dueProbe(String group, Instant now) {
         return agents.entrySet().stream()
                 .filter(e -> e.getValue().group.equals(group) && e.getValue().probeDue(now))
                 .map(Map.Entry::getKey)
                 .min(Comparator.comparing(Incarnation::server));
     }
 
-    /** Whether an agent is ejected now, the bound on its group left aside. */
+    /** Whether an agent is ejected, regardless of the bound on the ejected part of its group. */
     public boolean isEjected(Incarnation agent) {
         AgentHealth h = agents.get(agent);
         return h != null && h.isEjected();
     }
 
     /**
-     * The share of each agent, above 0 to 1, for the candidates of a choice. An ejected agent is missing and must
-     * not be a candidate.
+     * The share of each agent, above 0 and at most 1. An agent that is missing is ejected and must not be chosen.
      */
     public Map<Incarnation, Double> shares(Instant now) {
         Map<String, List<Incarnation>> groups = new HashMap<>();
@@ -115,14 +114,14 @@
             if (h.isEjected()) {
                 ejected.add(agent);
             } else {
-                shares.put(agent, Math.max(LEAST_SHARE, h.share(median, now)));
+                shares.put(agent, Math.max(MIN_SHARE, h.share(median, now)));
             }
         }
-        int allowed = (int) (members.size() * settings.mostEjected());
-        ejected.sort(Comparator.<Incarnation>comparingInt(a -> agents.get(a).failures())
+        int allowed = (int) (members.size() * settings.maxEjectedPart());
+        ejected.sort(Comparator.<Incarnation>comparingInt(a -> agents.get(a).consecutiveFailures())
                 .thenComparing(Incarnation::server));
         for (int i = 0; i < ejected.size() - allowed; i++) {
-            shares.put(ejected.get(i), SHARE_WHEN_KEPT);
+            shares.put(ejected.get(i), RETAINED_SHARE);
         }
     }
 
--- a/core/src/main/java/org/cornelramp/core/health/package-info.java
+++ b/core/src/main/java/org/cornelramp/core/health/package-info.java
@@ -1,2 +1,2 @@
-/** How much work each agent is given, from how its requests went. */
+/** Share of work of each agent, from the results of its requests. */
 package org.cornelramp.core.health;
--- a/core/src/main/java/org/cornelramp/core/key/KeyIndex.java
+++ b/core/src/main/java/org/cornelramp/core/key/KeyIndex.java
@@ -9,66 +9,70 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.cornelramp.core.call.AgentWord;
+import org.cornelramp.core.call.AgentReply;
 import org.cornelramp.core.model.Incarnation;
 import org.cornelramp.core.model.OrganisationId;
 import org.cornelramp.core.model.Problem;
 import org.cornelramp.core.model.ProblemKind;
 
 /**
- * The fold of the key stream: which incarnation each own key is bound to, and what stopped agents settled.
+ * An index built from the key stream of the log: which incarnation each caller-generated key is bound to, and what stopped
+ * agents settled.
  *
- * <p>Every reader folds the same records in the same order, so all see the same binding. Confined to one thread.
- * Invariants: the first binding of a key in log order stays for as long as the key is young enough to be used; a key
- * is said to have never run only once all parts of its incarnation's settlement are there.
+ * <p>Every reader applies the same records in the same order, so all see the same bindings. Confined to one thread.
+ * Invariants: the first binding of a key in log order holds for as long as the key is young enough to be used; a key is
+ * reported as never run only once all parts of its incarnation's settlement have been read.
  */
 public final class KeyIndex {
     private final Duration window;
-    private final Map<Owned, Binding> bindings = new HashMap<>();
+    private final Map<OrganisationKey, Binding> bindings = new HashMap<>();
     private final Map<Incarnation, Settlement> settlements = new HashMap<>();
-    private final Deque<Dated> byAge = new ArrayDeque<>();
-    private long next;
+    private final Deque<ExpiryEntry> byAge = new ArrayDeque<>();
+    private long nextOffset;
 
     /**
      * The binding of a key.
      *
-     * @param incarnation the only agent life that may run it
+     * @param incarnation the only agent incarnation that may run it
      * @param fingerprint fingerprint of the request that it was bound for
-     * @param boundAt when the log took the record
+     * @param boundAt when the log accepted the record
      */
     public record Binding(Incarnation incarnation, String fingerprint, Instant boundAt) {}
 
-    private record Owned(OrganisationId organisation, String key) {}
+    private record OrganisationKey(OrganisationId organisation, String key) {}
 
-    private record Dated(Instant at, Optional<Owned> key, Optional<Incarnation> settled) {}
+    private record ExpiryEntry(Instant at, Optional<OrganisationKey> key, Optional<Incarnation> settled) {}
 
     /**
-     * @param window age at which keys are refused, and so may be forgotten
+     * @param window age above which keys are refused, so that their records may be dropped
      */
     public KeyIndex(Duration window) {
         this.window = window;
     }
 
     /** Offset of the next record to apply. */
-    public long next() {
-        return next;
+    public long nextOffset() {
+        return nextOffset;
     }
 
-    /** Goes on from an offset, since the records before it are no longer kept. */
+    /** Skips to an offset because the log no longer holds the records before it; never moves back. */
     public void skipTo(long offset) {
-        next = Math.max(next, offset);
+        nextOffset = Math.max(nextOffset, offset);
     }
 
     /**
-     * Applies the record at {@link #next}; one in no known form counts as read.
+     * Applies the record at offset {@link #nextOffset}.
      *
-     * @param at when the log took it
+     * @param at when the log accepted the record
+     * @param record the record; empty if it is in no known form, in which case it is skipped
+     * @throws IllegalArgumentException if the offset is not the next one
      */
     public void apply(long offset, Instant at, Optional<KeyRecord> record) {
-        if (offset != next) {
-            throw new IllegalArgumentException("Records are applied in order; expected " + next + ", not " + offset);
+        if (offset != nextOffset) {
+            throw new IllegalArgumentException(
+                    "Records must be applied in order; expected=" + nextOffset + " offset=" + offset);
         }
-        next++;
+        nextOffset++;
         if (record.isPresent() && record.get() instanceof KeyRecord.Bind bind) {
             bind(bind, at);
         } else if (record.isPresent() && record.get() instanceof KeyRecord.Settled settled) {
@@ -76,74 +80,75 @@
         }
     }
 
-    /** The binding of an organisation's key, if it has one. */
+    /** The binding of an organisation's key; empty if it has none. */
     public Optional<Binding> binding(OrganisationId organisation, String key) {
-        return Optional.ofNullable(bindings.get(new Owned(organisation, key)));
+        return Optional.ofNullable(bindings.get(new OrganisationKey(organisation, key)));
     }
 
-    /** Whether an incarnation has stopped as planned and settled all its keys. */
+    /** Whether an incarnation has stopped as planned and all parts of its settlement have been read. */
     public boolean isSettled(Incarnation incarnation) {
         Settlement settlement = settlements.get(incarnation);
-        return settlement != null && settlement.isWhole();
+        return settlement != null && settlement.isComplete();
     }
 
-    /** The final word on a key of an incarnation that stopped as planned; empty if it did not. */
-    public Optional<AgentWord> settled(Incarnation incarnation, String key) {
+    /** The final result of a key of an incarnation that stopped as planned; empty if it has not settled its keys. */
+    public Optional<AgentReply> settledReply(Incarnation incarnation, String key) {
         if (!isSettled(incarnation)) {
             return Optional.empty();
         }
-        AgentWord word = settlements.get(incarnation).results.get(key);
-        return Optional.of(word != null ? word : neverRan());
+        AgentReply reply = settlements.get(incarnation).results.get(key);
+        return Optional.of(reply != null ? reply : notRun());
     }
 
-    /** Forgets what is so old that no key of it can be used any more. */
+    /** Drops bindings and settlements that are so old that none of their keys is accepted any more. */
     public void expire(Instant now) {
-        // A key may be bound up to one window after it was made, and its own clock may run ahead.
+        // A key may be bound up to one window after its creation, and the clock of its creator may be ahead.
         Instant limit = now.minus(window.multipliedBy(2)).minus(IdempotencyKey.CLOCK_SKEW);
         while (!byAge.isEmpty() && byAge.peek().at().isBefore(limit)) {
-            Dated old = byAge.poll();
-            old.key().ifPresent(bindings::remove);
-            old.settled().ifPresent(settlements::remove);
+            ExpiryEntry oldest = byAge.poll();
+            oldest.key().ifPresent(bindings::remove);
+            oldest.settled().ifPresent(settlements::remove);
         }
     }
 
-    /** Bindings held. */
+    /** Number of bindings held. */
     public int size() {
         return bindings.size();
     }
 
     private void bind(KeyRecord.Bind bind, Instant at) {
-        Owned owned = new Owned(bind.organisation(), bind.key());
+        OrganisationKey organisationKey = new OrganisationKey(bind.organisation(), bind.key());
         Binding binding = new Binding(bind.incarnation(), bind.fingerprint(), at);
-        if (bindings.putIfAbsent(owned, binding) == null) {
-            byAge.add(new Dated(at, Optional.of(owned), Optional.empty()));
+        if (bindings.putIfAbsent(organisationKey, binding) == null) {
+            byAge.add(new ExpiryEntry(at, Optional.of(organisationKey), Optional.empty()));
         }
     }
 
     private void settle(KeyRecord.Settled settled, Instant at) {
         Settlement settlement = settlements.computeIfAbsent(settled.incarnation(), key -> new Settlement());
         settlement.add(settled);
-        byAge.add(new Dated(at, Optional.empty(), Optional.of(settled.incarnation())));
+        byAge.add(new ExpiryEntry(at, Optional.empty(), Optional.of(settled.incarnation())));
     }
 
-    private static AgentWord neverRan() {
-        return AgentWord.of(Problem.notRun(
+    /** The result of a key that a complete settlement does not list. */
+    private static AgentReply notRun() {
+        return AgentReply.of(Problem.notRun(
                 ProblemKind.KEY_SPENT, "The backend server that the key was bound to stopped and never ran it."));
     }
 
     private static final class Settlement {
-        final Map<String, AgentWord> results = new HashMap<>();
-        private final Set<Integer> came = new HashSet<>();
+        final Map<String, AgentReply> results = new HashMap<>();
+        private final Set<Integer> partsRead = new HashSet<>();
         private int parts = Integer.MAX_VALUE;
 
         void add(KeyRecord.Settled settled) {
-            came.add(settled.part());
+            partsRead.add(settled.part());
             parts = settled.parts();
             results.putAll(settled.results());
         }
 
-        boolean isWhole() {
-            return came.size() >= parts;
+        boolean isComplete() {
+            return partsRead.size() >= parts;
         }
     }
 }
--- a/core/src/main/java/org/cornelramp/core/key/KeyRecordCodec.java
+++ b/core/src/main/java/org/cornelramp/core/key/KeyRecordCodec.java
@@ -8,7 +8,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
-import org.cornelramp.core.call.AgentWord;
+import org.cornelramp.core.call.AgentReply;
 import org.cornelramp.core.call.CallResult;
 import org.cornelramp.core.model.Incarnation;
 import org.cornelramp.core.model.OrganisationId;
@@ -19,8 +19,8 @@
 /**
  * The JSON form of the records of the key stream. Stateless, safe for use by any thread.
  *
- * <p>A record that cannot be read is skipped, the same way by every reader: the log is shared, and one bad record
- * must not stop all entries.
+ * <p>Every reader skips the same records that it cannot parse: the log is shared, and one bad record must not stop all
+ * entries.
  */
 public final class KeyRecordCodec {
     private static final String TYPE = "type";
@@ -33,7 +33,7 @@
 
     private KeyRecordCodec() {}
 
-    /** Writes a binding. */
+    /** Converts a binding to JSON. */
     public static JsonNode write(KeyRecord.Bind bind) {
         ObjectNode node = JsonNodeFactory.instance.objectNode();
         node.put(TYPE, BIND);
@@ -44,7 +44,7 @@
         return node;
     }
 
-    /** Reads a record; empty if it is in no known form. */
+    /** Parses a record; empty if it is in no known form. */
     public static Optional<KeyRecord> read(JsonNode node) {
         try {
             return switch (node.path(TYPE).asText()) {
@@ -66,31 +66,31 @@
     }
 
     private static KeyRecord readSettled(JsonNode node) throws IOException {
-        Map<String, AgentWord> results = new HashMap<>();
+        Map<String, AgentReply> results = new HashMap<>();
         for (JsonNode result : node.path("results")) {
-            results.put(text(result, KEY), readWord(result));
+            results.put(text(result, KEY), readReply(result));
         }
         int parts = node.path("parts").asInt();
         if (parts < 1) {
-            throw new IllegalArgumentException("A settled record has at least one part");
+            throw new IllegalArgumentException("A settled record needs at least one part");
         }
         return new KeyRecord.Settled(
                 Incarnation.parse(text(node, INCARNATION)), node.path("part").asInt(), parts, results);
     }
 
-    private static AgentWord readWord(JsonNode result) throws IOException {
+    private static AgentReply readReply(JsonNode result) throws IOException {
         Outcome outcome = outcome(text(result, "outcome"));
         if (outcome == Outcome.ANSWERED) {
             JsonNode body = result.path("body");
             byte[] bytes = body.isMissingNode() || body.isNull() ? new byte[0] : body.binaryValue();
-            return AgentWord.of(new CallResult(
+            return AgentReply.of(new CallResult(
                     result.path("status").asInt(), result.path("contentType").asText(""), bytes));
         }
         ProblemKind kind = result.hasNonNull("kind")
                 ? ProblemKind.parse(text(result, "kind"))
                 : outcome == Outcome.NOT_RUN ? ProblemKind.KEY_SPENT : ProblemKind.BACKEND_LOST;
         String detail = result.path("detail").asText("The backend server settled the key when it stopped.");
-        return AgentWord.of(new Problem(kind, outcome, detail, Duration.ZERO));
+        return AgentReply.of(new Problem(kind, outcome, detail, Duration.ZERO));
     }
 
     private static Outcome outcome(String text) {
@@ -99,13 +99,13 @@
                 return outcome;
             }
         }
-        throw new IllegalArgumentException("The outcome is not known");
+        throw new IllegalArgumentException("Unknown outcome");
     }
 
     private static String text(JsonNode node, String field) {
         JsonNode value = node.path(field);
         if (!value.isTextual()) {
-            throw new IllegalArgumentException("The record lacks " + field);
+            throw new IllegalArgumentException("The record has no text field " + field);
         }
         return value.textValue();
     }
--- a/core/src/main/java/org/cornelramp/core/key/package-info.java
+++ b/core/src/main/java/org/cornelramp/core/key/package-info.java
@@ -1,2 +1,2 @@
-/** Idempotency keys: the text form of minted tickets, the age of callers' own keys, and the fold of bindings. */
+/** Idempotency keys: minted tickets, caller-generated keys, and the index of bindings on the log. */
 package org.cornelramp.core.key;
--- a/core/src/main/java/org/cornelramp/core/ledger/KeyResult.java
+++ b/core/src/main/java/org/cornelramp/core/ledger/KeyResult.java
@@ -5,12 +5,12 @@
 import org.cornelramp.core.model.ProblemKind;
 
 /**
- * The last word on a key. Immutable if the array is not changed.
+ * The final result of a key. Immutable if the array is not changed.
  *
- * @param outcome what is known of the effect
+ * @param outcome whether the call ran, as far as is known
  * @param kind why there is no answer; empty if there is one
  * @param detail one sentence on the problem; empty if there is none
- * @param retryAfterMillis when to come back; 0 if waiting does not help
+ * @param retryAfterMillis milliseconds after which a retry may succeed; 0 if waiting does not help
  * @param status HTTP status of the answer; 0 if there is none
  * @param contentType media type of the answer
  * @param body the answer
@@ -25,17 +25,17 @@
         byte[] body) {
     private static final byte[] NONE = new byte[0];
 
-    /** An answer of the backend server. */
+    /** The result of a call that the backend server answered. */
     public static KeyResult answered(int status, String contentType, byte[] body) {
         return new KeyResult(Outcome.ANSWERED, Optional.empty(), "", 0, status, contentType, body);
     }
 
-    /** A call that did not run and never will. */
+    /** The result of a call that did not run and never will. */
     public static KeyResult notRun(ProblemKind kind, String detail, long retryAfterMillis) {
         return new KeyResult(Outcome.NOT_RUN, Optional.of(kind), detail, retryAfterMillis, 0, "", NONE);
     }
 
-    /** A call that may have run. */
+    /** The result of a call that may have run. */
     public static KeyResult unknown(ProblemKind kind, String detail) {
         return new KeyResult(Outcome.UNKNOWN, Optional.of(kind), detail, 0, 0, "", NONE);
     }
--- a/core/src/main/java/org/cornelramp/core/ledger/KeyState.java
+++ b/core/src/main/java/org/cornelramp/core/ledger/KeyState.java
@@ -1,14 +1,14 @@
 package org.cornelramp.core.ledger;
 
-/** How far a key has come at its agent. A key only ever moves down this list. */
+/** State of a key at its agent. A key only ever moves to a later state of this list. */
 public enum KeyState {
-    /** Admitted and not started: it can still be set to never run. */
+    /** Admitted and not started; it can still be tombstoned. */
     QUEUED(false),
-    /** Handed to the backend server: nothing can be said until it ends. */
+    /** Handed to the backend server; the result is not known until the call ends. */
     STARTED(false),
-    /** Ended; its result is kept, and it never runs again. */
+    /** Ended; its result is recorded, and the key never runs again. */
     FINISHED(true),
-    /** Never started, and set to never run. */
+    /** Never started, and marked so that it never runs. */
     TOMBSTONED(true);
 
     private final boolean settled;
@@ -17,7 +17,7 @@
         this.settled = settled;
     }
 
-    /** Whether the last word on the key is known. */
+    /** Whether the final result of the key is known. */
     public boolean isSettled() {
         return settled;
     }
--- a/core/src/main/java/org/cornelramp/core/ledger/KeyVerdict.java
+++ b/core/src/main/java/org/cornelramp/core/ledger/KeyVerdict.java
@@ -1,13 +1,13 @@
 package org.cornelramp.core.ledger;
 
-/** What a ledger says to a call under a key. Immutable, safe for use by any thread. */
+/** Decision of a ledger on a call with a key. Immutable, safe for use by any thread. */
 public sealed interface KeyVerdict {
-    /** The key is new and now queued: run it, once. */
+    /** The key is new and now queued; the call is to run once. */
     record Run() implements KeyVerdict {}
 
-    /** The key is queued or started: its result will come. */
+    /** The key is queued or started; its result is pending. */
     record Wait(KeyState state) implements KeyVerdict {}
 
-    /** The last word on the key. */
+    /** The final result of the key. */
     record Settled(KeyResult result) implements KeyVerdict {}
 }
--- a/core/src/main/java/org/cornelramp/core/ledger/Ledger.java
+++ b/core/src/main/java/org/cornelramp/core/ledger/Ledger.java
@@ -16,21 +16,21 @@
 import org.cornelramp.core.model.ProblemKind;
 
 /**
- * The record of all keys that one incarnation of an agent has seen: why a call under a key takes effect at most once.
+ * Records all keys that one incarnation of an agent has seen, so that a call with a key takes effect at most once.
  *
- * <p>Confined to one thread; the present time is passed in. Invariants:
+ * <p>Confined to one thread; the current time is passed in. Invariants:
  * <ul>
- * <li>{@link KeyVerdict.Run} is given at most once for each key in the life of the ledger. A key that was seen is
- *     recorded until it is older than the window, and a key older than the window is refused, so forgetting it
+ * <li>{@link KeyVerdict.Run} is returned at most once for each key in the lifetime of the ledger. A key that was seen is
+ *     recorded until it is older than the window, and a key older than the window is refused, so dropping its record
  *     cannot let it run again.
- * <li>Time never goes back here: a wall clock that is set back would make a forgotten key look young. The latest
- *     time that was passed in counts.
- * <li>A key answered as not run never runs. A full ledger has no room to note that, so it raises a floor: any key
- *     that it does not hold and that was minted at or before the floor never runs either.
+ * <li>Time never goes back: the latest time that was passed in counts. Otherwise a wall clock that is set back would make
+ *     a key whose record was dropped appear young enough to run.
+ * <li>A key answered as not run never runs. A full ledger has no room to record that, so it raises a floor: any key that
+ *     it does not hold and that was minted at or before the floor never runs either.
  * <li>Memory is bounded by the number of keys and the bytes of answers. A key whose answer was dropped still never
- *     runs again; its caller hears that the answer is no longer kept.
- * <li>A pause of any length changes nothing: what decides is this memory, not a lease that others may take over.
- *     A woken agent holds the same keys, and no other incarnation may run them.
+ *     runs again; its caller is told that the answer is no longer kept.
+ * <li>A pause of the process, however long, changes nothing: decisions rest on this record, not on a lease that others
+ *     may take over. After the pause the agent holds the same keys, and no other incarnation may run them.
  * </ul>
  */
 public final class Ledger {
@@ -45,16 +45,16 @@
     private final Map<String, Entry> entries = new HashMap<>();
     private final PriorityQueue<Entry> byExpiry = new PriorityQueue<>(Comparator.comparing((Entry e) -> e.expiry));
     private final Set<Entry> withBody = new LinkedHashSet<>();
-    private Instant latest = Instant.MIN;
-    private Instant floor = Instant.MIN;
+    private Instant latestTime = Instant.MIN;
+    private Instant refusalFloor = Instant.MIN;
     private long bytes;
     private int unsettled;
 
     /**
-     * @param self the life that this ledger records
-     * @param window age at which a key is refused
-     * @param maxKeys most keys to hold
-     * @param maxBytes most bytes of answers to hold; beyond, the oldest answers are dropped and their keys kept
+     * @param self the incarnation that this ledger belongs to
+     * @param window age above which a key is refused
+     * @param maxKeys maximum number of keys to hold
+     * @param maxBytes maximum bytes of answers to hold; beyond it, the oldest answers are dropped and their keys kept
      */
     public Ledger(Incarnation self, Duration window, int maxKeys, long maxBytes) {
         this.self = self;
@@ -63,57 +63,61 @@
         this.maxBytes = maxBytes;
     }
 
-    /** Decides on a call; after {@link KeyVerdict.Run} the key is queued. */
+    /** Decides on a call; if the result is {@link KeyVerdict.Run}, the key is queued. */
     public KeyVerdict admit(KeyRequest request, Instant now) {
-        Instant at = advance(now);
+        Instant at = advanceTime(now);
         if (!request.bound().equals(self)) {
-            return new KeyVerdict.Settled(ofOtherLife(request.bound()));
+            return new KeyVerdict.Settled(wrongIncarnation(request.bound()));
         }
         Entry entry = entries.get(request.key());
         if (entry != null) {
-            return repeat(entry, request);
+            return verdictForKnownKey(entry, request);
         }
         if (isTooOld(request.minted(), at)) {
             return new KeyVerdict.Settled(KeyResult.unknown(ProblemKind.KEY_EXPIRED, TOO_OLD));
         }
-        if (!request.minted().isAfter(floor)) {
-            return new KeyVerdict.Settled(full());
+        if (!request.minted().isAfter(refusalFloor)) {
+            return new KeyVerdict.Settled(ledgerFull());
         }
         if (isFull()) {
-            floor = request.minted();
-            return new KeyVerdict.Settled(full());
+            refusalFloor = request.minted();
+            return new KeyVerdict.Settled(ledgerFull());
         }
         add(request, at);
         return new KeyVerdict.Run();
     }
 
-    private KeyVerdict repeat(Entry entry, KeyRequest request) {
-        boolean known = !entry.fingerprint.isEmpty() && !request.fingerprint().isEmpty();
-        if (known && !entry.fingerprint.equals(request.fingerprint())) {
+    private KeyVerdict verdictForKnownKey(Entry entry, KeyRequest request) {
+        boolean comparable =
+                !entry.fingerprint.isEmpty() && !request.fingerprint().isEmpty();
+        if (comparable && !entry.fingerprint.equals(request.fingerprint())) {
             return new KeyVerdict.Settled(KeyResult.notRun(
                     ProblemKind.KEY_REUSED, "The key was used for another request; this one did not run", 0));
         }
         if (entry.state.isSettled() && entry.result.outcome() == Outcome.NOT_RUN) {
-            return new KeyVerdict.Settled(spent(entry.result));
+            return new KeyVerdict.Settled(alreadyRefused(entry.result));
         }
         return entry.verdict();
     }
 
-    /** A refusal that asks its caller to wait would be asked for the same key for ever. */
-    private static KeyResult spent(KeyResult first) {
+    /**
+     * The answer to a repeated key whose call did not run. It carries no retry-after time, since a caller that waits would
+     * retry the same key forever.
+     */
+    private static KeyResult alreadyRefused(KeyResult first) {
         return KeyResult.notRun(ProblemKind.KEY_SPENT, "The call was refused before: " + first.detail(), 0);
     }
 
     /**
-     * Says what became of a key, and with {@code cancel} sets one that has not started to never run. A key never
-     * seen is noted as one that never will: its call may still be on the way on a link that the asker gave up.
+     * Returns the state of a key, and with {@code cancel} tombstones one that has not started. A key that was never seen is
+     * tombstoned in any case, since its call may still be in transit on a link that the requester has abandoned.
      *
-     * @param request the key; its fingerprint is empty, since only the key is asked for
+     * @param request the key; its fingerprint is empty, since only the key is queried
      */
     public KeyVerdict settle(KeyRequest request, boolean cancel, Instant now) {
-        Instant at = advance(now);
+        Instant at = advanceTime(now);
         if (!request.bound().equals(self)) {
-            return new KeyVerdict.Settled(ofOtherLife(request.bound()));
+            return new KeyVerdict.Settled(wrongIncarnation(request.bound()));
         }
         Entry entry = entries.get(request.key());
         if (entry == null) {
@@ -129,19 +133,19 @@
         if (isTooOld(request.minted(), at)) {
             return new KeyVerdict.Settled(KeyResult.unknown(ProblemKind.KEY_EXPIRED, TOO_OLD));
         }
-        if (!request.minted().isAfter(floor)) {
-            return new KeyVerdict.Settled(full());
+        if (!request.minted().isAfter(refusalFloor)) {
+            return new KeyVerdict.Settled(ledgerFull());
         }
         if (isFull()) {
-            floor = request.minted();
-            return new KeyVerdict.Settled(full());
+            refusalFloor = request.minted();
+            return new KeyVerdict.Settled(ledgerFull());
         }
         add(request, at);
         tombstone(request.key(), cancelled());
         return entries.get(request.key()).verdict();
     }
 
-    /** Notes that a queued key is handed to the backend server; false if it is not queued, and then it must not be. */
+    /** Marks a queued key as handed to the backend server; if this returns false, the call must not be handed over. */
     public boolean start(String key) {
         Entry entry = entries.get(key);
         if (entry == null || entry.state != KeyState.QUEUED) {
@@ -151,16 +155,20 @@
         return true;
     }
 
-    /** Notes how a started key ended. */
+    /**
+     * Records the result of a started key.
+     *
+     * @throws IllegalStateException if the key is not in the state {@link KeyState#STARTED}
+     */
     public void finish(String key, KeyResult result) {
         Entry entry = entries.get(key);
         if (entry == null || entry.state != KeyState.STARTED) {
-            throw new IllegalStateException("A key ended that was not started");
+            throw new IllegalStateException("Only a started key can be finished");
         }
         end(entry, KeyState.FINISHED, result);
     }
 
-    /** Sets a queued key to never run; false if it has started or ended. */
+    /** Marks a queued key so that it never runs; returns false if it is not queued. */
     public boolean tombstone(String key, KeyResult result) {
         Entry entry = entries.get(key);
         if (entry == null || entry.state != KeyState.QUEUED) {
@@ -190,28 +198,28 @@
         }
     }
 
-    /** Forgets keys that are older than the window; they are refused from then on by their age. */
+    /** Drops the records of keys that are older than the window; from then on those keys are refused for their age. */
     public void expire(Instant now) {
-        advance(now);
+        advanceTime(now);
     }
 
-    private Instant advance(Instant now) {
-        if (now.isAfter(latest)) {
-            latest = now;
+    private Instant advanceTime(Instant now) {
+        if (now.isAfter(latestTime)) {
+            latestTime = now;
         }
         Entry oldest = byExpiry.peek();
-        while (oldest != null && oldest.expiry.isBefore(latest)) {
+        while (oldest != null && oldest.expiry.isBefore(latestTime)) {
             byExpiry.remove();
-            forget(oldest);
+            dropRecord(oldest);
             oldest = byExpiry.peek();
         }
-        return latest;
+        return latestTime;
     }
 
-    /** A key in progress is kept beyond its age: its call still ends here. */
-    private void forget(Entry entry) {
+    /** Drops the record of a key. One that is not settled is kept for another window, since its result is still pending. */
+    private void dropRecord(Entry entry) {
         if (!entry.state.isSettled()) {
-            entry.expiry = latest.plus(window);
+            entry.expiry = latestTime.plus(window);
             byExpiry.add(entry);
             return;
         }
@@ -238,17 +246,17 @@
         unsettled++;
     }
 
-    /** How far a key has come; empty if it is not held. */
+    /** The state of a key; empty if it is not held. */
     public Optional<KeyState> state(String key) {
         return Optional.ofNullable(entries.get(key)).map(entry -> entry.state);
     }
 
-    /** The last word on a key that has one. */
+    /** The result of a key; empty if it is not held or not settled. */
     public Optional<KeyResult> result(String key) {
         return Optional.ofNullable(entries.get(key)).map(entry -> entry.result);
     }
 
-    /** The settled keys with their last words, in no order. */
+    /** The settled keys with their results, in no particular order. */
     public List<SettledKey> settled() {
         List<SettledKey> keys = new ArrayList<>();
         for (Entry entry : entries.values()) {
@@ -259,36 +267,36 @@
         return keys;
     }
 
-    /** Keys held. */
+    /** Number of keys held. */
     public int size() {
         return entries.size();
     }
 
-    /** Bytes of results held. */
+    /** Bytes of answers held. */
     public long bytes() {
         return bytes;
     }
 
-    /** Whether each key held is settled. */
+    /** Whether every key held is settled. */
     public boolean isSettled() {
         return unsettled == 0;
     }
 
-    private KeyResult ofOtherLife(Incarnation bound) {
+    private KeyResult wrongIncarnation(Incarnation bound) {
         return KeyResult.unknown(
-                ProblemKind.BACKEND_LOST, "The key is bound to " + bound + ", and this agent lives as " + self);
+                ProblemKind.BACKEND_LOST, "The key is bound to " + bound + ", but this agent runs as " + self);
     }
 
     private static KeyResult cancelled() {
         return KeyResult.notRun(ProblemKind.BACKEND_LOST, "The call was cancelled before it started", 0);
     }
 
-    private static KeyResult full() {
+    private static KeyResult ledgerFull() {
         return KeyResult.notRun(
                 ProblemKind.OVERLOADED, "The agent has no room to remember another key; mint a new one later", 0);
     }
 
-    /** A key with its last word. */
+    /** A key with its final result. */
     public record SettledKey(String key, KeyResult result) {}
 
     private static final class Entry {
--- a/core/src/main/java/org/cornelramp/core/ledger/SettledRecords.java
+++ b/core/src/main/java/org/cornelramp/core/ledger/SettledRecords.java
@@ -11,10 +11,10 @@
 import org.cornelramp.core.model.Outcome;
 
 /**
- * The log records by which a life of an agent says, at its planned stop, what became of its keys.
+ * The log records in which an agent incarnation publishes the results of its keys at its planned stop.
  *
- * <p>Keys that never ran are left out: once all parts are on the log, a key of that life that is not listed never ran
- * and never will. Stateless, safe for use by any thread.
+ * <p>Keys that never ran are omitted: once all parts are on the log, a key of that incarnation that is not listed never
+ * ran and never will. Stateless, safe for use by any thread.
  */
 public final class SettledRecords {
     private static final String TYPE = "settled";
@@ -25,13 +25,13 @@
     private SettledRecords() {}
 
     /**
-     * Writes the records, at least one.
+     * Builds the records; there is always at least one.
      *
-     * @param life the life that ends
+     * @param incarnation the incarnation that ends
      * @param keys its settled keys
-     * @param maxBytes size of one record that is exceeded only by a single larger answer
+     * @param maxBytes approximate maximum size of a record; only a single larger answer exceeds it
      */
-    public static List<JsonNode> write(Incarnation life, List<Ledger.SettledKey> keys, int maxBytes) {
+    public static List<JsonNode> write(Incarnation incarnation, List<Ledger.SettledKey> keys, int maxBytes) {
         List<ArrayNode> parts = new ArrayList<>();
         parts.add(JsonNodeFactory.instance.arrayNode());
         int bytes = 0;
@@ -49,15 +49,15 @@
         }
         List<JsonNode> records = new ArrayList<>();
         for (int i = 0; i < parts.size(); i++) {
-            records.add(part(life, i, parts.size(), parts.get(i)));
+            records.add(part(incarnation, i, parts.size(), parts.get(i)));
         }
         return records;
     }
 
-    private static JsonNode part(Incarnation life, int number, int count, ArrayNode results) {
+    private static JsonNode part(Incarnation incarnation, int number, int count, ArrayNode results) {
         ObjectNode record = JsonNodeFactory.instance.objectNode();
         record.put("type", TYPE);
-        record.put("incarnation", life.toString());
+        record.put("incarnation", incarnation.toString());
         record.put("part", number);
         record.put("parts", count);
         record.set("results", results);
@@ -75,10 +75,10 @@
         return node;
     }
 
-    /** The number of the part that a record is of this life's; empty if it is another record. */
-    public static OptionalInt partOf(JsonNode record, Incarnation life) {
+    /** The part number of a record; empty if it is not a settled record of the incarnation. */
+    public static OptionalInt partNumber(JsonNode record, Incarnation incarnation) {
         boolean own = record.path("type").asText().equals(TYPE)
-                && record.path("incarnation").asText().equals(life.toString());
+                && record.path("incarnation").asText().equals(incarnation.toString());
         return own ? OptionalInt.of(record.path("part").asInt()) : OptionalInt.empty();
     }
 }
--- a/core/src/main/java/org/cornelramp/core/ledger/package-info.java
+++ b/core/src/main/java/org/cornelramp/core/ledger/package-info.java
@@ -1,2 +1,2 @@
-/** The record of idempotency keys that one agent keeps for its life. */
+/** The record of idempotency keys that each agent incarnation keeps. */
 package org.cornelramp.core.ledger;
--- a/core/src/main/java/org/cornelramp/core/limit/DecayingRate.java
+++ b/core/src/main/java/org/cornelramp/core/limit/DecayingRate.java
@@ -4,37 +4,39 @@
 import java.time.Instant;
 
 /**
- * Events a second, the older ones counting less. Owned by one thread.
+ * Exponentially decaying rate of events per second. Owned by one thread.
  *
- * <p>Invariant: the weight of an event falls to 1/e within the time constant, so the rate forgets a burst in a
- * few of them.
+ * <p>Invariant: the weight of an event falls to 1/e within the time constant, so a burst no longer counts after a few
+ * time constants.
  */
 final class DecayingRate {
-    private final double tau;
+    private final double timeConstantSeconds;
     private double weight;
-    private Instant at;
+    private Instant updatedAt;
 
     DecayingRate(Duration timeConstant, Instant now) {
-        this.tau = Seconds.of(timeConstant);
-        this.at = now;
+        this.timeConstantSeconds = Seconds.of(timeConstant);
+        this.updatedAt = now;
     }
 
     void add(Instant now) {
         weight = weightAt(now) + 1;
-        at = now.isAfter(at) ? now : at;
+        updatedAt = now.isAfter(updatedAt) ? now : updatedAt;
     }
 
     double perSecond(Instant now) {
-        return weightAt(now) / tau;
+        return weightAt(now) / timeConstantSeconds;
     }
 
-    /** Mean rate from the last event until {@code now}. */
+    /** Mean of the decaying rate from the last event until {@code now}. */
     double meanPerSecond(Instant now) {
-        double passed = Seconds.between(at, now);
-        return passed <= 0 ? weight / tau : weight * (1 - Math.exp(-passed / tau)) / passed;
+        double elapsed = Seconds.between(updatedAt, now);
+        return elapsed <= 0
+                ? weight / timeConstantSeconds
+                : weight * (1 - Math.exp(-elapsed / timeConstantSeconds)) / elapsed;
     }
 
     private double weightAt(Instant now) {
-        return weight * Math.exp(-Seconds.between(at, now) / tau);
+        return weight * Math.exp(-Seconds.between(updatedAt, now) / timeConstantSeconds);
     }
 }
--- a/core/src/main/java/org/cornelramp/core/limit/Seconds.java
+++ b/core/src/main/java/org/cornelramp/core/limit/Seconds.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** Durations as seconds. Stateless, safe for use by any thread. */
+/** Conversions between durations and seconds. Stateless, safe for use by any thread. */
 final class Seconds {
     private static final double NANOS = 1e9;
 
@@ -13,7 +13,7 @@
         return d.toNanos() / NANOS;
     }
 
-    /** Seconds from {@code from} to {@code to}; 0 if the clock went back. */
+    /** Seconds from {@code from} to {@code to}; 0 if the clock was set back. */
     static double between(Instant from, Instant to) {
         return Math.max(0, of(Duration.between(from, to)));
     }
--- a/core/src/main/java/org/cornelramp/core/limit/TokenBucket.java
+++ b/core/src/main/java/org/cornelramp/core/limit/TokenBucket.java
@@ -5,27 +5,27 @@
 /**
  * A token bucket whose rate may change at any time and whose balance may fall below zero.
  *
- * <p>Work whose size is known only at its end is let in while the balance is positive and pays in full, so that the
+ * <p>Work whose size is known only at its end is admitted while the balance is positive and charged in full, so that the
  * mean rate holds however large a single request is. Owned by one thread.
  *
  * <p>Invariant: what is taken over any time t is at most {@code burst + rate × t} plus one request.
  */
 final class TokenBucket {
     private double balance;
-    private Instant at;
+    private Instant updatedAt;
 
     TokenBucket(double balance, Instant now) {
         this.balance = balance;
-        this.at = now;
+        this.updatedAt = now;
     }
 
-    /** Adds what has come in since the last call at the given rate, up to the burst. */
+    /** Adds the tokens accrued since the last call at the given rate, up to the burst. */
     void refill(double rate, double burst, Instant now) {
-        balance = Math.min(burst, balance + rate * Seconds.between(at, now));
-        at = now.isAfter(at) ? now : at;
+        balance = Math.min(burst, balance + rate * Seconds.between(updatedAt, now));
+        updatedAt = now.isAfter(updatedAt) ? now : updatedAt;
     }
 
-    /** Seconds until the balance reaches {@code needed} at the given rate; 0 if it has. */
+    /** Seconds until the balance reaches {@code needed} at the given rate; 0 if it already does. */
     double secondsUntil(double needed, double rate) {
         if (balance >= needed) {
             return 0;
@@ -37,7 +37,7 @@
         balance -= amount;
     }
 
-    void giveBack(double amount) {
+    void refund(double amount) {
         balance += amount;
     }
 }
--- a/core/src/main/java/org/cornelramp/core/limit/package-info.java
+++ b/core/src/main/java/org/cornelramp/core/limit/package-info.java
@@ -1,2 +1,2 @@
-/** Limits that hold over all entries together, without a store that they share. */
+/** Limits that hold over all entries together, without a shared store. */
 package org.cornelramp.core.limit;
--- a/core/src/main/java/org/cornelramp/core/member/Member.java
+++ b/core/src/main/java/org/cornelramp/core/member/Member.java
@@ -9,16 +9,16 @@
 import org.cornelramp.core.model.Offer;
 
 /**
- * One agent as this entry last heard of it. Immutable, safe for use by any thread.
+ * The latest known state of one agent. Immutable, safe for use by any thread.
  *
- * @param incarnation its present life
- * @param dataCentre where it is
- * @param address where it takes links
+ * @param incarnation its current incarnation
+ * @param dataCentre where it runs
+ * @param address where it accepts links
  * @param offer what its backend server offers; empty while unknown
- * @param state what it said of itself
- * @param load what it told
- * @param linked whether a live link to it is up
- * @param heardAt when it was last heard
+ * @param state state that it reported
+ * @param load load that it reported
+ * @param linked whether a link to it is up
+ * @param heardAt when its last message arrived
  * @param listedLeaving whether the VM list shows it as leaving
  */
 public record Member(
@@ -32,13 +32,13 @@
         Instant heardAt,
         boolean listedLeaving) {
 
-    /** Whether new work may go there. Leaving counts from whichever sign of it comes first. */
+    /** Whether new work may be sent to it. It counts as leaving once either the agent or the VM list says so. */
     public boolean takesWork() {
         return linked && offer.isPresent() && state.takesWork() && !listedLeaving;
     }
 
-    Member heard(Instant now, AgentState newState, AgentLoad newLoad, Optional<Offer> newOffer) {
-        // An agent that said it is leaving never comes back in the same life: a late frame must not undo it.
+    Member withHeartbeat(Instant now, AgentState newState, AgentLoad newLoad, Optional<Offer> newOffer) {
+        // Leaving is final for an incarnation, so a delayed heartbeat must not undo it.
         AgentState kept = state == AgentState.LEAVING ? state : newState;
         return new Member(incarnation, dataCentre, address, newOffer, kept, newLoad, linked, now, listedLeaving);
     }
--- a/core/src/main/java/org/cornelramp/core/member/Membership.java
+++ b/core/src/main/java/org/cornelramp/core/member/Membership.java
@@ -20,53 +20,58 @@
 /**
  * The agents that this entry knows, from the VM list, from Hello and from heartbeats.
  *
- * <p>The VM list lags, so it only adds addresses and warns of leaving; what an agent says itself goes first. An
- * agent that the list no longer shows stays for as long as its link lives.
+ * <p>The VM list lags, so it only adds addresses and announces that an agent is leaving; what an agent reports itself takes
+ * precedence. An agent that is no longer listed stays for as long as its link is up.
  *
- * <p>Confined to one thread. Invariants: one member for each backend server, of the newest life seen; a life that
- * was followed by another never becomes the present one again.
+ * <p>Confined to one thread. Invariants: there is one member for each backend server, of the newest incarnation seen; an
+ * incarnation that was replaced by another never becomes the current one again.
  */
 public final class Membership {
-    /** How far the clocks of two processes may be apart. */
+    /** Maximum difference between the clocks of two processes. */
     static final Duration CLOCK_SKEW = Duration.ofSeconds(2);
 
     /** Silence after which an agent whose VM is no longer listed counts as ended. */
-    static final Duration LONG_SILENCE = Duration.ofSeconds(3);
+    static final Duration SILENCE_TIMEOUT = Duration.ofSeconds(3);
 
     private final Map<BackendServerId, Member> members = new HashMap<>();
-    private final Map<BackendServerId, Listed> listed = new HashMap<>();
-    private final Set<Incarnation> gone = new HashSet<>();
+    private final Map<BackendServerId, ListedAgent> listedAgents = new HashMap<>();
+    private final Set<Incarnation> ended = new HashSet<>();
 
-    /** What a new list changes in the links to keep. */
+    /**
+     * The effect of a new VM list on links.
+     *
+     * @param keep addresses to which a link should be kept
+     * @param forget addresses to which a link is no longer needed
+     */
     public record LinkChange(Set<String> keep, Set<String> forget) {}
 
-    /** Takes the VM list: the agents it shows. */
-    public LinkChange listed(Collection<Listed> now) {
-        Map<BackendServerId, Listed> before = new HashMap<>(listed);
-        listed.clear();
-        now.forEach(one -> listed.put(one.server(), one));
+    /** Applies a new VM list. */
+    public LinkChange updateList(Collection<ListedAgent> agents) {
+        Map<BackendServerId, ListedAgent> before = new HashMap<>(listedAgents);
+        listedAgents.clear();
+        agents.forEach(agent -> listedAgents.put(agent.server(), agent));
         Set<String> keep = new HashSet<>();
-        now.forEach(one -> keep.add(one.address()));
+        agents.forEach(agent -> keep.add(agent.address()));
         Set<String> forget = new HashSet<>();
         before.values().stream()
-                .filter(one -> !keep.contains(one.address()) && !isLinked(one))
-                .forEach(one -> forget.add(one.address()));
-        // One that is still linked stays listed until its link is lost: the list may be wrong, the link is not.
+                .filter(agent -> !keep.contains(agent.address()) && !isLinked(agent))
+                .forEach(agent -> forget.add(agent.address()));
+        // An agent with a link stays listed until the link is lost: the list may be wrong, the link is not.
         before.values().stream()
-                .filter(one -> !listed.containsKey(one.server()) && isLinked(one))
-                .forEach(one -> listed.put(one.server(), one));
+                .filter(agent -> !listedAgents.containsKey(agent.server()) && isLinked(agent))
+                .forEach(agent -> listedAgents.put(agent.server(), agent));
         members.replaceAll((server, member) -> member.withListedLeaving(isListedLeaving(server)));
         return new LinkChange(keep, forget);
     }
 
     /**
-     * A link is up and its agent has said who it is.
+     * Records that a link is up and its agent has identified itself.
      *
-     * @return the life that ended, if the agent has started anew
+     * @return the previous incarnation, if the agent has restarted
      */
-    public Optional<Incarnation> opened(
+    public Optional<Incarnation> linkOpened(
             Incarnation incarnation, DataCentre dataCentre, String address, Optional<Offer> offer, Instant now) {
-        if (gone.contains(incarnation)) {
+        if (ended.contains(incarnation)) {
             return Optional.empty();
         }
         Member old = members.get(incarnation.server());
@@ -80,39 +85,40 @@
         if (old == null || same) {
             return Optional.empty();
         }
-        gone.add(old.incarnation());
+        ended.add(old.incarnation());
         return Optional.of(old.incarnation());
     }
 
-    /** A heartbeat has come. */
-    public void heard(Incarnation incarnation, AgentState state, AgentLoad load, Optional<Offer> offer, Instant now) {
+    /** Records a heartbeat. */
+    public void recordHeartbeat(Incarnation incarnation, AgentState state, AgentLoad load, Optional<Offer> offer, Instant now) {
         members.computeIfPresent(
                 incarnation.server(),
-                (server, member) ->
-                        member.incarnation().equals(incarnation) ? member.heard(now, state, load, offer) : member);
+                (server, member) -> member.incarnation().equals(incarnation)
+                        ? member.withHeartbeat(now, state, load, offer)
+                        : member);
     }
 
-    /** The last live link to an agent is gone. */
-    public void lost(Incarnation incarnation) {
+    /** Records that the last link to an agent is lost. */
+    public void linkLost(Incarnation incarnation) {
         members.computeIfPresent(
                 incarnation.server(),
                 (server, member) -> member.incarnation().equals(incarnation) ? member.withLinked(false) : member);
     }
 
     /**
-     * Whether the life is known to have ended: its agent has been heard in another life later than this one was
-     * seen.
+     * Whether the incarnation is known to have ended, because a message of another incarnation of its agent arrived after
+     * this one was last known to run.
      *
-     * <p>Another life alone does not tell. This entry may still hold a silent link to the earlier of two, and a key
-     * of the later one would be given up as unknown though its agent lives.
+     * <p>A different current incarnation alone is not enough. This entry may still hold a silent link to the older of the
+     * two, and a key of the newer one would be reported as unknown although its agent runs.
      *
-     * <p>One whose VM the list shows no longer, and which is silent, counts as ended as well: nobody will come back
-     * with its memory. If that is wrong, a caller hears unknown too early, which is never a lie.
+     * <p>An incarnation that is silent and whose VM is no longer listed also counts as ended, since its key records will not
+     * return. If that is wrong, a caller gets the outcome unknown too early, which is never a false statement.
      *
-     * @param seenAt when the life was last known to run, by the clock of any process
+     * @param seenAt when the incarnation was last known to run, by the clock of any process
      */
-    public boolean isGone(Incarnation incarnation, Instant seenAt, Instant now) {
-        if (gone.contains(incarnation)) {
+    public boolean hasEnded(Incarnation incarnation, Instant seenAt, Instant now) {
+        if (ended.contains(incarnation)) {
             return true;
         }
         Member present = members.get(incarnation.server());
@@ -121,30 +127,30 @@
         }
         if (present.incarnation().equals(incarnation)) {
             boolean silent =
-                    !present.linked() && present.heardAt().plus(LONG_SILENCE).isBefore(now);
-            return silent && !listed.containsKey(incarnation.server());
+                    !present.linked() && present.heardAt().plus(SILENCE_TIMEOUT).isBefore(now);
+            return silent && !listedAgents.containsKey(incarnation.server());
         }
         return present.heardAt().isAfter(seenAt.plus(CLOCK_SKEW));
     }
 
-    /** The member of a life, if it is the present one. */
+    /** The member of an incarnation; empty if it is not the current one. */
     public Optional<Member> member(Incarnation incarnation) {
         return Optional.ofNullable(members.get(incarnation.server()))
                 .filter(member -> member.incarnation().equals(incarnation));
     }
 
-    /** All members. */
+    /** All members, including those without a link. */
     public List<Member> members() {
         return new ArrayList<>(members.values());
     }
 
     private boolean isListedLeaving(BackendServerId server) {
-        Listed one = listed.get(server);
-        return one != null && one.leaving();
+        ListedAgent agent = listedAgents.get(server);
+        return agent != null && agent.leaving();
     }
 
-    private boolean isLinked(Listed one) {
-        Member member = members.get(one.server());
+    private boolean isLinked(ListedAgent agent) {
+        Member member = members.get(agent.server());
         return member != null && member.linked();
     }
 }
--- a/core/src/main/java/org/cornelramp/core/member/package-info.java
+++ b/core/src/main/java/org/cornelramp/core/member/package-info.java
@@ -1,2 +1,2 @@
-/** Which agents are there, which take new work, and which are gone. */
+/** Membership of agents: which exist, which accept new work, and which have ended. */
 package org.cornelramp.core.member;
--- a/core/src/test/java/org/cornelramp/core/admission/FairQueueProperties.java
+++ b/core/src/test/java/org/cornelramp/core/admission/FairQueueProperties.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.cornelramp.core.model.OrganisationId;
 
-/** The queue loses nothing, holds nothing it gave up, and shares an overloaded server by weight. */
+/** No request is lost or kept after it was dropped, and an overloaded server is shared by weight. */
 class FairQueueProperties {
     private static final int[] WEIGHTS = {1, 2, 5};
 
@@ -31,10 +31,10 @@
                 assertTrue(held.remove(r.waiting().id()));
                 assertTrue(r.waiting().latestStart().isBefore(late));
             });
-            Waiting<Integer> w = request(id, random, now);
-            queue.offer(w, now).peek(given -> {
+            QueuedRequest<Integer> w = request(id, random, now);
+            queue.offer(w, now).peek(evicted -> {
                 held.add(w.id());
-                given.forEach(r -> assertTrue(held.remove(r.waiting().id())));
+                evicted.forEach(r -> assertTrue(held.remove(r.waiting().id())));
             });
             if (random.nextInt(3) == 0) {
                 queue.poll(now).ifPresent(p -> assertTrue(held.remove(p.id())));
@@ -64,7 +64,7 @@
         }
         double total = 0;
         for (int i = 0; i < 1_200; i++) {
-            Waiting<Integer> w = queue.poll(now).orElseThrow();
+            QueuedRequest<Integer> w = queue.poll(now).orElseThrow();
             served[w.work()] += w.cost();
             total += w.cost();
         }
@@ -75,14 +75,14 @@
     }
 
     @Property(seed = "9103", tries = 10)
-    void threeTimesTheCapacityKeepsGoodputAndShares(
+    void anOverloadOfThreeTimesTheCapacityKeepsGoodputAndShares(
             @ForAll long seed, @ForAll @IntRange(min = 50, max = 400) int capacity) {
         QueuedServer server = new QueuedServer(capacity, WEIGHTS, new Random(seed));
         server.run(20, new double[] {QueuedServer.CAPACITY, QueuedServer.CAPACITY, QueuedServer.CAPACITY});
-        double ratio = server.good() / (QueuedServer.CAPACITY * 20);
+        double ratio = server.totalInTime() / (QueuedServer.CAPACITY * 20);
         assertTrue(ratio > 0.95, "goodput " + ratio + " of the capacity, late " + server.late);
         for (int o = 0; o < WEIGHTS.length; o++) {
-            double part = server.inTime[o] / (double) server.good();
+            double part = server.inTime[o] / (double) server.totalInTime();
             assertTrue(Math.abs(part - WEIGHTS[o] / 8.0) < 0.05, "organisation " + o + " got " + part);
         }
     }
@@ -96,19 +96,19 @@
             queue.offer(request(id, 0, 1, random.nextInt(10), now.plusSeconds(9)), now);
         }
         int before = 0;
-        for (Optional<Waiting<Integer>> w = queue.poll(now); w.isPresent(); w = queue.poll(now)) {
+        for (Optional<QueuedRequest<Integer>> w = queue.poll(now); w.isPresent(); w = queue.poll(now)) {
             assertTrue(w.get().priority() >= before);
             before = w.get().priority();
         }
     }
 
-    private static Waiting<Integer> request(long id, Random random, Instant now) {
+    private static QueuedRequest<Integer> request(long id, Random random, Instant now) {
         int o = random.nextInt(WEIGHTS.length);
         return request(id, o, 1 + random.nextInt(5), random.nextInt(10), now.plusMillis(50 + random.nextInt(2_000)));
     }
 
-    private static Waiting<Integer> request(long id, int o, double cost, int priority, Instant deadline) {
+    private static QueuedRequest<Integer> request(long id, int o, double cost, int priority, Instant deadline) {
         OrganisationId organisation = new OrganisationId("o" + o);
-        return new Waiting<>(id, organisation, WEIGHTS[o], priority, cost, deadline, Duration.ofMillis(20), o);
+        return new QueuedRequest<>(id, organisation, WEIGHTS[o], priority, cost, deadline, Duration.ofMillis(20), o);
     }
 }
--- a/core/src/test/java/org/cornelramp/core/admission/FairQueueTest.java
+++ b/core/src/test/java/org/cornelramp/core/admission/FairQueueTest.java
@@ -12,7 +12,7 @@
 import org.cornelramp.core.model.ProblemKind;
 import org.testng.annotations.Test;
 
-/** Refusals come at once, say what they are, and do not let one organisation keep the others out. */
+/** Requests are refused at once with the right problem, and one organisation cannot keep the others out. */
 public class FairQueueTest {
     private static final Instant NOW = Instant.ofEpochSecond(1_000);
 
@@ -23,17 +23,17 @@
             assertTrue(queue.offer(request(id, "large", Duration.ofSeconds(9)), NOW)
                     .isRight());
         }
-        List<Refusal<String>> given =
+        List<Refusal<String>> evicted =
                 queue.offer(request(10, "small", Duration.ofSeconds(9)), NOW).get();
-        assertEquals(given.size(), 1);
-        assertEquals(given.get(0).waiting().organisation().value(), "large");
-        assertEquals(given.get(0).problem().kind(), ProblemKind.OVERLOADED);
-        assertFalse(given.get(0).problem().retryAfter().isZero());
+        assertEquals(evicted.size(), 1);
+        assertEquals(evicted.get(0).waiting().organisation().value(), "large");
+        assertEquals(evicted.get(0).problem().kind(), ProblemKind.OVERLOADED);
+        assertFalse(evicted.get(0).problem().retryAfter().isZero());
         assertTrue(queue.offer(request(11, "large", Duration.ofSeconds(9)), NOW).isLeft());
     }
 
     @Test
-    public void whatCannotBeDoneInTimeIsRefusedBeforeItWaits() {
+    public void aRequestThatCannotMeetItsDeadlineIsRefusedAtOnce() {
         FairQueue<String> queue = new FairQueue<>(10, new Random(1));
         assertEquals(
                 queue.offer(request(1, "o", Duration.ofMillis(10)), NOW)
@@ -48,7 +48,7 @@
     }
 
     @Test
-    public void aKnownDrainRateRefusesWhatWouldWaitTooLong() {
+    public void aRequestThatWouldWaitTooLongIsRefused() {
         FairQueue<String> queue = new FairQueue<>(1_000, new Random(1));
         for (int id = 0; id < 200; id++) {
             queue.offer(request(id, "o", Duration.ofSeconds(60)), NOW);
@@ -70,7 +70,7 @@
     }
 
     @Test
-    public void anIdleOrganisationSavesUpNothing() {
+    public void anIdleOrganisationAccumulatesNoCredit() {
         FairQueue<String> queue = new FairQueue<>(1_000, new Random(1));
         for (int id = 0; id < 100; id++) {
             queue.offer(request(id, "busy", Duration.ofSeconds(60)), NOW);
@@ -88,12 +88,12 @@
         assertEquals(late, 10);
     }
 
-    private static Waiting<String> request(long id, String organisation, Duration budget) {
+    private static QueuedRequest<String> request(long id, String organisation, Duration budget) {
         return request(id, organisation, 0, budget);
     }
 
-    private static Waiting<String> request(long id, String organisation, int priority, Duration budget) {
+    private static QueuedRequest<String> request(long id, String organisation, int priority, Duration budget) {
         OrganisationId o = new OrganisationId(organisation);
-        return new Waiting<>(id, o, 1, priority, 1, NOW.plus(budget), Duration.ofMillis(20), "work");
+        return new QueuedRequest<>(id, o, 1, priority, 1, NOW.plus(budget), Duration.ofMillis(20), "work");
     }
 }
--- a/core/src/test/java/org/cornelramp/core/admission/QueuedServer.java
+++ b/core/src/test/java/org/cornelramp/core/admission/QueuedServer.java
@@ -7,13 +7,13 @@
 import java.util.Random;
 import org.cornelramp.core.model.OrganisationId;
 
-/** A backend server with a few slots behind a queue, and organisations that send at steady mean rates. */
+/** Simulates a backend server with a few slots behind a queue, and organisations that send at constant mean rates. */
 final class QueuedServer {
     private static final int SLOTS = 4;
     private static final double SERVICE_SECONDS = 0.02;
     private static final Duration BUDGET = Duration.ofSeconds(1);
 
-    /** Requests a second that the slots can do. */
+    /** Requests per second that the slots can serve. */
     static final double CAPACITY = SLOTS / SERVICE_SECONDS;
 
     private final FairQueue<Integer> queue;
@@ -34,7 +34,7 @@
         this.inTime = new int[weights.length];
     }
 
-    /** Runs for {@code seconds}; {@code rates} are requests a second of each organisation. */
+    /** Runs for {@code seconds}; {@code rates} are the requests per second of each organisation. */
     void run(int seconds, double[] rates) {
         for (int tick = 0; tick < seconds * 1_000; tick++) {
             now = now.plusMillis(1);
@@ -49,12 +49,12 @@
         }
     }
 
-    int good() {
+    int totalInTime() {
         return Arrays.stream(inTime).sum();
     }
 
     private void send(int organisation) {
-        Waiting<Integer> w = new Waiting<>(
+        QueuedRequest<Integer> w = new QueuedRequest<>(
                 nextId++,
                 new OrganisationId("o" + organisation),
                 weights[organisation],
@@ -63,12 +63,12 @@
                 now.plus(BUDGET),
                 Duration.ofMillis(20),
                 organisation);
-        queue.offer(w, now).peek(given -> refused += given.size()).peekLeft(p -> refused++);
+        queue.offer(w, now).peek(evicted -> refused += evicted.size()).peekLeft(p -> refused++);
     }
 
     private void start() {
         while (running.size() < SLOTS) {
-            Waiting<Integer> w = queue.poll(now).orElse(null);
+            QueuedRequest<Integer> w = queue.poll(now).orElse(null);
             if (w == null) {
                 return;
             }
@@ -87,5 +87,5 @@
         }
     }
 
-    private record Running(Waiting<Integer> waiting, Instant end) {}
+    private record Running(QueuedRequest<Integer> waiting, Instant end) {}
 }
--- a/core/src/test/java/org/cornelramp/core/burn/BurnMeterProperties.java
+++ b/core/src/test/java/org/cornelramp/core/burn/BurnMeterProperties.java
@@ -10,18 +10,18 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** A window holds every request of its length, and none that is a bucket older. */
+/** The counts of a window include every request within its length, and none that is more than a bucket older. */
 public class BurnMeterProperties {
     private static final long START = 1_000_000_000L;
 
     @Property(seed = "41", tries = 300)
-    void countsLieBetweenTheWindowAndABucketMore(
-            @ForAll @Size(max = 80) List<@IntRange(min = 0, max = 2_000_000) Integer> gaps) {
+    void countsCoverTheWindowAndAtMostOneMoreBucket(
+            @ForAll @Size(max = 80) List<@IntRange(min = 0, max = 2_000_000) Integer> intervals) {
         BurnMeter meter = new BurnMeter();
-        long[] times = new long[gaps.size()];
+        long[] times = new long[intervals.size()];
         long now = START;
         for (int i = 0; i < times.length; i++) {
-            now += gaps.get(i);
+            now += intervals.get(i);
             times[i] = now;
             meter.add(i % 3 == 0, Instant.ofEpochMilli(now));
         }
@@ -43,7 +43,7 @@
     }
 
     @Property(seed = "42", tries = 100)
-    void aClockSetBackLosesNothing(@ForAll @IntRange(min = 0, max = 200_000) int back) {
+    void aClockSetBackLosesNoCounts(@ForAll @IntRange(min = 0, max = 200_000) int back) {
         BurnMeter meter = new BurnMeter();
         meter.add(true, Instant.ofEpochMilli(START));
         meter.add(true, Instant.ofEpochMilli(START - back));
--- a/core/src/test/java/org/cornelramp/core/burn/BurnReportTest.java
+++ b/core/src/test/java/org/cornelramp/core/burn/BurnReportTest.java
@@ -8,7 +8,7 @@
 import org.cornelramp.core.model.ServiceName;
 import org.testng.annotations.Test;
 
-/** The report adds up the entries and puts the most urgent row first. */
+/** The report adds up the counts of the entries and lists the most urgent row first. */
 public class BurnReportTest {
 
     private static BurnRow row(String organisation, BurnCounts fast, BurnCounts slow) {
@@ -30,8 +30,9 @@
     @Test
     public void addsUpTheEntries() {
         BurnCounts bad = new BurnCounts(100, 15);
-        BurnRow quiet = row("a", new BurnCounts(100, 0), new BurnCounts(100, 0));
-        BurnReport report = BurnReport.merge(List.of(List.of(quiet, row("b", bad, bad)), List.of(row("b", bad, bad))));
+        BurnRow healthy = row("a", new BurnCounts(100, 0), new BurnCounts(100, 0));
+        BurnReport report =
+                BurnReport.merge(List.of(List.of(healthy, row("b", bad, bad)), List.of(row("b", bad, bad))));
         assertEquals(report.rows().get(0).organisation().value(), "b");
         assertEquals(report.rows().get(0).counts(BurnWindow.HOUR), new BurnCounts(200, 30));
         assertEquals(report.rows().get(0).alert(), BurnAlert.PAGE_FAST);
@@ -39,7 +40,7 @@
     }
 
     @Test
-    public void aBurstThatEndedCallsNobody() {
+    public void aBurstThatHasEndedRaisesNoAlert() {
         BurnCounts none = new BurnCounts(1_000, 0);
         BurnRow row = new BurnRow(
                 new OrganisationId("a"),
@@ -50,7 +51,7 @@
     }
 
     @Test
-    public void noRequestsBurnNothing() {
+    public void noRequestsRaiseNoAlert() {
         assertEquals(row("a", BurnCounts.NONE, BurnCounts.NONE).alert(), BurnAlert.NONE);
     }
 }
--- a/core/src/test/java/org/cornelramp/core/call/PlainCallProperties.java
+++ b/core/src/test/java/org/cornelramp/core/call/PlainCallProperties.java
@@ -15,29 +15,29 @@
 import org.cornelramp.core.model.ProblemKind;
 
 /**
- * Whatever links break, agents end and answers are lost, a keyed call is handed over at most once, gets one final
- * answer by its deadline, and is called not-run only when it did not run.
+ * While links break, agents end and answers are lost, a keyed call is sent at most once, gets one final answer by its
+ * deadline, and is reported as not run only if it did not run.
  */
 class PlainCallProperties {
     private static final Instant START = Instant.ofEpochMilli(1_000_000);
     private static final Incarnation BOUND = new Incarnation(new BackendServerId("s"), 1);
 
     @Property(seed = "81", tries = 5_000)
-    boolean aKeyedCallEndsOnceAndTellsTheTruth(@ForAll long seed) {
-        World world = new World(new Random(seed), Optional.of(BOUND));
-        world.run();
-        return world.isRight() && world.sends <= 1;
+    boolean aKeyedCallEndsOnceWithATrueOutcome(@ForAll long seed) {
+        Simulation simulation = new Simulation(new Random(seed), Optional.of(BOUND));
+        simulation.run();
+        return simulation.isCorrect() && simulation.sends <= 1;
     }
 
     @Property(seed = "82", tries = 5_000)
-    boolean anIdempotentCallEndsOnceAndAvoidsWhatFailed(@ForAll long seed) {
-        World world = new World(new Random(seed), Optional.empty());
-        world.run();
-        return world.isRight() && world.sends <= 3 && !world.sentToAFailedOne;
+    boolean anIdempotentCallEndsOnceAndAvoidsFailedAgents(@ForAll long seed) {
+        Simulation simulation = new Simulation(new Random(seed), Optional.empty());
+        simulation.run();
+        return simulation.isCorrect() && simulation.sends <= 3 && !simulation.sentToFailedAgent;
     }
 
-    /** One agent life, its record, and a link that breaks at random. */
-    private static final class World {
+    /** Simulates one agent incarnation, its key record, and a link that breaks at random. */
+    private static final class Simulation {
         private final Random random;
         private final Optional<Incarnation> bound;
         private final PlainCall call;
@@ -47,12 +47,12 @@
         private boolean alive = true;
         private boolean ran;
         private boolean cancelled;
-        private boolean sentToAFailedOne;
+        private boolean sentToFailedAgent;
         private int sends;
         private int ends;
         private Optional<Problem> problem = Optional.empty();
 
-        World(Random random, Optional<Incarnation> bound) {
+        Simulation(Random random, Optional<Incarnation> bound) {
             this.random = random;
             this.bound = bound;
             this.linked = random.nextBoolean();
@@ -75,28 +75,28 @@
             apply(call.tick(now.plusMillis(10)));
         }
 
-        boolean isRight() {
-            boolean lied = bound.isPresent()
+        boolean isCorrect() {
+            boolean falseNotRun = bound.isPresent()
                     && problem.filter(p -> p.outcome() == Outcome.NOT_RUN).isPresent()
                     && (ran || !cancelled);
-            return ends == 1 && !lied && !now.isAfter(START.plusMillis(510));
+            return ends == 1 && !falseNotRun && !now.isAfter(START.plusMillis(510));
         }
 
         private void event() {
-            int what = random.nextInt(12);
-            if (what == 0 && linked) {
+            int kind = random.nextInt(12);
+            if (kind == 0 && linked) {
                 linked = false;
                 messages.clear();
                 call.target().ifPresent(agent -> apply(call.linkLost(agent, now)));
-            } else if (what <= 2 && !linked && alive) {
+            } else if (kind <= 2 && !linked && alive) {
                 linked = true;
                 call.target().ifPresent(agent -> apply(call.linkOpened(agent)));
-            } else if (what == 3 && random.nextInt(6) == 0 && bound.isPresent()) {
+            } else if (kind == 3 && random.nextInt(6) == 0 && bound.isPresent()) {
                 alive = false;
                 linked = false;
                 messages.clear();
                 apply(call.incarnationGone(BOUND, now));
-            } else if (what > 4 && !messages.isEmpty()) {
+            } else if (kind > 4 && !messages.isEmpty()) {
                 messages.poll().run();
             }
         }
@@ -130,7 +130,7 @@
         }
 
         private void send(Incarnation agent) {
-            sentToAFailedOne |= call.failed().contains(agent);
+            sentToFailedAgent |= call.failed().contains(agent);
             if (!linked) {
                 apply(call.notSent(now));
                 return;
@@ -138,27 +138,27 @@
             sends++;
             messages.add(() -> {
                 if (cancelled) {
-                    apply(call.said(AgentWord.of(Problem.notRun(ProblemKind.BACKEND_FAILED, "cancelled")), now));
+                    apply(call.replyReceived(AgentReply.of(Problem.notRun(ProblemKind.BACKEND_FAILED, "cancelled")), now));
                     return;
                 }
                 ran = true;
                 if (random.nextInt(3) > 0) {
-                    apply(call.said(answer(), now));
+                    apply(call.replyReceived(answer(), now));
                 }
             });
         }
 
         private void settle() {
             if (ran) {
-                apply(call.said(answer(), now));
+                apply(call.replyReceived(answer(), now));
             } else {
                 cancelled = true;
-                apply(call.said(AgentWord.of(Problem.notRun(ProblemKind.BACKEND_FAILED, "cancelled")), now));
+                apply(call.replyReceived(AgentReply.of(Problem.notRun(ProblemKind.BACKEND_FAILED, "cancelled")), now));
             }
         }
 
-        private static AgentWord answer() {
-            return AgentWord.of(new CallResult(200, "", new byte[0]));
+        private static AgentReply answer() {
+            return AgentReply.of(new CallResult(200, "", new byte[0]));
         }
     }
 }
--- a/core/src/test/java/org/cornelramp/core/fence/TermGuardProperties.java
+++ b/core/src/test/java/org/cornelramp/core/fence/TermGuardProperties.java
@@ -9,8 +9,8 @@
 import net.jqwik.api.RandomDistribution;
 
 /**
- * Orders of many holders, old and new, reach an agent in any order, between heartbeats and restarts of the agent.
- * The terms that pass never fall, over restarts neither.
+ * Orders of past and current leaders reach an agent in any order, between heartbeats and restarts of the agent. The terms
+ * of the orders that pass never decrease, not even over a restart.
  */
 class TermGuardProperties {
 
@@ -33,7 +33,7 @@
             long term = choice / 4;
             switch (choice % 4) {
                 case 0 -> guard = new TermGuard();
-                case 1 -> guard.heard(Math.min(term, onLog));
+                case 1 -> guard.observe(Math.min(term, onLog));
                 case 2 -> guard.learned(onLog);
                 default -> {
                     onLog = Math.max(onLog, term);
--- a/core/src/test/java/org/cornelramp/core/fleet/RestoredStoreProperties.java
+++ b/core/src/test/java/org/cornelramp/core/fleet/RestoredStoreProperties.java
@@ -13,22 +13,22 @@
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.path.EngineFixtures;
 
-/** The store is away and comes back from a copy some seconds old, while servers come, leave, end and start again. */
+/** The store fails and is restored from a copy some seconds old, while servers start, leave, end and restart. */
 class RestoredStoreProperties {
     private static final int SERVERS = 12;
     private static final int CHANGES = 60;
     private static final long CONFIRM_MILLIS = 6_100;
-    private static final long AWAY_MILLIS = 1_500;
+    private static final long OUTAGE_MILLIS = 1_500;
 
-    /** The topic as the store holds it, and what is true of the servers. */
-    private static final class World {
+    /** The log as the store holds it, and the actual state of the servers. */
+    private static final class Simulation {
         private final Random random;
         private final List<ServerRegistry.Registration> log = new ArrayList<>();
-        private final Map<BackendServerId, BackendServer> alive = new HashMap<>();
+        private final Map<BackendServerId, BackendServer> running = new HashMap<>();
         private final Set<BackendServerId> left = new HashSet<>();
-        private long births = 1_000;
+        private long lastStartMillis = 1_000;
 
-        World(long seed) {
+        Simulation(long seed) {
             random = new Random(seed);
         }
 
@@ -38,28 +38,28 @@
 
         void change() {
             BackendServerId name = new BackendServerId("i-" + random.nextInt(SERVERS));
-            BackendServer now = alive.get(name);
+            BackendServer now = running.get(name);
             if (now == null || random.nextInt(6) == 0) {
-                born(name, now);
+                startServer(name, now);
             } else if (now.state().takesWork() && random.nextInt(3) > 0) {
-                alive.put(name, now.withState(ServerState.DRAINING));
+                running.put(name, now.withState(ServerState.DRAINING));
                 left.add(now.id());
-                write(name, alive.get(name));
+                write(name, running.get(name));
             } else {
-                alive.remove(name);
+                running.remove(name);
                 left.add(now.id());
                 write(name, null);
             }
         }
 
-        private void born(BackendServerId name, BackendServer before) {
+        private void startServer(BackendServerId name, BackendServer before) {
             if (before != null) {
                 left.add(before.id());
             }
             BackendServer any = EngineFixtures.engine(name.value(), "dc1", "t4", 0, 5);
-            births += 1 + random.nextInt(50);
+            lastStartMillis += 1 + random.nextInt(50);
             BackendServer next = new BackendServer(
-                    name.forIncarnation(births),
+                    name.forIncarnation(lastStartMillis),
                     name,
                     any.service(),
                     any.address(),
@@ -68,7 +68,7 @@
                     any.slots(),
                     any.card(),
                     any.layers());
-            alive.put(name, next);
+            running.put(name, next);
             write(name, next);
         }
 
@@ -81,13 +81,13 @@
                     .toList();
         }
 
-        /** Servers that find something else than their state in the store write it again. */
-        void rewrite() {
+        /** Writes again the state of each server that differs from its record in the store. */
+        void registerAgain() {
             Map<BackendServerId, BackendServer> stored = new HashMap<>();
             newest().forEach(record -> stored.put(record.name(), record.server().orElseThrow()));
             for (int i = 0; i < SERVERS; i++) {
                 BackendServerId name = new BackendServerId("i-" + i);
-                BackendServer now = alive.get(name);
+                BackendServer now = running.get(name);
                 if (now == null ? stored.containsKey(name) : !now.equals(stored.get(name))) {
                     write(name, now);
                 }
@@ -96,55 +96,57 @@
     }
 
     /**
-     * Guards against new work for servers that have left or ended, and against living ones taken for gone, while the copy
-     * says otherwise. When all have written again, what is believed is what is true.
+     * Guards against an outdated copy that makes the registry offer servers which have left or ended, or drop running ones.
+     * Once all servers have written again, the registry matches their actual state.
      */
     @Property(tries = 500, seed = "41")
-    void anOlderCopyUndoesNothingThatWasSeen(@ForAll long seed) {
-        World world = new World(seed);
+    void anOlderCopyDoesNotUndoObservedChanges(@ForAll long seed) {
+        Simulation simulation = new Simulation(seed);
         ServerRegistry registry = new ServerRegistry();
-        registry.storeAnswers(true, 0);
+        registry.setStoreAvailable(true, 0);
         long now = 100_000;
         for (int i = 0; i < CHANGES; i++) {
-            world.change();
-            registry.apply(world.log.get(world.log.size() - 1), now++);
+            simulation.change();
+            registry.apply(simulation.log.get(simulation.log.size() - 1), now++);
         }
-        registry.storeAnswers(false, now);
-        Set<BackendServerId> seenToLeave = Set.copyOf(world.left);
-        int kept = world.log.size() - world.random.nextInt(CHANGES / 2);
-        world.log.subList(kept, world.log.size()).clear();
-        boolean rewrittenSome = world.random.nextBoolean();
-        if (rewrittenSome) {
-            world.change();
+        registry.setStoreAvailable(false, now);
+        Set<BackendServerId> seenToLeave = Set.copyOf(simulation.left);
+        int kept = simulation.log.size() - simulation.random.nextInt(CHANGES / 2);
+        simulation.log.subList(kept, simulation.log.size()).clear();
+        boolean changedAfterRestore = simulation.random.nextBoolean();
+        if (changedAfterRestore) {
+            simulation.change();
         }
-        now += AWAY_MILLIS;
-        registry.restore(world.newest(), world.log.size(), CONFIRM_MILLIS, now);
-        registry.storeAnswers(true, now);
-        checkNothingUndone(seenToLeave, registry);
-        for (BackendServer server : world.alive.values()) {
-            check(!server.state().takesWork() || registry.server(server.id()).isPresent(), "gone: " + server.id());
+        now += OUTAGE_MILLIS;
+        registry.restore(simulation.newest(), simulation.log.size(), CONFIRM_MILLIS, now);
+        registry.setStoreAvailable(true, now);
+        checkNoLeftServerTakesWork(seenToLeave, registry);
+        for (BackendServer server : simulation.running.values()) {
+            check(!server.state().takesWork() || registry.server(server.id()).isPresent(), "missing: " + server.id());
         }
-        int from = world.log.size();
-        world.rewrite();
-        for (ServerRegistry.Registration record : world.log.subList(from, world.log.size())) {
+        int from = simulation.log.size();
+        simulation.registerAgain();
+        for (ServerRegistry.Registration record : simulation.log.subList(from, simulation.log.size())) {
             registry.apply(record, now + 500);
-            checkNothingUndone(seenToLeave, registry);
+            checkNoLeftServerTakesWork(seenToLeave, registry);
         }
-        registry.expire(now + CONFIRM_MILLIS + ServerRegistry.RETURN_MILLIS);
+        registry.expire(now + CONFIRM_MILLIS + ServerRegistry.REGISTRATION_GRACE_MILLIS);
         check(
-                Set.copyOf(registry.servers()).equals(Set.copyOf(world.alive.values())),
-                registry.servers() + " is not " + world.alive.values());
+                Set.copyOf(registry.servers()).equals(Set.copyOf(simulation.running.values())),
+                registry.servers() + " is not " + simulation.running.values());
     }
 
-    private static void checkNothingUndone(Set<BackendServerId> seenToLeave, ServerRegistry registry) {
+    private static void checkNoLeftServerTakesWork(Set<BackendServerId> seenToLeave, ServerRegistry registry) {
         for (BackendServer server : registry.servers()) {
-            check(!server.state().takesWork() || !seenToLeave.contains(server.id()), "back: " + server.id());
+            check(
+                    !server.state().takesWork() || !seenToLeave.contains(server.id()),
+                    "takes work after its leave: " + server.id());
         }
     }
 
-    private static void check(boolean holds, String what) {
-        if (!holds) {
-            throw new AssertionError(what);
+    private static void check(boolean condition, String message) {
+        if (!condition) {
+            throw new AssertionError(message);
         }
     }
 }
--- a/core/src/test/java/org/cornelramp/core/fleet/ServerLivesProperties.java
+++ b/core/src/test/java/org/cornelramp/core/fleet/ServerIncarnationsProperties.java
@@ -7,49 +7,50 @@
 import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.cornelramp.core.fleet.Suspicions.Evidence;
+import org.cornelramp.core.fleet.SuspectedServers.Evidence;
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.path.EngineFixtures;
 import org.cornelramp.core.path.EngineLoads;
 
-/** Servers that start again under the name that they had, with news that come late, twice and in any order. */
-class ServerLivesProperties {
+/** Servers restart under the same name while records and reports arrive late, twice and in any order. */
+class ServerIncarnationsProperties {
     private static final BackendServerId NAME = new BackendServerId("i-1");
 
-    /** The clock of the server may go back between two lives, so births need not grow. */
-    private static final long[] BORN = {5_000, 9_000, 1_000};
+    /** Start times of the incarnations; they need not grow, since a server's clock may be set back between two of them. */
+    private static final long[] START_TIMES = {5_000, 9_000, 1_000};
 
-    private static BackendServer life(long born, boolean leaves) {
+    private static BackendServer incarnation(long startMillis, boolean leaving) {
         BackendServer any = EngineFixtures.engine("i-1", "dc1", "t4", 0, 5);
         return new BackendServer(
-                NAME.forIncarnation(born),
+                NAME.forIncarnation(startMillis),
                 NAME,
                 any.service(),
                 any.address(),
                 any.dataCentre(),
-                leaves ? ServerState.DRAINING : ServerState.READY,
+                leaving ? ServerState.DRAINING : ServerState.READY,
                 any.slots(),
                 any.card(),
                 any.layers());
     }
 
     /**
-     * A server lives three times. Its records arrive in any order and more than once. What is believed in the end is
-     * what the newest record says, whatever came before it; and nothing of an ended life is left.
+     * The records of three incarnations of a server arrive in any order and more than once. In the end the registry shows
+     * what the newest record says, and nothing of an ended incarnation remains.
      */
     @Property(tries = 300, seed = "31")
     void theNewestRecordAloneDecides(@ForAll long seed) {
         Random random = new Random(seed);
         List<ServerRegistry.Registration> written = new ArrayList<>();
-        for (long born : BORN) {
+        for (long startMillis : START_TIMES) {
             for (int i = 0; i <= random.nextInt(3); i++) {
-                Optional<BackendServer> server =
-                        random.nextInt(5) == 0 ? Optional.empty() : Optional.of(life(born, random.nextBoolean()));
+                Optional<BackendServer> server = random.nextInt(5) == 0
+                        ? Optional.empty()
+                        : Optional.of(incarnation(startMillis, random.nextBoolean()));
                 written.add(new ServerRegistry.Registration(written.size(), NAME, server));
             }
         }
         ServerRegistry registry = new ServerRegistry();
-        registry.storeAnswers(true, 0);
+        registry.setStoreAvailable(true, 0);
         long now = 10_000;
         List<ServerRegistry.Registration> arrivals = new ArrayList<>(written);
         arrivals.addAll(written);
@@ -59,45 +60,45 @@
         }
         Optional<BackendServer> last = written.get(written.size() - 1).server();
         check(registry.servers().equals(last.stream().toList()), "servers " + registry.servers());
-        for (long born : BORN) {
-            BackendServerId id = NAME.forIncarnation(born);
+        for (long startMillis : START_TIMES) {
+            BackendServerId id = NAME.forIncarnation(startMillis);
             boolean present = last.isPresent() && last.get().id().equals(id);
-            check(registry.server(id).isPresent() == present, "life " + id);
-            check(present || registry.leavingSinceMillis(id).isEmpty(), "an ended life leaves");
+            check(registry.server(id).isPresent() == present, "incarnation " + id);
+            check(present || registry.leavingSinceMillis(id).isEmpty(), "an ended incarnation is leaving");
         }
         last.ifPresent(server -> check(
                 registry.leavingSinceMillis(server.id()).isPresent()
                         != server.state().takesWork(),
-                "what the life before said of leaving"));
+                "leaving state of the previous incarnation"));
     }
 
     /**
-     * An engine was suspected, slow and failing, and said that it leaves; then it starts again under its name. The new
-     * life is trusted, and what a peer still tells of the old one changes nothing. What ran in the old life is lost.
+     * An engine that was suspected, slow, failing and leaving restarts under the same name. The new incarnation starts with
+     * a clean state, late reports of a peer on the old one change nothing, and the old one counts as replaced.
      */
     @Property(tries = 1)
-    void aNewLifeBeginsWithNothing() {
+    void aNewIncarnationStartsWithACleanState() {
         ServerRegistry registry = new ServerRegistry();
-        Suspicions suspicions = new Suspicions();
+        SuspectedServers suspects = new SuspectedServers();
         EngineLoads loads = new EngineLoads();
-        BackendServer old = life(BORN[0], true);
-        BackendServer next = life(BORN[1], false);
-        registry.storeAnswers(true, 0);
+        BackendServer old = incarnation(START_TIMES[0], true);
+        BackendServer next = incarnation(START_TIMES[1], false);
+        registry.setStoreAvailable(true, 0);
         registry.apply(new ServerRegistry.Registration(1, NAME, Optional.of(old)), 10_000);
-        suspicions.suspect(old.id(), Evidence.LOST, 10_000);
+        suspects.suspect(old.id(), Evidence.LOST, 10_000);
         loads.setSlowdown(old.id(), 8, 10_000);
         loads.recordOutcome(old.id(), true);
         registry.apply(new ServerRegistry.Registration(2, NAME, Optional.of(next)), 10_100);
         loads.setSlowdown(old.id(), 8, 10_200);
-        check(registry.isReplaced(old.id()) && !registry.isReplaced(next.id()), "which life has ended");
-        check(!suspicions.isSuspect(next.id(), 10_200), "suspicion");
+        check(registry.isReplaced(old.id()) && !registry.isReplaced(next.id()), "which incarnation has ended");
+        check(!suspects.isSuspect(next.id(), 10_200), "suspicion");
         check(loads.slowdown(next.id()) == 1 && loads.failureShare(next.id()) == 0, "pace and failures");
         check(registry.leavingSinceMillis(next.id()).isEmpty(), "leaving");
     }
 
-    private static void check(boolean holds, String what) {
-        if (!holds) {
-            throw new AssertionError(what);
+    private static void check(boolean condition, String message) {
+        if (!condition) {
+            throw new AssertionError(message);
         }
     }
 }
--- a/core/src/test/java/org/cornelramp/core/fleet/ServerRegistryTest.java
+++ b/core/src/test/java/org/cornelramp/core/fleet/ServerRegistryTest.java
@@ -10,7 +10,7 @@
 import org.cornelramp.core.path.EngineFixtures;
 import org.testng.annotations.Test;
 
-/** What is believed of the registered servers, by the order of their records and the state of the store. */
+/** State of the registered servers, depending on the order of their records and the availability of the store. */
 public class ServerRegistryTest {
     private static final BackendServer SERVER = EngineFixtures.engine("s", "dc1", "t4", 0, 5);
     private static final BackendServerId ID = SERVER.id();
@@ -21,14 +21,14 @@
 
     private static ServerRegistry connected() {
         ServerRegistry registry = new ServerRegistry();
-        registry.storeAnswers(true, 0);
+        registry.setStoreAvailable(true, 0);
         registry.apply(record(1, SERVER), 0);
         return registry;
     }
 
-    /** Two reads overlap, and the older record comes last. The server had said that it leaves; it stays leaving. */
+    /** Two reads overlap and the older record arrives last; a leaving server must remain leaving. */
     @Test
-    public void anOlderRecordUndoesNothing() {
+    public void anOlderRecordDoesNotUndoANewerOne() {
         ServerRegistry registry = connected();
         registry.apply(record(5, SERVER.withState(ServerState.DRAINING)), 10);
         assertFalse(registry.apply(record(4, SERVER), 20));
@@ -45,43 +45,43 @@
     }
 
     /**
-     * The store was away for longer than a registration lasts, and returns without it although the server lives. It
-     * goes on getting requests for the time in which it registers again; one that does not is gone then.
+     * The store was down for longer than a registration lasts, and returns without it although the server runs. The server
+     * stays in use for the grace period and is removed if it does not register again within it.
      */
     @Test
-    public void aRegistrationThatRanOutWithTheStoreAwayHasTimeToReturn() {
+    public void aRegistrationThatExpiredDuringAnOutageHasAGracePeriod() {
         ServerRegistry registry = connected();
-        registry.storeAnswers(false, 1_000);
-        registry.storeAnswers(true, 9_000);
+        registry.setStoreAvailable(false, 1_000);
+        registry.setStoreAvailable(true, 9_000);
         registry.apply(record(8, null), 9_100);
         registry.expire(9_500);
         assertTrue(registry.server(ID).isPresent());
-        registry.expire(9_000 + ServerRegistry.RETURN_MILLIS);
+        registry.expire(9_000 + ServerRegistry.REGISTRATION_GRACE_MILLIS);
         assertEquals(registry.server(ID), Optional.empty());
     }
 
     @Test
-    public void aServerThatRegistersAgainInTimeStays() {
+    public void aServerThatRegistersAgainWithinTheGracePeriodStays() {
         ServerRegistry registry = connected();
-        registry.storeAnswers(false, 1_000);
-        registry.storeAnswers(true, 9_000);
+        registry.setStoreAvailable(false, 1_000);
+        registry.setStoreAvailable(true, 9_000);
         registry.apply(record(8, null), 9_100);
         registry.apply(record(9, SERVER), 10_000);
         registry.expire(20_000);
         assertTrue(registry.server(ID).isPresent());
     }
 
-    /** The store has forgotten its history; whoever is not among its newest records has gone meanwhile. */
+    /** The store no longer has its history; a server that is missing from its newest records has gone. */
     @Test
-    public void aWholeReadRemovesWhoIsNotThere() {
+    public void aCompleteReadRemovesMissingServers() {
         ServerRegistry registry = connected();
         registry.replaceAll(List.of(), 20, 60_000);
         assertEquals(registry.server(ID), Optional.empty());
     }
 
-    /** A whole read that began before the newest record was written says nothing about its server. */
+    /** A complete read that began before the newest record of a server was written does not remove the server. */
     @Test
-    public void aWholeReadDoesNotRemoveWhoIsNewerThanIt() {
+    public void aCompleteReadDoesNotRemoveANewerServer() {
         ServerRegistry registry = connected();
         registry.apply(record(30, SERVER), 10);
         registry.replaceAll(List.of(), 20, 60_000);
--- a/core/src/test/java/org/cornelramp/core/health/FleetHealthProperties.java
+++ b/core/src/test/java/org/cornelramp/core/health/FleetHealthProperties.java
@@ -14,12 +14,12 @@
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.model.Incarnation;
 
-/** Whatever happens to the requests, a group keeps its stated part in use, and shares stay in their range. */
+/** Whatever the results of the requests, a group keeps its configured part in use, and shares stay in range. */
 class FleetHealthProperties {
     private static final Duration EXPECTED = Duration.ofMillis(10);
 
     @Property(seed = "5101", tries = 200)
-    void theStatedPartStaysInUse(@ForAll long seed, @ForAll @IntRange(min = 1, max = 20) int size) {
+    void theConfiguredPartStaysInUse(@ForAll long seed, @ForAll @IntRange(min = 1, max = 20) int size) {
         Random random = new Random(seed);
         FleetHealth health = new FleetHealth(HealthSettings.DEFAULTS);
         Instant now = Instant.ofEpochSecond(1_000);
@@ -28,11 +28,11 @@
             now = now.plusMillis(random.nextInt(50));
             Incarnation agent = fleet.get(random.nextInt(size));
             if (random.nextInt(10) == 0) {
-                health.succeeded(agent, Duration.ofMillis(random.nextInt(500)), EXPECTED, now);
+                health.recordSuccess(agent, Duration.ofMillis(random.nextInt(500)), EXPECTED, now);
             } else {
-                health.failed(agent, now);
+                health.recordFailure(agent, now);
             }
-            health.probe("g", now).ifPresent(p -> health.probeSent(p, Instant.ofEpochSecond(1_000)));
+            health.dueProbe("g", now).ifPresent(p -> health.recordProbe(p, Instant.ofEpochSecond(1_000)));
         }
         Map<Incarnation, Double> shares = health.shares(now);
         assertTrue(shares.size() >= size - size / 2, shares.size() + " of " + size + " in use");
@@ -40,30 +40,30 @@
     }
 
     @Property(seed = "5102", tries = 100)
-    void aRecoveredAgentWinsItsShareBackByProbes(
+    void aRecoveredAgentRegainsItsShareThroughProbes(
             @ForAll @IntRange(min = 5, max = 50) int failures, @ForAll @IntRange(min = 0, max = 4) int failedProbes) {
         FleetHealth health = new FleetHealth(HealthSettings.DEFAULTS);
         Instant now = Instant.ofEpochSecond(1_000);
-        Incarnation sick = fleet(health, 4, now).get(0);
+        Incarnation failing = fleet(health, 4, now).get(0);
         for (int i = 0; i < failures; i++) {
-            health.failed(sick, now);
+            health.recordFailure(failing, now);
         }
-        assertTrue(!health.shares(now).containsKey(sick));
+        assertTrue(!health.shares(now).containsKey(failing));
         for (int i = 0; i <= failedProbes; i++) {
             now = now.plusSeconds(30);
-            assertTrue(health.probe("g", now).filter(sick::equals).isPresent());
-            health.probeSent(sick, now);
-            assertTrue(health.probe("g", now).isEmpty());
+            assertTrue(health.dueProbe("g", now).filter(failing::equals).isPresent());
+            health.recordProbe(failing, now);
+            assertTrue(health.dueProbe("g", now).isEmpty());
             if (i < failedProbes) {
-                health.failed(sick, now);
+                health.recordFailure(failing, now);
             }
         }
-        health.succeeded(sick, EXPECTED, EXPECTED, now);
-        double first = health.shares(now).get(sick);
+        health.recordSuccess(failing, EXPECTED, EXPECTED, now);
+        double first = health.shares(now).get(failing);
         for (int i = 0; i < 40; i++) {
-            health.succeeded(sick, EXPECTED, EXPECTED, now);
+            health.recordSuccess(failing, EXPECTED, EXPECTED, now);
         }
-        double later = health.shares(now.plusSeconds(10)).get(sick);
+        double later = health.shares(now.plusSeconds(10)).get(failing);
         assertTrue(first < 0.2 && later > 0.99, "share " + first + " then " + later);
     }
 
@@ -72,7 +72,7 @@
         for (int i = 0; i < size; i++) {
             Incarnation agent = new Incarnation(new BackendServerId("b" + i), i);
             fleet.add(agent);
-            health.joined(agent, "g", now);
+            health.add(agent, "g", now);
         }
         return fleet;
     }
--- a/core/src/test/java/org/cornelramp/core/health/FleetHealthTest.java
+++ b/core/src/test/java/org/cornelramp/core/health/FleetHealthTest.java
@@ -10,19 +10,19 @@
 import org.cornelramp.core.model.Incarnation;
 import org.testng.annotations.Test;
 
-/** Slow and flaky agents lose work in proportion; a new one ramps up. */
+/** Slow and failing agents get a proportionally smaller share; a new one ramps up. */
 public class FleetHealthTest {
     private static final Instant START = Instant.ofEpochSecond(1_000);
     private static final Instant LATER = START.plusSeconds(10);
     private static final Duration EXPECTED = Duration.ofMillis(10);
 
     @Test
-    public void anAgentFarSlowerThanItsPeersLosesWorkInProportion() {
+    public void aSlowAgentGetsAProportionallySmallerShare() {
         FleetHealth health = new FleetHealth(HealthSettings.DEFAULTS);
         List<Incarnation> fleet = FleetHealthProperties.fleet(health, 4, START);
         for (int i = 0; i < 50; i++) {
             for (int a = 0; a < 4; a++) {
-                health.succeeded(fleet.get(a), EXPECTED.multipliedBy(a == 0 ? 12 : 1), EXPECTED, LATER);
+                health.recordSuccess(fleet.get(a), EXPECTED.multipliedBy(a == 0 ? 12 : 1), EXPECTED, LATER);
             }
         }
         Map<Incarnation, Double> shares = health.shares(LATER);
@@ -31,22 +31,22 @@
     }
 
     @Test
-    public void slownessOfAllIsNobodysFault() {
+    public void aSlowdownOfAllAgentsReducesNoShare() {
         FleetHealth health = new FleetHealth(HealthSettings.DEFAULTS);
         List<Incarnation> fleet = FleetHealthProperties.fleet(health, 4, START);
         for (int i = 0; i < 50; i++) {
-            fleet.forEach(a -> health.succeeded(a, EXPECTED.multipliedBy(9), EXPECTED, LATER));
+            fleet.forEach(a -> health.recordSuccess(a, EXPECTED.multipliedBy(9), EXPECTED, LATER));
         }
         health.shares(LATER).values().forEach(s -> assertEquals(s, 1.0));
     }
 
     @Test
-    public void failingEveryOtherRequestLosesWorkThoughNeverManyInARow() {
+    public void failingEveryOtherRequestReducesTheShare() {
         FleetHealth health = new FleetHealth(HealthSettings.DEFAULTS);
         Incarnation flaky = FleetHealthProperties.fleet(health, 4, START).get(0);
         for (int i = 0; i < 50; i++) {
-            health.failed(flaky, LATER);
-            health.succeeded(flaky, EXPECTED, EXPECTED, LATER);
+            health.recordFailure(flaky, LATER);
+            health.recordSuccess(flaky, EXPECTED, EXPECTED, LATER);
         }
         double share = health.shares(LATER).get(flaky);
         assertTrue(share > 0.1 && share < 0.5, "share " + share);
--- a/core/src/test/java/org/cornelramp/core/key/KeyIndexProperties.java
+++ b/core/src/test/java/org/cornelramp/core/key/KeyIndexProperties.java
@@ -13,29 +13,29 @@
 import java.util.UUID;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.cornelramp.core.call.AgentWord;
+import org.cornelramp.core.call.AgentReply;
 import org.cornelramp.core.call.CallResult;
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.model.Incarnation;
 import org.cornelramp.core.model.OrganisationId;
 import org.cornelramp.core.model.Outcome;
 
-/** Every reader sees the same first binding, and a settlement speaks only once it is whole. */
+/** Every reader sees the same first binding, and a settlement counts only once all its parts have been read. */
 class KeyIndexProperties {
     private static final OrganisationId ORGANISATION = new OrganisationId("org-1");
     private static final Duration WINDOW = Duration.ofHours(1);
 
     @Property(seed = "111", tries = 1_000)
-    boolean theFirstBindingWinsForEveryReaderWhateverItsPages(@ForAll long seed) {
+    boolean theFirstBindingInTheLogWins(@ForAll long seed) {
         Random random = new Random(seed);
         List<Optional<KeyRecord>> log = new ArrayList<>();
         Map<String, Incarnation> first = new HashMap<>();
         for (int i = 0; i < 60; i++) {
             String key = "k" + random.nextInt(12);
             Incarnation agent = new Incarnation(new BackendServerId("s" + random.nextInt(4)), random.nextInt(3));
-            boolean garbage = random.nextInt(8) == 0;
-            log.add(garbage ? Optional.empty() : Optional.of(new KeyRecord.Bind(key, ORGANISATION, agent, "f" + i)));
-            if (!garbage) {
+            boolean malformed = random.nextInt(8) == 0;
+            log.add(malformed ? Optional.empty() : Optional.of(new KeyRecord.Bind(key, ORGANISATION, agent, "f" + i)));
+            if (!malformed) {
                 first.putIfAbsent(key, agent);
             }
         }
@@ -53,44 +53,44 @@
     }
 
     @Property(seed = "112", tries = 1_000)
-    boolean aSettlementSpeaksOnlyOnceAllItsPartsAreThere(@ForAll long seed) {
+    boolean aSettlementCountsOnlyOnceItIsComplete(@ForAll long seed) {
         Random random = new Random(seed);
         int parts = 1 + random.nextInt(4);
         Incarnation agent = new Incarnation(new BackendServerId("s"), 1);
         KeyIndex index = new KeyIndex(WINDOW);
-        Set<Integer> came = new HashSet<>();
+        Set<Integer> partsRead = new HashSet<>();
         for (int offset = 0; offset < 12; offset++) {
             int part = random.nextInt(parts);
-            came.add(part);
-            Map<String, AgentWord> results =
-                    Map.of("k" + part, AgentWord.of(new CallResult(200, "", new byte[] {(byte) part})));
+            partsRead.add(part);
+            Map<String, AgentReply> results =
+                    Map.of("k" + part, AgentReply.of(new CallResult(200, "", new byte[] {(byte) part})));
             index.apply(
                     offset,
                     Instant.ofEpochMilli(offset),
                     Optional.of(new KeyRecord.Settled(agent, part, parts, results)));
-            boolean whole = came.size() == parts;
-            if (index.isSettled(agent) != whole || index.settled(agent, "k0").isPresent() != whole) {
+            boolean complete = partsRead.size() == parts;
+            if (index.isSettled(agent) != complete || index.settledReply(agent, "k0").isPresent() != complete) {
                 return false;
             }
         }
-        return !index.isSettled(agent) || saysRight(index, agent, parts);
+        return !index.isSettled(agent) || isCorrect(index, agent, parts);
     }
 
-    private static boolean saysRight(KeyIndex index, Incarnation agent, int parts) {
+    private static boolean isCorrect(KeyIndex index, Incarnation agent, int parts) {
         boolean listed = true;
         for (int part = 0; part < parts; part++) {
-            listed &= index.settled(agent, "k" + part).orElseThrow().result().isPresent();
+            listed &= index.settledReply(agent, "k" + part).orElseThrow().result().isPresent();
         }
-        AgentWord unlisted = index.settled(agent, "other").orElseThrow();
+        AgentReply unlisted = index.settledReply(agent, "other").orElseThrow();
         return listed && unlisted.problem().orElseThrow().outcome() == Outcome.NOT_RUN;
     }
 
     @Property(seed = "113", tries = 500)
-    boolean aBindingReadsBackWhatItWrote(@ForAll long life, @ForAll long low) {
+    boolean aBindingSurvivesARoundTrip(@ForAll long incarnationNumber, @ForAll long low) {
         KeyRecord.Bind bind = new KeyRecord.Bind(
                 new UUID(0x7000L, low).toString(),
                 ORGANISATION,
-                new Incarnation(new BackendServerId("s-1.b"), life),
+                new Incarnation(new BackendServerId("s-1.b"), incarnationNumber),
                 "f");
         return KeyRecordCodec.read(KeyRecordCodec.write(bind)).orElseThrow().equals(bind);
     }
--- a/core/src/test/java/org/cornelramp/core/key/KeyProperties.java
+++ b/core/src/test/java/org/cornelramp/core/key/KeyProperties.java
@@ -10,15 +10,17 @@
 import org.cornelramp.core.model.Incarnation;
 import org.cornelramp.core.model.ProblemKind;
 
-/** Keys read back from their text, show their age, and nothing else passes for a key. */
+/** Keys survive a round trip through their text, are refused by age, and no other text is accepted as a key. */
 class KeyProperties {
     private static final Instant NOW = Instant.ofEpochMilli(1_800_000_000_000L);
     private static final Duration WINDOW = Duration.ofHours(1);
 
     @Property(seed = "101")
-    boolean aTicketReadsBackWhatItWrote(
-            @ForAll long life, @ForAll @LongRange(min = 0, max = 1L << 46) long millis, @ForAll long nonce) {
-        Incarnation incarnation = new Incarnation(new BackendServerId("book-1.a"), life);
+    boolean aTicketSurvivesARoundTrip(
+            @ForAll long incarnationNumber,
+            @ForAll @LongRange(min = 0, max = 1L << 46) long millis,
+            @ForAll long nonce) {
+        Incarnation incarnation = new Incarnation(new BackendServerId("book-1.a"), incarnationNumber);
         Ticket ticket = new Ticket(incarnation, Instant.ofEpochMilli(millis), nonce);
         return Ticket.parse(ticket.text()).equals(ticket);
     }
@@ -39,7 +41,7 @@
     }
 
     @Property(seed = "103", tries = 5_000)
-    boolean garbageIsRefusedWithAReason(@ForAll String text) {
+    boolean malformedTextIsRefused(@ForAll String text) {
         return IdempotencyKey.read(text, NOW, WINDOW).isLeft();
     }
 }
--- a/core/src/test/java/org/cornelramp/core/ledger/FullLedgerTest.java
+++ b/core/src/test/java/org/cornelramp/core/ledger/FullLedgerTest.java
@@ -12,16 +12,16 @@
 import org.testng.annotations.Test;
 
 /**
- * A ledger is full when a desk sends a booking: the desk is told that it did not run, and books again under a new
- * key. Then room is made, and a copy of the first call arrives late on another link. It must not run now, although
- * the ledger had no room to note it: the family would get two crews.
+ * Guards against a booking that runs twice because a full ledger had no room to record a refused key. The caller is told
+ * that its call did not run and books again under a new key; after the ledger has room again, a late copy of the first
+ * call arrives on another link and must not run.
  */
 public class FullLedgerTest {
     private static final Incarnation SELF = new Incarnation(new BackendServerId("app-1"), 7);
     private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
 
     @Test
-    public void aKeyRefusedForWantOfRoomNeverRuns() {
+    public void aKeyRefusedByAFullLedgerNeverRuns() {
         Ledger ledger = new Ledger(SELF, Duration.ofMinutes(1), 1, 1_000);
         ledger.admit(request("first", START), START);
         KeyVerdict refused = ledger.admit(request("second", START.plusSeconds(5)), START.plusSeconds(6));
@@ -38,7 +38,7 @@
     }
 
     @Test
-    public void aKeyRefusedOnceIsAnsweredWithTheRemedyOfANewKey() {
+    public void aRepeatedRefusedKeyIsAnsweredAsSpent() {
         Ledger ledger = new Ledger(SELF, Duration.ofMinutes(1), 9, 1_000);
         ledger.admit(request("first", START), START);
         ledger.tombstone("first", KeyResult.notRun(ProblemKind.OVERLOADED, "full", 900));
@@ -47,7 +47,7 @@
     }
 
     @Test
-    public void aClockSetBackDoesNotMakeAForgottenKeyYoung() {
+    public void aClockSetBackDoesNotLetADroppedKeyRun() {
         Ledger ledger = new Ledger(SELF, Duration.ofMinutes(1), 9, 1_000);
         ledger.admit(request("first", START), START);
         ledger.start("first");
@@ -58,7 +58,7 @@
     }
 
     @Test
-    public void anAnswerDroppedForRoomStillKeepsItsKeyFromRunning() {
+    public void aKeyWhoseAnswerWasDroppedDoesNotRunAgain() {
         Ledger ledger = new Ledger(SELF, Duration.ofMinutes(1), 9, 10);
         for (String key : new String[] {"first", "second"}) {
             ledger.admit(request(key, START), START);
