--- a/core/src/test/java/org/cornelramp/core/ledger/LedgerProperties.java
+++ b/core/src/test/java/org/cornelramp/core/ledger/LedgerProperties.java
@@ -21,8 +21,8 @@
 import org.cornelramp.core.model.ProblemKind;
 
 /**
- * Callers send keys, send them again, ask and cancel, in any order, while calls start and end and the wall clock
- * jumps both ways. No key starts twice, and none starts after its caller was told that it did not run.
+ * Callers send, repeat, query and cancel keys in any order, while calls start and end and the wall clock jumps in both
+ * directions. No key starts twice, and none starts after its caller was told that it did not run.
  */
 class LedgerProperties {
     private static final Incarnation SELF = new Incarnation(new BackendServerId("app-1"), 7);
@@ -45,12 +45,12 @@
 
     @Property(seed = "90210", tries = 4_000)
     void noKeyRunsTwiceOrAfterNotRun(@ForAll("choices") List<Integer> choices) {
-        World world = new World();
-        choices.forEach(world::act);
-        world.check();
+        Simulation simulation = new Simulation();
+        choices.forEach(simulation::act);
+        simulation.check();
     }
 
-    private static final class World {
+    private static final class Simulation {
         final Ledger ledger = new Ledger(SELF, WINDOW, MAX_KEYS, 60);
         final Map<String, Integer> starts = new HashMap<>();
         final Set<String> notRun = new HashSet<>();
@@ -71,11 +71,11 @@
                 default -> now = now.plusSeconds(extra % 5 == 0 ? -60 : extra % 23);
             }
             if (ledger.size() > MAX_KEYS || ledger.bytes() > 60) {
-                throw new AssertionError("The ledger outgrew its bounds");
+                throw new AssertionError("The ledger exceeded its bounds");
             }
         }
 
-        /** Keys are minted at set times, a few of them ahead of this agent's clock. */
+        /** Keys are minted at fixed times, some of them ahead of this agent's clock. */
         Instant minted(int key) {
             return START.plusSeconds(key * 12L);
         }
@@ -87,18 +87,18 @@
             if (verdict instanceof KeyVerdict.Run) {
                 queued.add(name);
             } else if (verdict instanceof KeyVerdict.Settled settled) {
-                told(name, settled.result());
+                recordResult(name, settled.result());
             }
         }
 
         void settle(String name, int key, boolean cancel) {
             KeyVerdict verdict = ledger.settle(new KeyRequest(name, SELF, "", minted(key)), cancel, now);
             if (verdict instanceof KeyVerdict.Settled settled) {
-                told(name, settled.result());
+                recordResult(name, settled.result());
             }
         }
 
-        void told(String name, KeyResult result) {
+        void recordResult(String name, KeyResult result) {
             boolean reused =
                     result.kind().filter(ProblemKind.KEY_REUSED::equals).isPresent();
             if (result.outcome() == Outcome.NOT_RUN && !reused) {
--- a/core/src/test/java/org/cornelramp/core/limit/LimitedFleet.java
+++ b/core/src/test/java/org/cornelramp/core/limit/LimitedFleet.java
@@ -21,73 +21,76 @@
 import org.cornelramp.core.table.RowKey;
 import org.cornelramp.core.table.RowValues;
 
-/** Entries with one limiter each, one agent that sums their demand, and heartbeats that take a while both ways. */
+/** Simulates entries with one limiter each, an agent that sums their demand, and delayed heartbeats in both directions. */
 final class LimitedFleet {
-    static final int BEAT_MILLIS = 150;
+    static final int HEARTBEAT_MILLIS = 150;
     private static final Incarnation AGENT = new Incarnation(new BackendServerId("agent"), 1);
 
     private final List<Limiter> entries = new ArrayList<>();
-    private final Deque<Runnable> late = new ArrayDeque<>();
-    private final PriorityQueue<Ending> endings = new PriorityQueue<>((a, b) -> a.at.compareTo(b.at));
+    private final Deque<Runnable> pendingReports = new ArrayDeque<>();
+    private final PriorityQueue<Completion> completions = new PriorityQueue<>((a, b) -> a.at.compareTo(b.at));
     private final Random random;
     private final Row row;
-    private final int delayBeats;
+    private final int delayHeartbeats;
     private Instant now = Instant.ofEpochSecond(1_000);
 
     int wanted;
     int admitted;
     long tokens;
-    int mostInProgress;
-    double progressSeconds;
+    int maxInProgress;
+    double requestSeconds;
     final List<Integer> admittedEachSecond = new ArrayList<>();
 
-    LimitedFleet(int size, RowValues limits, int delayBeats, Random random) {
+    LimitedFleet(int size, RowValues limits, int delayHeartbeats, Random random) {
         this.random = random;
-        this.delayBeats = delayBeats;
+        this.delayHeartbeats = delayHeartbeats;
         this.row = new Row(new RowKey(new OrganisationId("o"), new ServiceName("s")), 1, limits);
         for (int i = 0; i < size; i++) {
             entries.add(new Limiter(Duration.ofSeconds(2)));
         }
-        entries.forEach(e -> e.told(AGENT, Map.of(), size, now));
+        entries.forEach(e -> e.recordReport(AGENT, Map.of(), size, now));
     }
 
     static RowValues limits(double requests, int concurrency, double tokens) {
         return new RowValues(1, 0, requests, concurrency, tokens, 1_000, 99, List.of());
     }
 
-    /** Runs with Poisson arrivals at {@code demand(entry, second)}, each request taking {@code hold}. */
-    void run(int seconds, ToDoubleBiFunction<Integer, Double> demand, Duration hold, int tokensEach) {
+    /**
+     * Runs with Poisson arrivals at {@code demand(entry, second)} requests per second; each request takes
+     * {@code serviceTime}.
+     */
+    void run(int seconds, ToDoubleBiFunction<Integer, Double> demand, Duration serviceTime, int tokensEach) {
         for (int ms = 0; ms < seconds * 1_000; ms++) {
             now = now.plusMillis(1);
-            if (ms % BEAT_MILLIS == 0) {
-                beat();
+            if (ms % HEARTBEAT_MILLIS == 0) {
+                heartbeat();
             }
-            while (!endings.isEmpty() && !endings.peek().at.isAfter(now)) {
-                endings.poll().end.run();
+            while (!completions.isEmpty() && !completions.peek().at.isAfter(now)) {
+                completions.poll().end.run();
             }
             for (int e = 0; e < entries.size(); e++) {
                 if (random.nextDouble() < demand.applyAsDouble(e, ms / 1e3) / 1e3) {
-                    request(e, hold, tokensEach);
+                    request(e, serviceTime, tokensEach);
                 }
             }
-            mostInProgress = Math.max(mostInProgress, endings.size());
-            progressSeconds += endings.size() / 1e3;
+            maxInProgress = Math.max(maxInProgress, completions.size());
+            requestSeconds += completions.size() / 1e3;
             if (ms % 1_000 == 999) {
                 admittedEachSecond.add(admitted);
             }
         }
     }
 
-    /** Most requests let in within any {@code seconds} whole seconds. */
-    int mostWithin(int seconds) {
-        int most = 0;
+    /** Maximum number of requests admitted within any {@code seconds} whole seconds. */
+    int maxAdmittedWithin(int seconds) {
+        int max = 0;
         for (int i = seconds; i < admittedEachSecond.size(); i++) {
-            most = Math.max(most, admittedEachSecond.get(i) - admittedEachSecond.get(i - seconds));
+            max = Math.max(max, admittedEachSecond.get(i) - admittedEachSecond.get(i - seconds));
         }
-        return most;
+        return max;
     }
 
-    private void request(int entry, Duration hold, int tokensEach) {
+    private void request(int entry, Duration serviceTime, int tokensEach) {
         wanted++;
         Limiter limiter = entries.get(entry);
         Either<Problem, Permit> answer = limiter.admit(row, tokensEach, now, random);
@@ -95,20 +98,20 @@
             admitted++;
             int used = 1 + random.nextInt(Math.max(1, tokensEach));
             tokens += used;
-            Instant end = now.plus(hold);
-            endings.add(new Ending(end, () -> limiter.finished(permit, used, end)));
+            Instant end = now.plus(serviceTime);
+            completions.add(new Completion(end, () -> limiter.release(permit, used, end)));
         });
     }
 
-    /** Each entry tells its demand; the agent's sum reaches the entries some beats later. */
-    private void beat() {
+    /** Each entry reports its demand; the agent's sum reaches the entries some heartbeats later. */
+    private void heartbeat() {
         Map<String, Double> sum = new HashMap<>();
         entries.forEach(e -> e.demand(now).forEach((key, value) -> sum.merge(key, value, Double::sum)));
-        late.add(() -> entries.forEach(e -> e.told(AGENT, sum, entries.size(), now)));
-        if (late.size() > delayBeats) {
-            late.poll().run();
+        pendingReports.add(() -> entries.forEach(e -> e.recordReport(AGENT, sum, entries.size(), now)));
+        if (pendingReports.size() > delayHeartbeats) {
+            pendingReports.poll().run();
         }
     }
 
-    private record Ending(Instant at, Runnable end) {}
+    private record Completion(Instant at, Runnable end) {}
 }
--- a/core/src/test/java/org/cornelramp/core/limit/LimiterProperties.java
+++ b/core/src/test/java/org/cornelramp/core/limit/LimiterProperties.java
@@ -9,8 +9,8 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * Limits hold over all entries together, with late news of each other's demand. The bounds here are those that
- * the operators' page states; the measured errors are in the design note.
+ * Limits hold over all entries together although each entry learns of the others' demand with a delay. The bounds here are
+ * those that the operators' page states; the measured errors are in the design note.
  */
 class LimiterProperties {
     private static final int SECONDS = 20;
@@ -29,7 +29,7 @@
     }
 
     @Property(seed = "8102", tries = 25)
-    void demandThatMovesBetweenEntriesGoesLittleOverTheLimit(
+    void demandThatMovesBetweenEntriesExceedsTheLimitOnlySlightly(
             @ForAll long seed,
             @ForAll @IntRange(min = 2, max = 8) int entries,
             @ForAll @IntRange(min = 1, max = 3) int delay,
@@ -39,11 +39,11 @@
         fleet.run(SECONDS, (e, t) -> (int) (t / period) % entries == e ? 3.0 * limit : 5, SHORT, 0);
         double ratio = fleet.admitted / (double) (limit * SECONDS);
         assertTrue(ratio > 0.5 && ratio < 1.1, "admitted " + ratio + " of the limit");
-        assertTrue(fleet.mostWithin(4) < 4 * limit * 1.25, "in 4 s: " + fleet.mostWithin(4));
+        assertTrue(fleet.maxAdmittedWithin(4) < 4 * limit * 1.25, "in 4 s: " + fleet.maxAdmittedWithin(4));
     }
 
     @Property(seed = "8103", tries = 15)
-    void manyEntriesWithFewRequestsEachDoNotAddUpToMore(@ForAll long seed) {
+    void manyEntriesWithFewRequestsEachStayWithinTheLimit(@ForAll long seed) {
         int limit = 5;
         LimitedFleet fleet = new LimitedFleet(40, LimitedFleet.limits(limit, 0, 0), 2, new Random(seed));
         fleet.run(120, (e, t) -> 0.25, SHORT, 0);
@@ -66,10 +66,10 @@
             @ForAll @IntRange(min = 1, max = 20) int limit) {
         LimitedFleet fleet = new LimitedFleet(entries, LimitedFleet.limits(0, limit, 0), 2, new Random(seed));
         fleet.run(SECONDS, (e, t) -> 30.0 * limit / entries, Duration.ofMillis(100), 0);
-        double mean = fleet.progressSeconds / SECONDS;
+        double mean = fleet.requestSeconds / SECONDS;
         assertTrue(mean < limit * 1.2, "mean in progress " + mean + " of " + limit);
         assertTrue(mean > limit * 0.6, "mean in progress " + mean + " of " + limit);
-        assertTrue(fleet.mostInProgress <= limit * 1.5 + entries, "most in progress " + fleet.mostInProgress);
+        assertTrue(fleet.maxInProgress <= limit * 1.5 + entries, "most in progress " + fleet.maxInProgress);
     }
 
     @Property(seed = "8106", tries = 15)
--- a/core/src/test/java/org/cornelramp/core/member/MembershipProperties.java
+++ b/core/src/test/java/org/cornelramp/core/member/MembershipProperties.java
@@ -16,7 +16,7 @@
 import org.cornelramp.core.model.Offer;
 import org.cornelramp.core.model.ServiceName;
 
-/** Leaving counts from whichever sign comes first, and a life that was followed by another never comes back. */
+/** An agent counts as leaving from the first sign of it, and a replaced incarnation never becomes current again. */
 class MembershipProperties {
     private static final List<AgentState> STATES = List.of(AgentState.values());
     private static final BackendServerId SERVER = new BackendServerId("s");
@@ -27,50 +27,51 @@
     boolean noNewWorkAfterAnySignOfLeaving(@ForAll long seed) {
         Random random = new Random(seed);
         Membership membership = new Membership();
-        Set<Incarnation> said = new HashSet<>();
-        Set<Incarnation> followed = new HashSet<>();
+        Set<Incarnation> reportedLeaving = new HashSet<>();
+        Set<Incarnation> replaced = new HashSet<>();
         boolean listedLeaving = false;
-        Incarnation present = life(0);
-        membership.opened(present, new DataCentre("dc"), "h:1", OFFER, Instant.EPOCH);
+        Incarnation present = incarnation(0);
+        membership.linkOpened(present, new DataCentre("dc"), "h:1", OFFER, Instant.EPOCH);
         for (int i = 0; i < 40; i++) {
             Instant now = Instant.EPOCH.plusMillis(i);
             switch (random.nextInt(5)) {
                 case 0 -> {
                     listedLeaving = random.nextBoolean();
-                    membership.listed(List.of(new Listed(SERVER, "h:1", listedLeaving)));
+                    membership.updateList(List.of(new ListedAgent(SERVER, "h:1", listedLeaving)));
                 }
                 case 1 -> {
                     AgentState state = STATES.get(random.nextInt(STATES.size()));
                     if (state == AgentState.LEAVING) {
-                        said.add(present);
+                        reportedLeaving.add(present);
                     }
-                    membership.heard(present, state, AgentLoad.IDLE, OFFER, now);
+                    membership.recordHeartbeat(present, state, AgentLoad.IDLE, OFFER, now);
                 }
                 case 2 -> {
-                    Incarnation next = life(random.nextInt(6));
-                    if (!followed.contains(next)) {
+                    Incarnation next = incarnation(random.nextInt(6));
+                    if (!replaced.contains(next)) {
                         if (!next.equals(present)) {
-                            followed.add(present);
+                            replaced.add(present);
                         }
                         present = next;
                     }
-                    membership.opened(next, new DataCentre("dc"), "h:1", OFFER, now);
+                    membership.linkOpened(next, new DataCentre("dc"), "h:1", OFFER, now);
                 }
-                case 3 -> membership.lost(present);
-                default -> membership.heard(life(random.nextInt(6)), AgentState.STARTING, AgentLoad.IDLE, OFFER, now);
+                case 3 -> membership.linkLost(present);
+                default ->
+                    membership.recordHeartbeat(incarnation(random.nextInt(6)), AgentState.STARTING, AgentLoad.IDLE, OFFER, now);
             }
             Member member = membership.members().get(0);
-            boolean mayNot = listedLeaving
-                    || said.contains(present)
+            boolean mustNotTakeWork = listedLeaving
+                    || reportedLeaving.contains(present)
                     || !member.incarnation().equals(present);
-            if (mayNot && member.takesWork()) {
+            if (mustNotTakeWork && member.takesWork()) {
                 return false;
             }
         }
         return true;
     }
 
-    private static Incarnation life(long number) {
+    private static Incarnation incarnation(long number) {
         return new Incarnation(SERVER, number);
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/OrderHandler.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/OrderHandler.java
@@ -60,17 +60,17 @@
         }
         // A claim's term is the offset of its record.
         terms.learned(page.next() - 1);
-        LOG.log(System.Logger.Level.INFO, "agent: the newest term is known; term=" + terms.newest());
+        LOG.log(System.Logger.Level.INFO, "agent: the newest term is known; term=" + terms.newestTerm());
     }
 
     /** Records a term that a peer knows. */
     void observeTerm(long term) {
-        terms.heard(term);
+        terms.observe(term);
     }
 
     /** The newest known term. */
     long newestTerm() {
-        return terms.newest();
+        return terms.newestTerm();
     }
 
     /** Queues an order, or refuses it if the queue is full. */
@@ -106,7 +106,7 @@
         LOG.log(
                 System.Logger.Level.INFO,
                 "agent: an order was refused; decision=" + decision + " term=" + order.term() + " newest="
-                        + terms.newest() + " by=" + pending.link.peer().process());
+                        + terms.newestTerm() + " by=" + pending.link.peer().process());
         if (decision == Decision.STALE) {
             answer(pending, OrderOutcome.STALE, "A newer term is known; claim a new term before sending orders");
         } else {
@@ -137,7 +137,7 @@
     }
 
     private void answer(PendingOrder pending, OrderOutcome outcome, String detail) {
-        pending.link.send(new OrderResult(pending.order.call(), outcome, terms.newest(), detail));
+        pending.link.send(new OrderResult(pending.order.call(), outcome, terms.newestTerm(), detail));
     }
 
     /** An order and the link on which it was received. */
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/SettlementWriter.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/SettlementWriter.java
@@ -118,7 +118,7 @@
             return;
         }
         for (LogRecord record : page.records()) {
-            SettledRecords.partOf(record.value(), incarnation).ifPresent(unwritten::remove);
+            SettledRecords.partNumber(record.value(), incarnation).ifPresent(unwritten::remove);
         }
         readOffset += page.records().size();
         if (page.records().isEmpty() || readOffset >= page.next()) {
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/Admission.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/Admission.java
@@ -76,7 +76,7 @@
         if (entry == null) {
             return;
         }
-        limiter.finished(entry.permit(), tokens, now);
+        limiter.release(entry.permit(), tokens, now);
         if (answered) {
             poisonTracker.recordCompletion(entry.fingerprint(), now);
         }
@@ -89,14 +89,14 @@
 
     /** Records the demand and the crashes that an agent's heartbeat reports. */
     void heartbeatReceived(Incarnation agent, Heartbeat heartbeat, Instant now) {
-        limiter.told(
+        limiter.recordReport(
                 agent, heartbeat.entryDemand(), Math.max(1, heartbeat.load().linkedEntries()), now);
         poisonTracker.heartbeatReceived(heartbeat, now);
     }
 
     /** Discards the demand report of an agent whose link is lost. */
     void linkLost(Incarnation agent) {
-        limiter.lost(agent);
+        limiter.removeReport(agent);
     }
 
     /** Returns the demand of this entry for each limited row, for its heartbeats. */
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/AgentHealthTracker.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/AgentHealthTracker.java
@@ -39,26 +39,26 @@
         boolean wasPresent = now.isBefore(firstAgentSeenAt.plus(rampUp));
         String group = group(offer.get());
         groups.put(agent, group);
-        fleet.joined(agent, group, wasPresent ? now.minus(rampUp) : now);
+        fleet.add(agent, group, wasPresent ? now.minus(rampUp) : now);
         refreshAt = now;
     }
 
     void removeAgent(Incarnation agent) {
         groups.remove(agent);
-        fleet.left(agent);
+        fleet.remove(agent);
     }
 
     void recordSuccess(Incarnation agent, Duration observed, Duration expected, Instant now) {
-        fleet.succeeded(agent, observed, expected, now);
+        fleet.recordSuccess(agent, observed, expected, now);
     }
 
     /** Records a success whose duration cannot be attributed to this agent alone. */
     void recordSuccess(Incarnation agent, Instant now) {
-        fleet.succeeded(agent, Duration.ofMillis(1), Duration.ofMillis(1), now);
+        fleet.recordSuccess(agent, Duration.ofMillis(1), Duration.ofMillis(1), now);
     }
 
     void recordFailure(Incarnation agent, Instant now) {
-        fleet.failed(agent, now);
+        fleet.recordFailure(agent, now);
         refreshAt = now;
     }
 
@@ -76,10 +76,10 @@
     /** Returns whether an ejected agent is due for a probe, and if so records the probe. */
     boolean claimProbe(Incarnation agent, Instant now) {
         String group = groups.get(agent);
-        if (group == null || !fleet.probe(group, now).equals(Optional.of(agent))) {
+        if (group == null || !fleet.dueProbe(group, now).equals(Optional.of(agent))) {
             return false;
         }
-        fleet.probeSent(agent, now);
+        fleet.recordProbe(agent, now);
         return true;
     }
 
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/AgentRegistry.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/AgentRegistry.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.cornelramp.core.member.Lives;
+import org.cornelramp.core.member.IncarnationHistory;
 import org.cornelramp.core.member.Member;
 import org.cornelramp.core.member.Membership;
 import org.cornelramp.core.model.Incarnation;
@@ -37,18 +37,18 @@
     private static final int MAX_PENDING_CLOSES = 1_024;
 
     private final Membership membership = new Membership();
-    private final Lives history;
+    private final IncarnationHistory history;
     private final AgentHealthTracker healthTracker;
     private final Map<Incarnation, Link> links = new HashMap<>();
     private final Map<Incarnation, OutstandingWork> outstanding = new HashMap<>();
     private final Map<Incarnation, Deque<PendingClose>> pendingCloses = new HashMap<>();
 
-    AgentRegistry(Lives history, AgentHealthTracker healthTracker) {
+    AgentRegistry(IncarnationHistory history, AgentHealthTracker healthTracker) {
         this.history = history;
         this.healthTracker = healthTracker;
     }
 
-    Lives history() {
+    IncarnationHistory history() {
         return history;
     }
 
@@ -68,7 +68,7 @@
         }
         history.seen(agent, peer.offer().map(Offer::service), now);
         healthTracker.agentSeen(agent, peer.offer(), now);
-        Optional<Incarnation> ended = membership.opened(agent, peer.dataCentre(), peer.address(), peer.offer(), now);
+        Optional<Incarnation> ended = membership.linkOpened(agent, peer.dataCentre(), peer.address(), peer.offer(), now);
         ended.ifPresent(healthTracker::removeAgent);
         ended.ifPresent(pendingCloses::remove);
         sendPendingCloses(agent, now);
@@ -81,8 +81,8 @@
         if (!links.remove(agent, link)) {
             return false;
         }
-        membership.lost(agent);
-        history.unlinked(agent);
+        membership.linkLost(agent);
+        history.linkLost(agent);
         return true;
     }
 
@@ -91,7 +91,7 @@
         if (!links.containsKey(agent)) {
             return;
         }
-        membership.heard(agent, heartbeat.state(), heartbeat.load(), heartbeat.offer(), now);
+        membership.recordHeartbeat(agent, heartbeat.state(), heartbeat.load(), heartbeat.offer(), now);
         history.seen(agent, heartbeat.offer().map(Offer::service), now);
         healthTracker.agentSeen(agent, heartbeat.offer(), now);
         OutstandingWork work = outstanding.get(agent);
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/CallRun.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/CallRun.java
@@ -7,7 +7,7 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.Optional;
-import org.cornelramp.core.call.AgentWord;
+import org.cornelramp.core.call.AgentReply;
 import org.cornelramp.core.call.CallAction;
 import org.cornelramp.core.call.CallResult;
 import org.cornelramp.core.call.PlainCall;
@@ -71,9 +71,9 @@
         apply(state.startRefused(why), now, hasBoundAgentEnded(now));
     }
 
-    void replyReceived(AgentWord reply, Instant now) {
+    void replyReceived(AgentReply reply, Instant now) {
         recordHealth(reply, now);
-        apply(state.said(reply, now), now, false);
+        apply(state.replyReceived(reply, now), now, false);
     }
 
     void linkLost(Incarnation agent, Instant now) {
@@ -91,7 +91,7 @@
         apply(state.incarnationGone(agent, now), now, false);
     }
 
-    void lookupCompleted(Optional<AgentWord> reply, Instant now) {
+    void lookupCompleted(Optional<AgentReply> reply, Instant now) {
         apply(state.lookedUp(reply), now, false);
     }
 
@@ -116,7 +116,7 @@
         }
         Incarnation agent = bound.get().agent();
         return context.settlements().isSettled(agent)
-                || agents.membership().isGone(agent, bound.get().boundAt(), now);
+                || agents.membership().hasEnded(agent, bound.get().boundAt(), now);
     }
 
     private void apply(List<CallAction> actions, Instant now, boolean targetGone) {
@@ -166,7 +166,7 @@
         }
     }
 
-    private void recordHealth(AgentWord reply, Instant now) {
+    private void recordHealth(AgentReply reply, Instant now) {
         if (countedAgent.isEmpty()) {
             return;
         }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/ChatQueue.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/ChatQueue.java
@@ -13,7 +13,7 @@
 import java.util.random.RandomGenerator;
 import org.cornelramp.core.admission.FairQueue;
 import org.cornelramp.core.admission.Refusal;
-import org.cornelramp.core.admission.Waiting;
+import org.cornelramp.core.admission.QueuedRequest;
 import org.cornelramp.core.model.LayerRange;
 import org.cornelramp.core.model.Problem;
 import org.cornelramp.core.model.ServiceName;
@@ -73,7 +73,7 @@
         if (idle.isLeft()) {
             return Optional.of(idle.getLeft());
         }
-        Waiting<QueuedChat> waiting =
+        QueuedRequest<QueuedChat> waiting =
                 queuedRequest(id, request, work, idle.get().expectedTime(), new QueuedChat(request, start));
         Either<Problem, List<Refusal<QueuedChat>>> result = queues.computeIfAbsent(
                         work.service(), service -> new FairQueue<>(capacity, random))
@@ -108,10 +108,10 @@
         return queues.values().stream().mapToInt(FairQueue::size).sum();
     }
 
-    private static Waiting<QueuedChat> queuedRequest(
+    private static QueuedRequest<QueuedChat> queuedRequest(
             long id, CallerRequest request, RoutingRequest work, Duration runTime, QueuedChat chat) {
         Row row = request.row();
-        return new Waiting<>(
+        return new QueuedRequest<>(
                 id,
                 row.key().organisation(),
                 row.values().weight(),
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/DenialRun.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/DenialRun.java
@@ -4,15 +4,15 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.List;
-import org.cornelramp.core.call.AgentWord;
+import org.cornelramp.core.call.AgentReply;
 import org.cornelramp.core.call.CallAction;
-import org.cornelramp.core.call.Denial;
+import org.cornelramp.core.call.UnboundCallRefusal;
 import org.cornelramp.core.model.Incarnation;
 import org.cornelramp.core.model.Problem;
 import org.cornelramp.wire.message.Settle;
 
 /**
- * A call in progress that is refused because its key cannot be bound. Carries out the actions that its {@link Denial}
+ * A call in progress that is refused because its key cannot be bound. Carries out the actions that its {@link UnboundCallRefusal}
  * returns.
  *
  * <p>Confined to the router's thread. Invariant: the caller gets one final answer.
@@ -22,7 +22,7 @@
     private final ServiceRequest call;
     private final AgentRegistry agents;
     private final RequestTracker tracker;
-    private final Denial state;
+    private final UnboundCallRefusal state;
     private final Deque<CallAction> pendingActions = new ArrayDeque<>();
 
     DenialRun(long callId, ServiceRequest call, Problem reason, RouterContext context) {
@@ -30,11 +30,11 @@
         this.call = call;
         this.agents = context.agents();
         this.tracker = context.tracker();
-        this.state = new Denial(reason, call.request().deadline());
+        this.state = new UnboundCallRefusal(reason, call.request().deadline());
     }
 
-    void replyReceived(Incarnation agent, AgentWord reply, Instant now) {
-        apply(state.said(agent, reply), now);
+    void replyReceived(Incarnation agent, AgentReply reply, Instant now) {
+        apply(state.replyReceived(agent, reply), now);
     }
 
     void linkLost(Incarnation agent, Instant now) {
@@ -47,7 +47,7 @@
         if (state.isWaiting() && agents.history().isListReadSince(arrived)) {
             apply(
                     state.ask(
-                            agents.history().holders(call.request().row().key().service(), call.keyMadeAt(), arrived)),
+                            agents.history().possibleHolders(call.request().row().key().service(), call.keyMadeAt(), arrived)),
                     now);
         }
         apply(state.tick(now), now);
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/EntryPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/EntryPlugin.java
@@ -11,7 +11,7 @@
 import java.util.random.RandomGenerator;
 import org.cornelramp.core.key.IdempotencyKey;
 import org.cornelramp.core.key.KeyIndex;
-import org.cornelramp.core.member.Lives;
+import org.cornelramp.core.member.IncarnationHistory;
 import org.cornelramp.core.model.AgentLoad;
 import org.cornelramp.core.model.AgentState;
 import org.cornelramp.core.model.BackendServerId;
@@ -119,7 +119,7 @@
         Admission admission = new Admission(
                 settings.bounds().inProgress(), settings.timing().heartbeatMillis(), poisonTracker, random);
         AgentHealthTracker healthTracker = new AgentHealthTracker();
-        AgentRegistry agents = new AgentRegistry(new Lives(keyWindow, IdempotencyKey.CLOCK_SKEW), healthTracker);
+        AgentRegistry agents = new AgentRegistry(new IncarnationHistory(keyWindow, IdempotencyKey.CLOCK_SKEW), healthTracker);
         Chooser chooser = settings.choice().newChooser(PrefixHints.NONE);
         Selection selection = new Selection(agents, chooser, settings.dataCentre(), StaticLinkCosts.DEFAULTS, random);
         RequestTracker tracker = new RequestTracker(registry.need(RequestRecorder.class), registry.meters(), admission);
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/KeyBinder.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/KeyBinder.java
@@ -108,7 +108,7 @@
 
     /** Starts the calls whose bindings have been read back. */
     void startBoundCalls(Instant now) {
-        appended.removeIf(pending -> pending.offset < stream.index().next() && startIfBound(pending, now));
+        appended.removeIf(pending -> pending.offset < stream.index().nextOffset() && startIfBound(pending, now));
         queue.removeIf(pending -> startIfBound(pending, now));
     }
 
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/KeyStream.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/KeyStream.java
@@ -48,16 +48,16 @@
     @Override
     public void lookUp(Incarnation agent, String key, long callId) {
         if (index.isSettled(agent)) {
-            router.runAfterCurrent(now -> router.lookupCompleted(callId, index.settled(agent, key), now));
+            router.runAfterCurrent(now -> router.lookupCompleted(callId, index.settledReply(agent, key), now));
         } else {
             readToEnd(endReached ->
-                    router.runAfterCurrent(now -> router.lookupCompleted(callId, index.settled(agent, key), now)));
+                    router.runAfterCurrent(now -> router.lookupCompleted(callId, index.settledReply(agent, key), now)));
         }
     }
 
     @Override
     public long nextOffset() {
-        return index.next();
+        return index.nextOffset();
     }
 
     @Override
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/RequestIntake.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/RequestIntake.java
@@ -9,7 +9,7 @@
 import org.cornelramp.core.key.IdempotencyKey;
 import org.cornelramp.core.key.KeyIndex;
 import org.cornelramp.core.key.KeyRecord;
-import org.cornelramp.core.key.OwnKey;
+import org.cornelramp.core.key.UuidKey;
 import org.cornelramp.core.key.Ticket;
 import org.cornelramp.core.model.Incarnation;
 import org.cornelramp.core.model.Problem;
@@ -95,7 +95,7 @@
             } else if (key.get() instanceof Ticket ticket) {
                 router.startCall(
                         call, Optional.of(new BoundIncarnation(ticket.incarnation(), ticket.madeAt())), reason, now);
-            } else if (key.get() instanceof OwnKey ownKey) {
+            } else if (key.get() instanceof UuidKey ownKey) {
                 bindKey(call, ownKey, reason, now);
             }
         });
@@ -128,7 +128,7 @@
                 call, Optional.of(new BoundIncarnation(binding.incarnation(), binding.boundAt())), refusal, now);
     }
 
-    private void bindKey(ServiceRequest call, OwnKey key, Optional<Problem> refusal, Instant now) {
+    private void bindKey(ServiceRequest call, UuidKey key, Optional<Problem> refusal, Instant now) {
         Either<Problem, Incarnation> agent = chooseAgent(call.request(), now);
         if (agent.isLeft()) {
             binder.denyUnlessBound(call, agent.getLeft(), now);
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/Router.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/Router.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import org.cornelramp.core.call.AgentWord;
+import org.cornelramp.core.call.AgentReply;
 import org.cornelramp.core.model.Incarnation;
 import org.cornelramp.core.model.Problem;
 import org.cornelramp.daemon.kernel.Duty;
@@ -158,7 +158,7 @@
     }
 
     /** Passes to a call what the log holds for its key. */
-    void lookupCompleted(long callId, Optional<AgentWord> reply, Instant now) {
+    void lookupCompleted(long callId, Optional<AgentReply> reply, Instant now) {
         CallRun run = calls.get(callId);
         if (run != null) {
             run.lookupCompleted(reply, now);
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/VmListReader.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/VmListReader.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Collectors;
-import org.cornelramp.core.member.Listed;
+import org.cornelramp.core.member.ListedAgent;
 import org.cornelramp.core.member.Membership;
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.settings.HostPort;
@@ -65,19 +65,19 @@
             return;
         }
         readsFail = false;
-        List<Listed> agents = list.vms().stream()
+        List<ListedAgent> agents = list.vms().stream()
                 .filter(vm -> vm.role() == Role.AGENT)
                 .map(VmListReader::listed)
                 .toList();
-        Set<BackendServerId> names = agents.stream().map(Listed::server).collect(Collectors.toSet());
-        knownAgents.history().listed(requestedAt, names, readAt);
-        Membership.LinkChange change = knownAgents.membership().listed(agents);
+        Set<BackendServerId> names = agents.stream().map(ListedAgent::server).collect(Collectors.toSet());
+        knownAgents.history().updateList(requestedAt, names, readAt);
+        Membership.LinkChange change = knownAgents.membership().updateList(agents);
         change.forget().forEach(address -> links.forget(HostPort.parse(address)));
         change.keep().forEach(address -> links.keep(HostPort.parse(address)));
     }
 
-    private static Listed listed(VmList.Vm vm) {
+    private static ListedAgent listed(VmList.Vm vm) {
         boolean leaving = vm.state() == VmList.State.LEAVING;
-        return new Listed(new BackendServerId(vm.vm()), vm.address().toString(), leaving);
+        return new ListedAgent(new BackendServerId(vm.vm()), vm.address().toString(), leaving);
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/route/Beliefs.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Beliefs.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 import java.util.Set;
 import org.cornelramp.core.fleet.BackendServer;
-import org.cornelramp.core.fleet.PlainServers;
+import org.cornelramp.core.fleet.PlainServerSelector;
 import org.cornelramp.core.fleet.ServerRegistry;
-import org.cornelramp.core.fleet.Suspicions;
+import org.cornelramp.core.fleet.SuspectedServers;
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.model.ServiceName;
 import org.cornelramp.core.path.EngineLoads;
@@ -27,9 +27,9 @@
 
     private final long confirmMillis;
     private final ServerRegistry registry = new ServerRegistry();
-    private final Suspicions suspicions = new Suspicions();
+    private final SuspectedServers suspicions = new SuspectedServers();
     private final EngineLoads loads = new EngineLoads();
-    private final PlainServers plain = new PlainServers();
+    private final PlainServerSelector plain = new PlainServerSelector();
     private long lagMillis;
     private long lateUntilMillis = Long.MIN_VALUE;
     private boolean known;
@@ -38,7 +38,7 @@
 
     /** @param heartbeatMillis interval in which the servers renew their registrations */
     public Beliefs(long heartbeatMillis) {
-        this.confirmMillis = HEARTBEATS_MISSED * heartbeatMillis + ServerRegistry.RETURN_MILLIS;
+        this.confirmMillis = HEARTBEATS_MISSED * heartbeatMillis + ServerRegistry.REGISTRATION_GRACE_MILLIS;
     }
 
     /** The registrations. */
@@ -47,7 +47,7 @@
     }
 
     /** Servers that have just failed. */
-    public Suspicions suspicions() {
+    public SuspectedServers suspicions() {
         return suspicions;
     }
 
@@ -57,7 +57,7 @@
     }
 
     /** How plain servers did. */
-    public PlainServers plain() {
+    public PlainServerSelector plain() {
         return plain;
     }
 
@@ -152,7 +152,7 @@
     /** Notes whether the store answers. */
     public void storeAnswers(boolean answers, long nowMillis) {
         connected = answers;
-        registry.storeAnswers(answers, nowMillis);
+        registry.setStoreAvailable(answers, nowMillis);
     }
 
     /** Whether the server stops soon, or has already taken back its registration. */
--- a/gateway/src/main/java/org/cornelramp/gateway/route/Dispatcher.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Dispatcher.java
@@ -83,7 +83,7 @@
     /** Sends the request to a server that was chosen just now. */
     void send(Flight flight, Choice choice, long now) {
         choice.path().ifPresentOrElse(way -> loadPrompt(flight, way), () -> beliefs.plain()
-                .sent(choice.server().id()));
+                .requestSent(choice.server().id()));
         begin(flight, choice.server(), choice.path(), now);
     }
 
--- a/gateway/src/main/java/org/cornelramp/gateway/route/Router.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Router.java
@@ -373,7 +373,7 @@
             checkTime(flight, now);
         }
         resumeWaiting(now);
-        for (BackendServerId id : beliefs.suspicions().dueForTrial(now)) {
+        for (BackendServerId id : beliefs.suspicions().dueForProbe(now)) {
             beliefs.registry()
                     .server(id)
                     .filter(server -> !server.card().isEmpty())
--- a/gateway/src/main/java/org/cornelramp/gateway/route/ServerJudge.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/ServerJudge.java
@@ -5,8 +5,8 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import org.cornelramp.core.fleet.BackendServer;
-import org.cornelramp.core.fleet.Suspicions.Evidence;
-import org.cornelramp.core.fleet.UnansweredQuestions;
+import org.cornelramp.core.fleet.SuspectedServers.Evidence;
+import org.cornelramp.core.fleet.UnansweredProbes;
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.gateway.log.EventLog;
 import org.cornelramp.gateway.metrics.Meters;
@@ -34,7 +34,7 @@
     private final EventLog log;
     private final Meters meters;
     private final Consumer<RouterEvent> router;
-    private final UnansweredQuestions unanswered = new UnansweredQuestions();
+    private final UnansweredProbes unanswered = new UnansweredProbes();
     private BiConsumer<BackendServerId, Long> onLost = (id, nowMillis) -> {};
     private boolean lostSeen;
 
@@ -74,7 +74,7 @@
     void learn(Attempt attempt, AttemptEnd end, long now) {
         if (attempt.path().isEmpty()) {
             boolean good = end.kind() == AttemptEnd.Kind.ANSWERED && end.status() < SERVER_ERROR;
-            beliefs.plain().ended(attempt.server().id(), good, now - attempt.startMillis());
+            beliefs.plain().requestEnded(attempt.server().id(), good, now - attempt.startMillis());
         } else if (end.kind() == AttemptEnd.Kind.RELAYED) {
             beliefs.loads().recordOutcome(attempt.server().id(), false);
         } else if (isOwnFailure(attempt, end)) {
@@ -146,7 +146,7 @@
      */
     void seenToFail(BackendServer server, long now) {
         if (!server.card().isEmpty()) {
-            unanswered.seenElsewhere(server.id(), now);
+            unanswered.reportedByPeer(server.id(), now);
             desk.askQuickly(server, router, beliefs.lagMillis(), now);
         }
     }
@@ -163,7 +163,7 @@
     }
 
     private void seenAlive(BackendServerId id, long seenMillis, String why, long now) {
-        if (beliefs.suspicions().seenAlive(id, seenMillis, now)) {
+        if (beliefs.suspicions().recordSignOfLife(id, seenMillis, now)) {
             log.line("fleet", "trusted").with("server", id).with("why", why).write();
         }
     }
@@ -195,8 +195,8 @@
     private void unreported(BackendServer engine, StoreFault fault, long now) {
         boolean dead = fault.kind() == StoreFault.Kind.NOT_LISTENING;
         if (beliefs.suspicions().isLost(engine.id(), now)) {
-            beliefs.suspicions().trialFailed(engine.id(), now);
-        } else if (!dead && unanswered.isOwnFault(engine.id(), beliefs.isLate(now), now)) {
+            beliefs.suspicions().probeFailed(engine.id(), now);
+        } else if (!dead && unanswered.isLikelyLocalFault(engine.id(), beliefs.isLate(now), now)) {
             desk.ask(engine, router); // with a timeout that an overloaded process keeps as well
         } else {
             suspect(engine, dead ? Evidence.LOST : Evidence.SILENT, "no report: " + fault, now);
--- a/gateway/src/main/java/org/cornelramp/gateway/route/StreamWatch.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/StreamWatch.java
@@ -83,7 +83,7 @@
 
     /** Ends doubts about engines that events have passed since. What a late process reads now may have been sent before. */
     private void trustPassed(List<SilentEngineDetector.StreamActivity> streams, long now) {
-        if (beliefs.isLate(now) || !beliefs.suspicions().hasSilent(now)) {
+        if (beliefs.isLate(now) || !beliefs.suspicions().hasSilentSuspects(now)) {
             return;
         }
         streams.stream().filter(SilentEngineDetector.StreamActivity::begun).forEach(stream -> stream.engines()
