--- a/gateway/src/main/java/org/cornelramp/gateway/Gateway.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/Gateway.java
@@ -7,23 +7,23 @@
 import org.cornelramp.core.routing.RoutingConfig;
 import org.cornelramp.core.settings.GatewaySettings;
 import org.cornelramp.gateway.follow.ConfigFollower;
-import org.cornelramp.gateway.follow.Follower;
-import org.cornelramp.gateway.follow.PeerRecords;
+import org.cornelramp.gateway.follow.TopicFollower;
+import org.cornelramp.gateway.follow.PeerRecordsClient;
 import org.cornelramp.gateway.follow.PeerRecordsHandler;
-import org.cornelramp.gateway.follow.PeerVersions;
-import org.cornelramp.gateway.follow.ReadingShare;
+import org.cornelramp.gateway.follow.PeerConfigVersions;
+import org.cornelramp.gateway.follow.ReadCoordinator;
 import org.cornelramp.gateway.follow.RecordCache;
 import org.cornelramp.gateway.follow.ServerFollower;
-import org.cornelramp.gateway.follow.StoreAccess;
+import org.cornelramp.gateway.follow.StoreAvailability;
 import org.cornelramp.gateway.log.EventLog;
 import org.cornelramp.gateway.metrics.Meters;
 import org.cornelramp.gateway.peer.PeerLink;
 import org.cornelramp.gateway.place.LeaderLease;
-import org.cornelramp.gateway.place.PlacementDuty;
+import org.cornelramp.gateway.place.LayerPlacer;
 import org.cornelramp.gateway.request.FrontServer;
 import org.cornelramp.gateway.request.InternalHandler;
 import org.cornelramp.gateway.route.ConfigHolder;
-import org.cornelramp.gateway.route.EngineDesk;
+import org.cornelramp.gateway.route.AsyncEngineControl;
 import org.cornelramp.gateway.route.Router;
 import org.cornelramp.platform.EngineControl;
 import org.cornelramp.platform.MetadataStore;
@@ -54,7 +54,7 @@
     private final ServerFollower serverFollower;
     private final PeerLink peers;
     private final LeaderLease lease;
-    private final PlacementDuty placement;
+    private final LayerPlacer placement;
     private final FrontServer front;
     private final CountDownLatch stop = new CountDownLatch(1);
 
@@ -69,18 +69,18 @@
         ConfigHolder config = new ConfigHolder();
         MetadataStore store = new MetadataStore(clients.pooled(), settings.store());
         EngineControl control = new EngineControl(clients.pooled());
-        this.router = new Router(settings, clients, config, clock, log, meters, new EngineDesk(control));
+        this.router = new Router(settings, clients, config, clock, log, meters, new AsyncEngineControl(control));
         RecordCache cache = new RecordCache();
-        StoreAccess access = new StoreAccess();
-        ReadingShare share = new ReadingShare(settings.metrics());
+        StoreAvailability access = new StoreAvailability();
+        ReadCoordinator share = new ReadCoordinator(settings.metrics());
         BooleanSupplier leads = () -> !this.lease().term(clock.millis()).equals(LeaderLease.NONE);
-        PeerVersions versions = new PeerVersions(
-                () -> config.current().map(RoutingConfig::version).orElse(PeerVersions.NONE));
+        PeerConfigVersions versions = new PeerConfigVersions(
+                () -> config.current().map(RoutingConfig::version).orElse(PeerConfigVersions.NONE));
         this.peers = new PeerLink(
                 settings.peers(),
                 settings.dataCentre(),
-                router::news,
-                router::peerTold,
+                router::currentUpdate,
+                router::receivePeerUpdate,
                 share,
                 versions,
                 leads,
@@ -88,13 +88,13 @@
                 log);
         this.lease =
                 new LeaderLease(settings.name(), settings.peers(), peers::setPeers, store, access, clock, log, meters);
-        PeerRecords peerRecords =
-                new PeerRecords(clients.pooled(), settings.metrics().port(), peers::peers);
-        Follower.Parts parts = new Follower.Parts(store, access, share, leads, cache, peerRecords, clock, log, meters);
+        PeerRecordsClient peerRecords =
+                new PeerRecordsClient(clients.pooled(), settings.metrics().port(), peers::peers);
+        TopicFollower.Dependencies parts = new TopicFollower.Dependencies(store, access, share, leads, cache, peerRecords, clock, log, meters);
         this.configFollower = new ConfigFollower(parts, config, versions);
         this.serverFollower = new ServerFollower(parts, router);
-        this.placement = new PlacementDuty(lease, control, config, router::view, clock, log, meters);
-        meters.gauge("requests.underway", router::underWay);
+        this.placement = new LayerPlacer(lease, control, config, router::view, clock, log, meters);
+        meters.gauge("requests.underway", router::activeRequestCount);
         meters.gauge("servers", () -> router.view().servers().size());
         meters.gauge("servers.suspected", () -> router.view().suspects().size());
         meters.gauge(
@@ -148,13 +148,13 @@
     public void awaitStop() throws Exception {
         stop.await();
         long begun = clock.millis();
-        log.line("process", "stop begins").with("underWay", router.underWay()).write();
+        log.line("process", "stop begins").with("underWay", router.activeRequestCount()).write();
         front.leave();
-        router.leave();
+        router.announceStop();
         placement.stop();
         lease.stop();
         long limit = begun + settings.timing().graceMillis() - MARGIN_MILLIS;
-        while (clock.millis() < limit && (clock.millis() < begun + UNLISTED_MILLIS || router.underWay() > 0)) {
+        while (clock.millis() < limit && (clock.millis() < begun + UNLISTED_MILLIS || router.activeRequestCount() > 0)) {
             Thread.sleep(POLL_MILLIS);
             if (clock.millis() >= begun + STREAMS_MILLIS) {
                 front.refuseStreams();
@@ -163,7 +163,7 @@
                 front.refuseNew();
             }
         }
-        log.line("process", "stop").with("cut", router.underWay()).write();
+        log.line("process", "stop").with("cut", router.activeRequestCount()).write();
         close();
     }
 
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/ConfigFollower.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/ConfigFollower.java
@@ -8,57 +8,58 @@
 import org.cornelramp.platform.StoreFault;
 
 /**
- * Keeps the configuration in force up to date: each version is here as soon as the store has it. Used by its own
- * thread only, but for start and stop.
+ * Keeps the configuration in force up to date with the store. Confined to its own thread, except for start and stop.
  */
-public final class ConfigFollower extends Follower {
+public final class ConfigFollower extends TopicFollower {
     private static final String KEY = "config";
 
-    /** Pause while the operators have not written a configuration yet. */
-    private static final long FIRST_MILLIS = 50;
+    /** Pause between two reads while there is no configuration yet. */
+    private static final long NO_CONFIG_PAUSE_MILLIS = 50;
 
     private final ConfigHolder holder;
-    private final PeerVersions versions;
+    private final PeerConfigVersions versions;
 
-    /** @param versions tells which peer has a newer version than the store has shown */
-    public ConfigFollower(Parts parts, ConfigHolder holder, PeerVersions versions) {
+    /** @param versions names the peer that has a newer version than this process has read */
+    public ConfigFollower(Dependencies parts, ConfigHolder holder, PeerConfigVersions versions) {
         super("config", MetadataStore.Topic.OPERATORS, parts);
         this.holder = holder;
         this.versions = versions;
     }
 
     @Override
-    boolean take(MetadataStore.Page page, boolean whole) {
-        page.records().forEach(this::take);
+    boolean apply(MetadataStore.Page page, boolean complete) {
+        page.records().forEach(this::apply);
         return true;
     }
 
     @Override
-    void storeAnswers(boolean answers) {
-        // the servers' follower tells it for both
+    void onStoreStatus(boolean answers) {
+        // reported by the ServerFollower for both
     }
 
     @Override
     void beforeStep(long nowMillis) {
-        versions.toAsk(nowMillis).flatMap(host -> peers().config(host)).ifPresent(source -> take(source, "peer", -1));
+        versions.peerToAsk(nowMillis)
+                .flatMap(host -> peers().fetchConfig(host))
+                .ifPresent(source -> apply(source, "peer", -1));
     }
 
     @Override
     long pauseMillis() {
-        return holder.current().isEmpty() ? FIRST_MILLIS : 0;
+        return holder.current().isEmpty() ? NO_CONFIG_PAUSE_MILLIS : 0;
     }
 
-    private void take(MetadataStore.KeyedRecord record) {
+    private void apply(MetadataStore.KeyedRecord record) {
         if (record.key().equals(KEY)) {
-            record.value().ifPresent(source -> take(source, "store", record.offset()));
+            record.value().ifPresent(source -> apply(source, "store", record.offset()));
         }
     }
 
-    /** @param offset where the store has it; negative if it came from a peer */
-    private void take(byte[] source, String from, long offset) {
+    /** @param offset offset of the record in the store; negative if the configuration came from a peer */
+    private void apply(byte[] source, String from, long offset) {
         Either<StoreFault, RoutingConfig> config = ConfigDecoder.decode(source);
         if (config.isLeft()) {
-            unreadable(offset, config.getLeft().toString());
+            recordUnreadable(offset, config.getLeft().toString());
             return;
         }
         boolean newer = holder.offer(config.get(), source);
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/PeerRecordsHandler.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/PeerRecordsHandler.java
@@ -12,12 +12,14 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** Gives peers the store's records as this process has read them. Safe for use by any thread. */
+/**
+ * Serves the store's records that this process has read, and its configuration, to peers. Safe for use by any thread.
+ */
 public final class PeerRecordsHandler extends Handler.Abstract {
-    /** Names the offset from which on a peer wants the records. */
+    /** Query parameter: offset from which on the peer needs records. */
     static final String FROM = "from";
 
-    /** Names the era of the store in which that offset holds. */
+    /** Query parameter: era of the store for which that offset is valid. */
     static final String ERA = "era";
 
     /** Path of the configuration in force. */
@@ -39,7 +41,7 @@
         return PREFIX + topic.name().toLowerCase(Locale.ROOT);
     }
 
-    /** A number that the peer names; negative if it names none that can be read, so that it is given everything. */
+    /** A numeric query parameter; negative if it is missing or unreadable, so that the peer gets all records. */
     private static long number(Request request, String name) {
         String text = Request.extractQueryParameters(request).getValue(name);
         try {
@@ -60,7 +62,10 @@
             if (path(topic).equals(path)) {
                 long era = number(request, ERA);
                 long from = number(request, FROM);
-                answer(cache.fresh(topic, era, from, clock.millis()).map(RecordsCodec::write), response, callback);
+                answer(
+                        cache.recordsFrom(topic, era, from, clock.millis()).map(RecordsCodec::write),
+                        response,
+                        callback);
                 return true;
             }
         }
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/RecordsCodec.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/RecordsCodec.java
@@ -10,14 +10,14 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** The MessagePack form of records between gateways. Stateless, safe for use by any thread. */
+/** MessagePack encoding of the records that gateways exchange. Stateless, safe for use by any thread. */
 final class RecordsCodec {
     private RecordsCodec() {}
 
-    static byte[] write(RecordCache.Part part) {
-        MetadataStore.Page page = part.page();
+    static byte[] write(RecordCache.RecordSet recordSet) {
+        MetadataStore.Page page = recordSet.page();
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-            out.packBoolean(part.whole());
+            out.packBoolean(recordSet.complete());
             out.packLong(page.next());
             out.packLong(page.era());
             out.packArrayHeader(page.records().size());
@@ -30,14 +30,14 @@
             }
             return out.toByteArray();
         } catch (IOException e) {
-            throw new IllegalStateException("Memory takes every byte", e);
+            throw new IllegalStateException("MessagePack encoding to a memory buffer failed", e);
         }
     }
 
-    /** Reads records; the left side says what is wrong with the bytes. */
-    static Either<String, RecordCache.Part> read(byte[] bytes) {
+    /** Decodes records; the left side says why the bytes are invalid. */
+    static Either<String, RecordCache.RecordSet> read(byte[] bytes) {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
-            boolean whole = in.unpackBoolean();
+            boolean complete = in.unpackBoolean();
             long next = in.unpackLong();
             long era = in.unpackLong();
             List<MetadataStore.KeyedRecord> records = new ArrayList<>();
@@ -48,7 +48,7 @@
                 records.add(new MetadataStore.KeyedRecord(
                         offset, key, value.length == 0 ? Optional.empty() : Optional.of(value)));
             }
-            return Either.right(new RecordCache.Part(new MetadataStore.Page(records, next, era), whole));
+            return Either.right(new RecordCache.RecordSet(new MetadataStore.Page(records, next, era), complete));
         } catch (IOException | RuntimeException e) {
             return Either.left(e.toString());
         }
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/ServerFollower.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/ServerFollower.java
@@ -15,35 +15,36 @@
 import org.cornelramp.platform.StoreFault;
 
 /**
- * Reads the backend servers' registrations. Used by its own thread only, but for start and stop.
+ * Reads the backend servers' registrations. Confined to its own thread, except for start and stop.
  *
- * <p>The store keeps a record only when more than a heartbeat's number has changed, so a call that waits for the next
- * record is rare on a calm day. A short pause after each gathers the records of many servers that change together.
+ * <p>The store appends a record only if anything but the heartbeat's sequence number has changed, so long polls rarely
+ * return while the servers are stable. A short pause after each read collects the records of many servers that change
+ * together.
  */
-public final class ServerFollower extends Follower {
+public final class ServerFollower extends TopicFollower {
     private static final long PAUSE_MILLIS = 80;
 
     private final Router router;
 
-    public ServerFollower(Parts parts, Router router) {
+    public ServerFollower(Dependencies parts, Router router) {
         super("servers", MetadataStore.Topic.SERVERS, parts);
         this.router = router;
     }
 
-    /** Only what the router's ring took counts as read. */
+    /** Records count as read only if the router's ring buffer accepted them. */
     @Override
-    boolean take(MetadataStore.Page page, boolean whole) {
-        return router.offer(new RouterEvent.Registered(decode(page), whole, page.next(), page.era()));
+    boolean apply(MetadataStore.Page page, boolean complete) {
+        return router.offer(new RouterEvent.RegistrationsRead(decode(page), complete, page.next(), page.era()));
     }
 
     @Override
-    void storeAnswers(boolean answers) {
-        router.offer(new RouterEvent.StoreAnswers(answers));
+    void onStoreStatus(boolean answers) {
+        router.offer(new RouterEvent.StoreStatus(answers));
     }
 
     @Override
     void beforeStep(long nowMillis) {
-        // registrations come with the readings of peers alone
+        // peers' registrations are read only in the step itself
     }
 
     @Override
@@ -55,7 +56,7 @@
         List<ServerRegistry.Registration> registrations = new ArrayList<>();
         for (MetadataStore.KeyedRecord record : page.records()) {
             if (!NameValidator.isValid(record.key())) {
-                unreadable(record.offset(), "its key is no server's name");
+                recordUnreadable(record.offset(), "its key is not a valid server name");
                 continue;
             }
             BackendServerId name = new BackendServerId(record.key());
@@ -65,11 +66,14 @@
         return registrations;
     }
 
-    /** A registration that cannot be read names no server to use, whatever stood under its name before. */
+    /**
+     * Decodes a registration; empty if it is unreadable, so that an earlier registration under the same name is not
+     * used any more.
+     */
     private Optional<BackendServer> decode(BackendServerId name, byte[] value, long offset) {
         Either<StoreFault, BackendServer> server = RegistrationDecoder.decode(name, value);
         if (server.isLeft()) {
-            unreadable(offset, server.getLeft().toString());
+            recordUnreadable(offset, server.getLeft().toString());
         }
         return server.toJavaOptional();
     }
--- /dev/null
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/TopicFollower.java
@@ -0,0 +1,264 @@
+package org.cornelramp.gateway.follow;
+
+import io.vavr.control.Either;
+import java.util.Optional;
+import java.util.concurrent.locks.LockSupport;
+import java.util.function.BooleanSupplier;
+import org.cornelramp.gateway.SteadyClock;
+import org.cornelramp.gateway.log.EventLog;
+import org.cornelramp.gateway.metrics.Meters;
+import org.cornelramp.platform.MetadataStore;
+import org.cornelramp.platform.StoreFault;
+
+/**
+ * A thread that continuously reads one topic of the platform's store: from the gateway that reads for all, or else from
+ * the store, and less often while the store does not answer. {@link #start} and {@link #stop} are called by one thread.
+ */
+public abstract class TopicFollower {
+    /** First pause after a fault, in milliseconds; doubled up to the longest. */
+    private static final long FIRST_PAUSE_MILLIS = 150;
+
+    /** Longest pause after a fault: the store's records must be known here within two seconds of its return. */
+    private static final long MAX_PAUSE_MILLIS = 700;
+
+    /**
+     * Least time between two reads while the store is unavailable, in milliseconds. It may refuse renewals of the lease
+     * but serve reads, and a change must be in force within two more seconds.
+     */
+    private static final long UNAVAILABLE_PAUSE_MILLIS = 2_000;
+
+    /**
+     * Longest duration of a long poll. A dead connection is detected after this time plus the timeout of the call,
+     * within the two seconds in which a change must be in force.
+     */
+    static final long LONG_POLL_MILLIS = 1_000;
+
+    /** Interval of the checks whether the reading gateway has newer records, and whether the store has returned. */
+    private static final long CHECK_INTERVAL_MILLIS = 30;
+
+    private final MetadataStore.Topic topic;
+    private final Dependencies parts;
+    private final Thread thread;
+    private volatile boolean running = true;
+    private long faultPauseMillis = FIRST_PAUSE_MILLIS;
+    private long lastAttemptMillis;
+    private long lastFaultMillis = Long.MIN_VALUE;
+    private long nextOffset = -1;
+
+    /** Era of the store for which the next offset is valid. */
+    private long era;
+
+    /**
+     * Collaborators that all followers share. Immutable.
+     *
+     * @param store the platform's store
+     * @param storeAvailability whether the store answers this process
+     * @param readCoordinator decides from where a topic is read
+     * @param isLeader whether this process is the leader, and so reads for all
+     * @param cache keeps the records for peers
+     * @param peers reads records from peers
+     */
+    public record Dependencies(
+            MetadataStore store,
+            StoreAvailability storeAvailability,
+            ReadCoordinator readCoordinator,
+            BooleanSupplier isLeader,
+            RecordCache cache,
+            PeerRecordsClient peers,
+            SteadyClock clock,
+            EventLog log,
+            Meters meters) {}
+
+    TopicFollower(String name, MetadataStore.Topic topic, Dependencies parts) {
+        this.topic = topic;
+        this.parts = parts;
+        this.thread = new Thread(this::run, name);
+        thread.setDaemon(true);
+    }
+
+    /** Starts the thread. */
+    public final void start() {
+        thread.start();
+    }
+
+    /** Tells the thread to end, without waiting for a call in progress. */
+    public final void stop() {
+        running = false;
+        thread.interrupt();
+    }
+
+    /**
+     * Applies records.
+     *
+     * @param complete whether the records contain every existing key
+     * @return whether the records were applied; if not, they are read again
+     */
+    abstract boolean apply(MetadataStore.Page page, boolean complete);
+
+    /** Called with each read: whether the store answers this process or the gateway that reads for it. */
+    abstract void onStoreStatus(boolean answers);
+
+    /** Called before each step. */
+    abstract void beforeStep(long nowMillis);
+
+    /** Reads records from peers. */
+    final PeerRecordsClient peers() {
+        return parts.peers();
+    }
+
+    /** Least pause between two steps that read, in milliseconds. */
+    abstract long pauseMillis();
+
+    /** Starts a log line under the name of the follower. */
+    final EventLog.Line line(String event) {
+        return parts.log().line(thread.getName(), event);
+    }
+
+    /** Counts and logs an unusable record; the log line is sampled, as the writer may repeat the record endlessly. */
+    final void recordUnreadable(long offset, String fault) {
+        parts.meters().unreadable(thread.getName());
+        parts.log()
+                .ordinary(thread.getName(), "unreadable")
+                .with("offset", offset)
+                .with("fault", fault)
+                .write();
+    }
+
+    /**
+     * Reads once, if there is something to read.
+     *
+     * @return pause until the next step in milliseconds; negative after a fault
+     */
+    private long step() {
+        long now = parts.clock().millis();
+        beforeStep(now);
+        return switch (parts.readCoordinator()
+                .source(topic, era, nextOffset, parts.isLeader().getAsBoolean(), now)) {
+            case STORE ->
+                parts.storeAvailability().isUnavailable() && now - lastAttemptMillis < UNAVAILABLE_PAUSE_MILLIS
+                        ? fallBackToPeers()
+                        : readStore();
+            case READER -> readPeer();
+            case UP_TO_DATE -> {
+                onStoreStatus(true);
+                yield CHECK_INTERVAL_MILLIS;
+            }
+        };
+    }
+
+    private long readStore() {
+        lastAttemptMillis = parts.clock().millis();
+        boolean complete = nextOffset < 0;
+        Either<StoreFault, MetadataStore.Page> read =
+                complete ? parts.store().newest(topic) : parts.store().read(topic, nextOffset, LONG_POLL_MILLIS);
+        if (read.isLeft()) {
+            return handleFault(read.getLeft());
+        }
+        parts.meters().storeCall(thread.getName(), "ok");
+        parts.storeAvailability().recordAnswer(parts.clock().millis());
+        MetadataStore.Page page = read.get();
+        if (!complete && page.era() != era) {
+            return restartAfterRestore(page.era());
+        }
+        long now = parts.clock().millis();
+        parts.cache().update(topic, page, complete, now);
+        parts.readCoordinator().recordRead(topic, page.era(), page.next(), now);
+        onStoreStatus(true);
+        applyAndAdvance(page, complete);
+        return pauseMillis();
+    }
+
+    /**
+     * Starts over after the store was restored: records at offsets that were read before have been replaced by others.
+     */
+    private long restartAfterRestore(long newEra) {
+        line("store restored").with("era", newEra).with("offset", nextOffset).write();
+        nextOffset = -1;
+        return 0;
+    }
+
+    private void applyAndAdvance(MetadataStore.Page page, boolean complete) {
+        if (apply(page, complete)) {
+            nextOffset = page.next();
+            era = page.era();
+        }
+    }
+
+    private long readPeer() {
+        Optional<RecordCache.RecordSet> recordSet = parts.readCoordinator()
+                .readerAddress()
+                .flatMap(reader -> parts.peers().fetch(reader, topic, era, nextOffset));
+        if (recordSet.isEmpty() || !continuesFromHere(recordSet.get())) {
+            return readStore(); // its updates arrive, but it does not answer, or does not know of the restore yet
+        }
+        parts.meters().storeCall(thread.getName(), "peer");
+        MetadataStore.Page page = recordSet.get().page();
+        parts.cache()
+                .update(topic, page, recordSet.get().complete(), parts.clock().millis());
+        onStoreStatus(true);
+        applyAndAdvance(page, recordSet.get().complete());
+        return pauseMillis();
+    }
+
+    /**
+     * Whether a peer's records continue those known here: a later era can be entered only with a complete set of
+     * records.
+     */
+    private boolean continuesFromHere(RecordCache.RecordSet recordSet) {
+        long theirs = recordSet.page().era();
+        return theirs == era || (theirs > era && recordSet.complete());
+    }
+
+    private long handleFault(StoreFault fault) {
+        if (fault.kind() == StoreFault.Kind.GONE) {
+            nextOffset = -1;
+            return 0;
+        }
+        parts.meters().storeCall(thread.getName(), fault.kind().name());
+        parts.storeAvailability().recordFailure();
+        line("not read").with("fault", fault).write();
+        return fallBackToPeers();
+    }
+
+    /** Falls back to the peers' records, as the store may refuse this process only. */
+    private long fallBackToPeers() {
+        lastFaultMillis = parts.clock().millis();
+        parts.readCoordinator().recordFailure(topic);
+        onStoreStatus(false);
+        parts.peers().fetchFromAnyPeer(topic).ifPresent(recordSet -> apply(recordSet.page(), recordSet.complete()));
+        return -1;
+    }
+
+    private void run() {
+        while (running) {
+            long pause;
+            try {
+                pause = step();
+            } catch (RuntimeException e) {
+                line("follower failed").with("fault", e).write();
+                lastFaultMillis = parts.clock().millis();
+                pause = -1;
+            }
+            if (pause < 0) {
+                pauseAfterFault();
+            } else {
+                faultPauseMillis = FIRST_PAUSE_MILLIS;
+                pause(pause);
+            }
+        }
+    }
+
+    /** Waits longer after each fault, but at most until the store has answered another thread. */
+    private void pauseAfterFault() {
+        for (long left = faultPauseMillis;
+                left > 0 && !parts.storeAvailability().hasRecoveredSince(lastFaultMillis);
+                left -= CHECK_INTERVAL_MILLIS) {
+            pause(CHECK_INTERVAL_MILLIS);
+        }
+        faultPauseMillis = Math.min(MAX_PAUSE_MILLIS, faultPauseMillis * 2);
+    }
+
+    private void pause(long millis) {
+        LockSupport.parkNanos(this, millis * 1_000_000L);
+    }
+}
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/package-info.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/package-info.java
@@ -1,2 +1,4 @@
-/** Threads that follow the platform's store. */
+/**
+ * Threads that read the configuration and the registrations from the platform's store, and share them between gateways.
+ */
 package org.cornelramp.gateway.follow;
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/NewsUrgency.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/NewsUrgency.java
@@ -6,7 +6,7 @@
 import java.util.stream.Collectors;
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.retry.RetryLoanUpdate;
-import org.cornelramp.gateway.follow.ReadingShare;
+import org.cornelramp.gateway.follow.ReadCoordinator;
 
 /**
  * Decides which news every peer must hear at once, and not when its turn comes. Owned by one thread.
@@ -17,7 +17,7 @@
     private Set<BackendServerId> toldSuspects = Set.of();
     private Set<Long> toldAsks = Set.of();
     private boolean toldLeaving;
-    private Optional<ReadingShare.Reading> toldReading = Optional.empty();
+    private Optional<ReadCoordinator.ReadPosition> toldReading = Optional.empty();
 
     /**
      * Whether the news tell for the first time of a failure, of this gateway's stop, of something new read, or that repeats
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerLink.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerLink.java
@@ -20,8 +20,8 @@
 import org.cornelramp.core.model.DataCentre;
 import org.cornelramp.core.settings.HostPort;
 import org.cornelramp.gateway.SteadyClock;
-import org.cornelramp.gateway.follow.PeerVersions;
-import org.cornelramp.gateway.follow.ReadingShare;
+import org.cornelramp.gateway.follow.PeerConfigVersions;
+import org.cornelramp.gateway.follow.ReadCoordinator;
 import org.cornelramp.gateway.log.EventLog;
 
 /**
@@ -38,8 +38,8 @@
     private final HostPort address;
     private final Supplier<PeerNews> own;
     private final Consumer<PeerNews> onNews;
-    private final ReadingShare share;
-    private final PeerVersions versions;
+    private final ReadCoordinator share;
+    private final PeerConfigVersions versions;
     private final BooleanSupplier leads;
     private final SteadyClock clock;
     private final EventLog log;
@@ -69,8 +69,8 @@
             DataCentre dataCentre,
             Supplier<PeerNews> own,
             Consumer<PeerNews> onNews,
-            ReadingShare share,
-            PeerVersions versions,
+            ReadCoordinator share,
+            PeerConfigVersions versions,
             BooleanSupplier leads,
             SteadyClock clock,
             EventLog log) {
@@ -160,8 +160,8 @@
         }
         PeerNews news = own.get()
                 .withHeard(introduced())
-                .withReading(share.own(leads.getAsBoolean(), clock.millis()))
-                .withConfigVersion(versions.own());
+                .withReading(share.ownPosition(leads.getAsBoolean(), clock.millis()))
+                .withConfigVersion(versions.ownVersion());
         Set<InetSocketAddress> told = new LinkedHashSet<>(
                 turns.take(all, urgency.isUrgent(news), news.reading().isPresent()));
         told.addAll(askers.take());
@@ -222,7 +222,7 @@
         if (from instanceof InetSocketAddress sender) {
             book.heard(sender, clock.millis());
             places.heard(sender, news.sender().dataCentre());
-            versions.heard(sender.getHostString(), news.configVersion(), clock.millis());
+            versions.recordVersion(sender.getHostString(), news.configVersion(), clock.millis());
             if (!news.repeats().loanRequests().isEmpty()) {
                 askers.add(sender);
             }
@@ -234,7 +234,7 @@
         boolean old = last != null && last[0] == news.sender().life() && last[1] >= news.number();
         if (!old) {
             newest.put(news.name(), new long[] {news.sender().life(), news.number()});
-            news.reading().ifPresent(reading -> share.heard(reading, clock.millis()));
+            news.reading().ifPresent(reading -> share.receivePosition(reading, clock.millis()));
             onNews.accept(news);
         }
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerNews.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerNews.java
@@ -9,8 +9,8 @@
 import org.cornelramp.core.path.EngineLoads;
 import org.cornelramp.core.retry.RetryLoanUpdate;
 import org.cornelramp.core.settings.HostPort;
-import org.cornelramp.gateway.follow.PeerVersions;
-import org.cornelramp.gateway.follow.ReadingShare;
+import org.cornelramp.gateway.follow.PeerConfigVersions;
+import org.cornelramp.gateway.follow.ReadCoordinator;
 
 /**
  * What one gateway tells its peers. Immutable, safe for use by any thread.
@@ -37,7 +37,7 @@
         Set<BackendServerId> suspects,
         RetryLoanUpdate repeats,
         List<HostPort> heard,
-        Optional<ReadingShare.Reading> reading,
+        Optional<ReadCoordinator.ReadPosition> reading,
         long configVersion) {
 
     public PeerNews {
@@ -82,7 +82,7 @@
                 repeats,
                 List.of(),
                 Optional.empty(),
-                PeerVersions.NONE);
+                PeerConfigVersions.NONE);
     }
 
     /** The same news with addresses of peers. */
@@ -92,7 +92,7 @@
     }
 
     /** The same news with what this gateway has read for all. */
-    PeerNews withReading(Optional<ReadingShare.Reading> read) {
+    PeerNews withReading(Optional<ReadCoordinator.ReadPosition> read) {
         return new PeerNews(
                 sender, number, leaving, loads, crossings, paces, suspects, repeats, heard, read, configVersion);
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerNewsCodec.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerNewsCodec.java
@@ -15,7 +15,7 @@
 import org.cornelramp.core.path.EngineLoads;
 import org.cornelramp.core.retry.RetryLoanUpdate;
 import org.cornelramp.core.settings.HostPort;
-import org.cornelramp.gateway.follow.ReadingShare;
+import org.cornelramp.gateway.follow.ReadCoordinator;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
@@ -55,8 +55,8 @@
             }
             out.packBoolean(news.reading().isPresent());
             if (news.reading().isPresent()) {
-                ReadingShare.Reading reading = news.reading().get();
-                out.packString(reading.records().toString());
+                ReadCoordinator.ReadPosition reading = news.reading().get();
+                out.packString(reading.recordsAddress().toString());
                 out.packLong(reading.configEnd());
                 out.packLong(reading.serversEnd());
                 out.packLong(reading.era());
@@ -159,8 +159,8 @@
             for (int left = in.unpackArrayHeader(); left > 0; left--) {
                 heard.add(HostPort.parse(in.unpackString()));
             }
-            Optional<ReadingShare.Reading> reading = in.unpackBoolean()
-                    ? Optional.of(new ReadingShare.Reading(
+            Optional<ReadCoordinator.ReadPosition> reading = in.unpackBoolean()
+                    ? Optional.of(new ReadCoordinator.ReadPosition(
                             HostPort.parse(in.unpackString()), in.unpackLong(), in.unpackLong(), in.unpackLong()))
                     : Optional.empty();
             long version = in.unpackLong();
--- a/gateway/src/main/java/org/cornelramp/gateway/place/PlacementDuty.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/place/LayerPlacer.java
@@ -28,31 +28,41 @@
 import org.cornelramp.platform.StoreFault;
 
 /**
- * Gives the engines their layers while this process leads.
+ * Assigns layers to the engines while this process is the leader.
  *
- * <p>A leader that was paused and wakes late may still give orders for a moment, and so may one whose lease ran out
- * unseen; each order names how many went before it, so an engine that has heard another one meanwhile refuses. Owned
- * by its own thread, but for start and stop.
+ * <p>A leader that was paused, or whose lease has expired unnoticed, may still send orders for a moment. So each order
+ * states the number of orders that the engine has accepted before, and an engine that has accepted another one
+ * meanwhile refuses it. All state is confined to the object's own thread; start and stop may be called by another one.
  */
-public final class PlacementDuty {
+public final class LayerPlacer {
     private static final long STEP_MILLIS = 150;
 
-    /** The first plan waits until no more engines come, so that the fast ones get their share first. */
-    private static final long SETTLE_MILLIS = 1_200;
+    /**
+     * The first plan waits until the number of engines has been stable for this time, so that fast engines get their
+     * layers first.
+     */
+    private static final long STABLE_FLEET_MILLIS = 1_200;
 
-    /** An order whose layers do not show by then is taken as lost; loads may take three times as long as alone. */
-    private static final long LOST_MILLIS = 4_000;
+    /**
+     * An order counts as lost if its layers are not registered within this time plus {@link #LOAD_FACTOR} times the
+     * load time; concurrent loads may take three times as long as a single one.
+     */
+    private static final long ORDER_TIMEOUT_MILLIS = 4_000;
 
     private static final double LOAD_FACTOR = 3;
 
     /**
-     * How long a new engine is kept for layers that nobody holds. In a release a new engine comes about a second before
-     * the old one says that it leaves; filled with a second copy at once, it would have to load twice.
+     * Time for which a new engine is reserved for layers that no engine holds. In a release, a new engine registers
+     * about a second before the old one announces its shutdown; if it got a second copy of other layers at once, it
+     * would have to load twice.
      */
-    private static final long NEWCOMER_MILLIS = 2_500;
+    private static final long NEW_ENGINE_MILLIS = 2_500;
 
-    /** Pause after an engine has refused an order: it is busy with one, and its report is a little old. */
-    private static final long REFUSED_MILLIS = 700;
+    /**
+     * Pause after an engine has refused an order: it is carrying out another one, and its report may be slightly
+     * outdated.
+     */
+    private static final long REFUSAL_PAUSE_MILLIS = 700;
 
     private final LeaderLease lease;
     private final EngineControl engines;
@@ -63,18 +73,18 @@
     private final Meters meters;
     private final Thread thread = new Thread(this::run, "placement");
     private final Map<BackendServerId, Order> orders = new HashMap<>();
-    private final Map<BackendServerId, Long> accepted = new HashMap<>();
+    private final Map<BackendServerId, Long> acceptedOrders = new HashMap<>();
     private volatile boolean running = true;
-    private String toldCoverage = "";
+    private String loggedCoverage = "";
     private LeaderLease.Term lastTerm = LeaderLease.NONE;
     private int enginesSeen;
     private long enginesSeenMillis;
 
-    private final Map<BackendServerId, Long> firstSeen = new HashMap<>();
+    private final Map<BackendServerId, Long> firstSeenMillis = new HashMap<>();
 
     private record Order(LayerRange layers, long untilMillis) {}
 
-    public PlacementDuty(
+    public LayerPlacer(
             LeaderLease lease,
             EngineControl engines,
             ConfigHolder config,
@@ -92,12 +102,12 @@
         thread.setDaemon(true);
     }
 
-    /** Starts the duty's thread. */
+    /** Starts the placement thread. */
     public void start() {
         thread.start();
     }
 
-    /** Tells the thread to end; a call under way is not waited for. */
+    /** Tells the thread to end, without waiting for a call in progress. */
     public void stop() {
         running = false;
         thread.interrupt();
@@ -118,13 +128,14 @@
         LeaderLease.Term term = lease.term(now);
         if (!term.equals(lastTerm)) {
             orders.clear();
-            accepted.clear();
+            acceptedOrders.clear();
             lastTerm = term;
         }
         FleetView view = fleet.get();
         Optional<RoutingConfig> version = config.current();
-        // Without the store no gateway learns of new layers, this one included: moved engines would be moved again.
-        if (term.equals(LeaderLease.NONE) || version.isEmpty() || !view.known() || !view.storeAnswers()) {
+        // Without the store no gateway learns of new layers, this one included, so it would order engines to load again
+        // and again.
+        if (term.equals(LeaderLease.NONE) || version.isEmpty() || !view.initialised() || !view.storeAvailable()) {
             return;
         }
         for (ServiceSpec service : version.get().services()) {
@@ -133,44 +144,44 @@
     }
 
     private void place(ServiceSpec service, EngineSpec spec, FleetView view, long now) {
-        List<BackendServer> known = new ArrayList<>();
+        List<BackendServer> candidates = new ArrayList<>();
         for (BackendServer server : view.servers()) {
             boolean fits = server.service().equals(service.name())
                     && server.state().takesWork()
                     && !view.suspects().contains(server.id());
             if (fits) {
-                known.add(withOrder(server, now));
+                candidates.add(withOrderedLayers(server, now));
             }
         }
-        if (!hasSettled(known, now)) {
+        if (!isFleetStable(candidates, now)) {
             return;
         }
-        String coverage = Planner.coverage(spec, known);
-        if (!coverage.equals(toldCoverage)) {
-            toldCoverage = coverage;
+        String coverage = Planner.coverage(spec, candidates);
+        if (!coverage.equals(loggedCoverage)) {
+            loggedCoverage = coverage;
             log.line("placement", "coverage")
                     .with("layers", coverage)
-                    .with("engines", known.size())
+                    .with("engines", candidates.size())
                     .with("loading", orders.size())
                     .write();
         }
         Set<BackendServerId> fixed = new HashSet<>(orders.keySet());
-        known.forEach(server -> firstSeen.putIfAbsent(server.id(), now));
-        firstSeen
+        candidates.forEach(server -> firstSeenMillis.putIfAbsent(server.id(), now));
+        firstSeenMillis
                 .keySet()
                 .retainAll(view.servers().stream().map(BackendServer::id).toList());
         Set<BackendServerId> newcomers = new HashSet<>();
-        known.stream()
+        candidates.stream()
                 .map(BackendServer::id)
-                .filter(id -> now - firstSeen.get(id) < NEWCOMER_MILLIS)
+                .filter(id -> now - firstSeenMillis.get(id) < NEW_ENGINE_MILLIS)
                 .forEach(newcomers::add);
-        for (Placement placement : Planner.plan(spec, known, fixed, newcomers)) {
-            order(placement, spec, now);
+        for (Placement placement : Planner.plan(spec, candidates, fixed, newcomers)) {
+            sendOrder(placement, spec, now);
         }
     }
 
-    /** The server with the layers that it has been ordered to load. */
-    private BackendServer withOrder(BackendServer server, long now) {
+    /** The server with the layers that it has been ordered to load; without a pending order, as it is registered. */
+    private BackendServer withOrderedLayers(BackendServer server, long now) {
         Order order = orders.get(server.id());
         if (order == null) {
             return server;
@@ -188,21 +199,22 @@
         return a.from() == b.from() && a.to() == b.to();
     }
 
-    private boolean hasSettled(List<BackendServer> known, long now) {
-        long holding =
-                known.stream().filter(server -> server.layers().isPresent()).count();
-        if (known.size() != enginesSeen) {
-            enginesSeen = known.size();
+    private boolean isFleetStable(List<BackendServer> candidates, long now) {
+        long holding = candidates.stream()
+                .filter(server -> server.layers().isPresent())
+                .count();
+        if (candidates.size() != enginesSeen) {
+            enginesSeen = candidates.size();
             enginesSeenMillis = now;
         }
-        return holding > 0 || now - enginesSeenMillis >= SETTLE_MILLIS;
+        return holding > 0 || now - enginesSeenMillis >= STABLE_FLEET_MILLIS;
     }
 
-    private void order(Placement placement, EngineSpec spec, long now) {
+    private void sendOrder(Placement placement, EngineSpec spec, long now) {
         BackendServer engine = placement.server();
-        long before = accepted.getOrDefault(engine.id(), 0L);
-        if (engine.layers().isPresent() && !accepted.containsKey(engine.id())) {
-            learn(engine, now);
+        long before = acceptedOrders.getOrDefault(engine.id(), 0L);
+        if (engine.layers().isPresent() && !acceptedOrders.containsKey(engine.id())) {
+            refreshOrderCount(engine, now);
             orders.remove(engine.id());
             return;
         }
@@ -219,36 +231,39 @@
                 .with("fault", result.fold(StoreFault::toString, any -> ""))
                 .write();
         if (result.isRight()) {
-            accepted.put(engine.id(), before + 1);
+            acceptedOrders.put(engine.id(), before + 1);
         }
         if (result.isLeft() && result.getLeft().kind() == StoreFault.Kind.CONFLICT) {
-            learn(engine, now);
+            refreshOrderCount(engine, now);
             return;
         }
-        // An order without an answer may have been accepted or may be carried out late: it counts until it is lost.
+        // An order without an answer may have been accepted or may be carried out late, so it stays pending until it
+        // times out.
         double share = (placement.layers().to() - placement.layers().from()) / (double) spec.layers();
-        long until = now + LOST_MILLIS + Math.round(LOAD_FACTOR * 1_000 * spec.loadSeconds() * share);
+        long until = now + ORDER_TIMEOUT_MILLIS + Math.round(LOAD_FACTOR * 1_000 * spec.loadSeconds() * share);
         orders.put(engine.id(), new Order(placement.layers(), until));
     }
 
-    /** Asks an engine for its count of orders, and leaves it alone for a moment. */
-    private void learn(BackendServer engine, long now) {
+    /** Reads an engine's order count from its report, and excludes the engine from planning for a short time. */
+    private void refreshOrderCount(BackendServer engine, long now) {
         Either<StoreFault, EngineReport> report = engines.report(engine);
         if (report.isLeft()) {
             log.line("placement", "no report")
                     .with("server", engine.id())
                     .with("fault", report.getLeft())
                     .write();
-            orders.put(engine.id(), new Order(anything(engine), now + LOST_MILLIS));
+            orders.put(engine.id(), new Order(unknownLayers(engine), now + ORDER_TIMEOUT_MILLIS));
             return;
         }
-        accepted.put(engine.id(), report.get().orders());
+        acceptedOrders.put(engine.id(), report.get().orders());
         Optional<LayerRange> held = report.get().layers();
-        orders.put(engine.id(), new Order(held.orElse(anything(engine)), now + REFUSED_MILLIS));
+        orders.put(engine.id(), new Order(held.orElse(unknownLayers(engine)), now + REFUSAL_PAUSE_MILLIS));
     }
 
-    /** Stands for layers that are not known: the engine is left alone, and no plan counts on it for much. */
-    private static LayerRange anything(BackendServer engine) {
+    /**
+     * Placeholder for unknown layers: it excludes the engine from planning, and adds little to the planned coverage.
+     */
+    private static LayerRange unknownLayers(BackendServer engine) {
         return engine.layers().orElse(new LayerRange(0, 1, 1));
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/place/LeaderLease.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/place/LeaderLease.java
@@ -9,52 +9,57 @@
 import java.util.function.Consumer;
 import org.cornelramp.core.settings.HostPort;
 import org.cornelramp.gateway.SteadyClock;
-import org.cornelramp.gateway.follow.StoreAccess;
+import org.cornelramp.gateway.follow.StoreAvailability;
 import org.cornelramp.gateway.log.EventLog;
 import org.cornelramp.gateway.metrics.Meters;
 import org.cornelramp.platform.MetadataStore;
 import org.cornelramp.platform.StoreFault;
 
 /**
- * Says whether this process leads, and knows the other members of its group.
+ * Determines whether this process is the leader, and reads the addresses of the other group members.
  *
- * <p>The store shares a topic's partitions out among the members of a group; whoever holds the first one leads, and
- * goes on leading for the membership's time to live after the last call that the store answered: nothing is placed
- * while the store is away, so a longer lead would buy nothing. Its own thread calls the store, so that a silent store
- * holds up no plan; {@link #term} may be called by any thread.
+ * <p>The store assigns a topic's partitions to the members of a group; the member that holds the first partition is the
+ * leader. It stays leader for the membership's time to live after the last call that the store answered; a longer lease
+ * would have no use, as nothing is placed while the store is unavailable. The store is called on a separate thread, so
+ * that a store that does not answer never delays placement; {@link #term} may be called by any thread.
  */
 public final class LeaderLease {
-    /** The term of a process that does not lead. */
+    /** The term of a process that is not the leader. */
     public static final Term NONE = new Term(-1, -1);
 
-    /** Before the store has answered for the first time. */
+    /** The era until the store has answered for the first time. */
     private static final long NO_ERA = -1;
 
     private static final String GROUP = "placement";
     private static final char MEMBER_SEPARATOR = '~';
     private static final long STEP_MILLIS = 100;
 
-    /** A lost leader is replaced after this time; renewals cost a tenth of a call. */
+    /**
+     * Time to live of the membership, after which a lost leader is replaced. A renewal costs a tenth of another call.
+     */
     private static final long TTL_MILLIS = 2_000;
 
-    private static final long JOIN_MILLIS = 600;
+    private static final long JOIN_INTERVAL_MILLIS = 600;
 
-    /** Interval until the store has answered for the first time: callers wait for what it knows. */
-    private static final long FIRST_JOIN_MILLIS = 200;
+    /**
+     * Interval of joins until the store has answered for the first time; shorter, as clients wait for the configuration
+     * and the servers.
+     */
+    private static final long FIRST_JOIN_INTERVAL_MILLIS = 200;
 
     /**
-     * Interval in which the members are read, each read being paid for. A new gateway reads them at its start, tells
-     * them its news, and they introduce it to the others; this only mends what datagrams have lost.
+     * Interval at which the members are read; each read is billed. A new gateway reads the members at its start and
+     * sends them an update, and they pass its address on to the others, so later reads only make up for lost datagrams.
      */
-    private static final long MEMBERS_MILLIS = 15_000;
+    private static final long MEMBERS_INTERVAL_MILLIS = 15_000;
 
-    /** While the number of members changes, they are read more often, as at a start of all. */
-    private static final long FIRST_MEMBERS_MILLIS = 1_000;
+    /** Interval at which the members are read while their number changes, for example when all gateways start. */
+    private static final long CHANGING_MEMBERS_INTERVAL_MILLIS = 1_000;
 
     private final String member;
     private final Consumer<List<HostPort>> onPeers;
     private final MetadataStore store;
-    private final StoreAccess access;
+    private final StoreAvailability access;
     private final SteadyClock clock;
     private final EventLog log;
     private final Meters meters;
@@ -62,15 +67,15 @@
     private volatile boolean running = true;
     private volatile State state = new State(NONE, 0, NO_ERA);
     private long generation;
-    private long joinDue;
-    private long membersDue;
-    private int peersKnown;
+    private long nextJoinMillis;
+    private long nextMembersMillis;
+    private int peerCount;
 
     /**
-     * A time of leading without a break. Immutable, safe for use by any thread.
+     * An uninterrupted time as leader. Immutable, safe for use by any thread.
      *
-     * @param era era of the store in which it was given
-     * @param generation number of the group's membership by which it was given
+     * @param era era of the store in which the term began
+     * @param generation generation of the group membership in which the term began
      */
     public record Term(long era, long generation) {}
 
@@ -78,16 +83,16 @@
 
     /**
      * @param name name of this process
-     * @param address where it takes its peers' news
-     * @param onPeers is told the addresses of all members
-     * @param access is told whether the store answers
+     * @param address address on which it receives its peers' updates
+     * @param onPeers receives the addresses of all members
+     * @param access records whether the store answers
      */
     public LeaderLease(
             String name,
             HostPort address,
             Consumer<List<HostPort>> onPeers,
             MetadataStore store,
-            StoreAccess access,
+            StoreAvailability access,
             SteadyClock clock,
             EventLog log,
             Meters meters) {
@@ -106,17 +111,17 @@
         thread.start();
     }
 
-    /** Tells the thread to end; a call under way is not waited for. */
+    /** Tells the thread to end, without waiting for a call in progress. */
     public void stop() {
         running = false;
         thread.interrupt();
     }
 
     /**
-     * The term in which this process leads; {@link #NONE} if it does not.
+     * The current term of this process as leader; {@link #NONE} if it is not the leader.
      *
-     * <p>A term ends with the era of the store in which it was given: a restored store knows members and generations of
-     * before and may have given the lead to another process, and the same number out again.
+     * <p>A term ends with the era of the store in which it began: a restored store has older members and generations,
+     * and may have made another process the leader under the same generation number.
      */
     public Term term(long nowMillis) {
         State now = state;
@@ -135,11 +140,11 @@
     }
 
     private void step(long now) {
-        if (now >= joinDue) {
+        if (now >= nextJoinMillis) {
             join(now);
-            joinDue = now + (access.hasEverAnswered() ? JOIN_MILLIS : FIRST_JOIN_MILLIS);
+            nextJoinMillis = now + (access.hasEverAnswered() ? JOIN_INTERVAL_MILLIS : FIRST_JOIN_INTERVAL_MILLIS);
         }
-        if (now >= membersDue && !access.isAway()) {
+        if (now >= nextMembersMillis && !access.isUnavailable()) {
             readMembers(now);
         }
     }
@@ -148,15 +153,15 @@
         Either<StoreFault, MetadataStore.Membership> joined = store.join(GROUP, member, GROUP, TTL_MILLIS, generation);
         meters.storeCall("join", joined.fold(fault -> fault.kind().name(), any -> "ok"));
         if (joined.isLeft()) {
-            access.failed();
+            access.recordFailure();
             log.line("lease", "not joined").with("fault", joined.getLeft()).write();
             return;
         }
-        access.answered(clock.millis());
+        access.recordAnswer(clock.millis());
         State old = state;
         long era = joined.get().era();
         boolean restored = old.era() != NO_ERA && era != old.era();
-        // Until the process that led before has heard of the restore, it may still think that it leads.
+        // The former leader may still consider itself the leader until it has noticed the restore.
         boolean leading = joined.get().holdsFirst() && !restored;
         generation = restored ? 0 : joined.get().generation();
         boolean wasLeading = !old.term().equals(NONE);
@@ -174,16 +179,16 @@
         Either<StoreFault, Set<String>> members = store.members(GROUP);
         meters.storeCall("members", members.fold(fault -> fault.kind().name(), any -> "ok"));
         List<HostPort> peers = new ArrayList<>();
-        members.getOrElse(Set.of()).forEach(one -> address(one).ifPresent(peers::add));
-        boolean settled = peers.size() > 1 && peers.size() == peersKnown;
-        membersDue = now + (settled ? MEMBERS_MILLIS : FIRST_MEMBERS_MILLIS);
+        members.getOrElse(Set.of()).forEach(memberName -> address(memberName).ifPresent(peers::add));
+        boolean settled = peers.size() > 1 && peers.size() == peerCount;
+        nextMembersMillis = now + (settled ? MEMBERS_INTERVAL_MILLIS : CHANGING_MEMBERS_INTERVAL_MILLIS);
         if (members.isLeft()) {
             return;
         }
-        if (peers.size() != peersKnown) {
+        if (peers.size() != peerCount) {
             log.line("peers", "known").with("count", peers.size()).write();
         }
-        peersKnown = peers.size();
+        peerCount = peers.size();
         onPeers.accept(List.copyOf(peers));
     }
 
@@ -191,7 +196,7 @@
         try {
             return Optional.of(HostPort.parse(member.substring(member.indexOf(MEMBER_SEPARATOR) + 1)));
         } catch (IllegalArgumentException e) {
-            return Optional.empty(); // a member of another version, which takes no news
+            return Optional.empty(); // a member of another version, which receives no updates
         }
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/place/package-info.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/place/package-info.java
@@ -1,2 +1,2 @@
-/** The duty that gives the engines their layers while this process leads. */
+/** Leader election, and the assignment of model layers to engines by the leader. */
 package org.cornelramp.gateway.place;
--- a/gateway/src/main/java/org/cornelramp/gateway/request/FrontServer.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/FrontServer.java
@@ -115,7 +115,7 @@
     }
 
     private boolean isReady() {
-        return !leaving && config.current().isPresent() && router.view().known();
+        return !leaving && config.current().isPresent() && router.view().initialised();
     }
 
     /** Starts to listen. */
--- a/gateway/src/main/java/org/cornelramp/gateway/request/Intake.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/Intake.java
@@ -142,7 +142,7 @@
                 known.now(),
                 known.now() + wait);
         Exchange exchange = new Exchange(call, response, callback, leaving, ClientProbe.of(request));
-        if (!router.offer(new RouterEvent.Arrived(exchange))) {
+        if (!router.offer(new RouterEvent.RequestReceived(exchange))) {
             exchange.refuse(Refusal.OVERLOADED, Refusal.OVERLOADED.retryMillis());
             logRefused(known.head(), Refusal.OVERLOADED, "the router's ring is full");
         }
--- /dev/null
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/ActiveRequest.java
@@ -0,0 +1,220 @@
+package org.cornelramp.gateway.route;
+
+import java.util.HashSet;
+import java.util.Set;
+import org.cornelramp.core.model.BackendServerId;
+import org.cornelramp.core.model.ServiceName;
+import org.cornelramp.core.path.StagePath;
+import org.cornelramp.core.routing.Route;
+import org.cornelramp.gateway.request.Attempt;
+import org.cornelramp.gateway.request.Exchange;
+
+/** The router's state of one request in progress. Confined to the router's thread. */
+final class ActiveRequest {
+    private final Exchange exchange;
+    private final ServiceName service;
+    private int expectedTokens;
+    private final Set<BackendServerId> avoidedServers = new HashSet<>();
+    private final Set<BackendServerId> usedFirstEngines = new HashSet<>();
+    private Attempt attempt;
+    private StagePath loadedPath;
+    private int unreadPromptTokens;
+    private int attemptCount;
+    private int possibleRunCount;
+    private int runsWithoutEvents;
+    private boolean moving;
+    private int moveCount;
+    private boolean firstEventSeen;
+    private boolean notMovable;
+    private boolean needsRetry;
+    private boolean awaitingPath;
+    private long awaitingPathSinceMillis;
+    private long lastMoveMillis = Long.MIN_VALUE / 2;
+    private long lastSearchMillis = Long.MIN_VALUE / 2;
+    private long leavingSinceMillis;
+
+    /** @param tokens tokens that the request is expected to occupy when it is finished; 0 for a plain service */
+    ActiveRequest(Exchange exchange, ServiceName service, int tokens) {
+        this.exchange = exchange;
+        this.service = service;
+        this.expectedTokens = tokens;
+    }
+
+    Exchange exchange() {
+        return exchange;
+    }
+
+    Route route() {
+        return exchange.call().route();
+    }
+
+    ServiceName service() {
+        return service;
+    }
+
+    int expectedTokens() {
+        return expectedTokens;
+    }
+
+    /** Sets the expected tokens of a request that did not state any. */
+    void setDefaultTokens(int usual) {
+        expectedTokens = expectedTokens > 0 ? expectedTokens : usual;
+    }
+
+    /** Servers that have failed this request and are not used for its next attempt. */
+    Set<BackendServerId> avoidedServers() {
+        return avoidedServers;
+    }
+
+    /** First engines of the attempts that may have run. */
+    Set<BackendServerId> usedFirstEngines() {
+        return usedFirstEngines;
+    }
+
+    /** The current attempt; null if there is none. */
+    Attempt attempt() {
+        return attempt;
+    }
+
+    void startAttempt(Attempt next) {
+        attempt = next;
+        attemptCount++;
+        moveCount = 0;
+        moving = false;
+        firstEventSeen = false;
+        notMovable = false;
+        awaitingPath = false;
+        leavingSinceMillis = 0;
+        lastSearchMillis = Long.MIN_VALUE / 2;
+    }
+
+    void endAttempt(boolean surelyNotRun) {
+        boolean events = exchange.lastEventMillis() > attempt.startMillis();
+        runsWithoutEvents = events ? 0 : runsWithoutEvents + (surelyNotRun ? 0 : 1);
+        attempt = null;
+        moving = false;
+        possibleRunCount += surelyNotRun ? 0 : 1;
+    }
+
+    /** Number of attempts started so far. */
+    int attemptCount() {
+        return attemptCount;
+    }
+
+    /** Number of attempts that may have run the request. */
+    int possibleRunCount() {
+        return possibleRunCount;
+    }
+
+    /**
+     * Number of attempts that count towards the limit.
+     *
+     * @param crashing whether the request seems to crash the engines that run it; then a run counts even if it
+     * delivered events
+     */
+    int countedAttempts(boolean crashing) {
+        if (!exchange.isCommitted()) {
+            return attemptCount;
+        }
+        return crashing ? possibleRunCount : runsWithoutEvents;
+    }
+
+    /** Records that the current attempt has delivered events; true on the first call for this attempt. */
+    boolean markFirstEvent() {
+        boolean first = !firstEventSeen;
+        firstEventSeen = true;
+        return first;
+    }
+
+    /** Whether the next attempt consumes a retry, because the last one may have reached a server. */
+    boolean needsRetry() {
+        return needsRetry;
+    }
+
+    void setNeedsRetry(boolean now) {
+        needsRetry = now;
+    }
+
+    /** The path on whose engines this request's load is counted; null for none. */
+    StagePath loadedPath() {
+        return loadedPath;
+    }
+
+    void setLoadedPath(StagePath path) {
+        loadedPath = path;
+    }
+
+    /** Prompt tokens counted as not yet read by the engines of the path. */
+    int unreadPromptTokens() {
+        return unreadPromptTokens;
+    }
+
+    void setUnreadPromptTokens(int prompt) {
+        unreadPromptTokens = prompt;
+    }
+
+    /** Whether an order to move the request to another path is pending. */
+    boolean isMoving() {
+        return moving;
+    }
+
+    void setMoving(boolean now) {
+        moving = now;
+    }
+
+    /** Number of move orders sent for the current attempt. */
+    int moveCount() {
+        return moveCount;
+    }
+
+    void countMove() {
+        moveCount++;
+    }
+
+    /** Whether the next search for a server is due; if so, records it as made now. */
+    boolean tryStartSearch(long nowMillis, long pauseMillis) {
+        boolean due = nowMillis - lastSearchMillis >= pauseMillis;
+        lastSearchMillis = due ? nowMillis : lastSearchMillis;
+        return due;
+    }
+
+    /** Whether the last search found no server for the next attempt. */
+    boolean isAwaitingPath() {
+        return awaitingPath;
+    }
+
+    /** Records that no server is available for the next attempt; true unless this was recorded already. */
+    boolean markAwaitingPath(long nowMillis) {
+        boolean first = !awaitingPath;
+        awaitingPathSinceMillis = first ? nowMillis : awaitingPathSinceMillis;
+        awaitingPath = true;
+        return first;
+    }
+
+    /** Time for which no server has been available for the next attempt, in milliseconds. */
+    long awaitedPathMillis(long nowMillis) {
+        return awaitingPath ? nowMillis - awaitingPathSinceMillis : 0;
+    }
+
+    /** Records that the first engine of the current attempt accepts no orders, so the attempt cannot be moved. */
+    void markNotMovable() {
+        notMovable = true;
+    }
+
+    /**
+     * Whether an order to move the request off an engine that is shutting down is due; if so, records it as made now.
+     *
+     * @param spreadMillis time over which the moves of an engine's streams are spread by their request ids
+     * @param pauseMillis least time between two move orders
+     */
+    boolean tryStartMove(long nowMillis, long spreadMillis, long pauseMillis) {
+        if (leavingSinceMillis == 0) {
+            leavingSinceMillis = nowMillis;
+        }
+        long moment = Math.floorMod(exchange.call().id().hashCode(), spreadMillis);
+        boolean due =
+                !notMovable && nowMillis - leavingSinceMillis >= moment && nowMillis - lastMoveMillis >= pauseMillis;
+        lastMoveMillis = due ? nowMillis : lastMoveMillis;
+        return due;
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/AsyncEngineControl.java
@@ -0,0 +1,129 @@
+package org.cornelramp.gateway.route;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.concurrent.ArrayBlockingQueue;
+import java.util.concurrent.RejectedExecutionException;
+import java.util.concurrent.ThreadPoolExecutor;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import org.cornelramp.core.fleet.BackendServer;
+import org.cornelramp.core.model.BackendServerId;
+import org.cornelramp.core.path.StagePath;
+import org.cornelramp.gateway.request.Attempt;
+import org.cornelramp.platform.EngineControl;
+
+/**
+ * Calls engines on its own threads, so that an engine that does not answer never blocks the router's thread. Calls that
+ * do not fit into the bounded queue are refused. Safe for use by any thread, except where a method says otherwise.
+ */
+public final class AsyncEngineControl {
+    /** Enough to probe all engines of a failed rack at the same time, with two calls for each engine. */
+    private static final int THREADS = 8;
+
+    private static final int QUEUE_CAPACITY = 256;
+
+    /** About 20 times an engine's usual time to answer, and short compared to the pause that a client notices. */
+    private static final long PROBE_TIMEOUT_MILLIS = 60;
+
+    private static final long PROBE_PAUSE_MILLIS = 250;
+
+    /**
+     * Time for which an engine that has answered is not probed again. When an engine dies, all other engines on the
+     * paths of its streams are probed too; probed four times a second, they took most of the probes in a run with
+     * engine failures.
+     */
+    private static final long ANSWERED_PAUSE_MILLIS = 1_000;
+
+    /**
+     * Time after which an engine that was probed too early may be probed again: the events that it had forwarded have
+     * arrived by then.
+     */
+    private static final long INCONCLUSIVE_PAUSE_MILLIS = 40;
+
+    /**
+     * Time without an answer after which the second call of a probe is sent: ten times an engine's usual time to
+     * answer.
+     */
+    private static final long SECOND_CALL_MILLIS = 25;
+
+    /** A call is delayed twice by a late process: when it is sent and when the answer is read. */
+    private static final long LAG_FACTOR = 2;
+
+    private final EngineControl control;
+    private final ThreadPoolExecutor threads;
+    private final Map<BackendServerId, Long> nextProbeMillis = new HashMap<>();
+
+    public AsyncEngineControl(EngineControl control) {
+        this.control = control;
+        this.threads = new ThreadPoolExecutor(
+                THREADS, THREADS, 5, TimeUnit.SECONDS, new ArrayBlockingQueue<>(QUEUE_CAPACITY), task -> {
+                    Thread thread = new Thread(task, "engines");
+                    thread.setDaemon(true);
+                    return thread;
+                });
+        threads.allowCoreThreadTimeOut(true);
+    }
+
+    /**
+     * Probes an engine that may be dead, with a short timeout: a living engine answers within some milliseconds, and
+     * the streams of a dead one can then continue elsewhere before their clients notice. A probe consists of two calls,
+     * since one call in 20 over a link that loses packets gets no answer in time, and a living engine would be avoided
+     * for seconds. The second call is sent while the first is still pending, so that it adds only a part of the
+     * timeout. Repeated probes of one engine within a short time are skipped. Called by the router's thread only.
+     *
+     * @param lagMillis recent scheduling delay of this process, by which an answer may be read later
+     */
+    void probe(BackendServer engine, Consumer<RouterEvent> router, long lagMillis, long now) {
+        nextProbeMillis.values().removeIf(next -> now >= next);
+        long timeout = PROBE_TIMEOUT_MILLIS + LAG_FACTOR * lagMillis;
+        if (nextProbeMillis.putIfAbsent(engine.id(), now + PROBE_PAUSE_MILLIS) == null) {
+            ProbePair probe =
+                    new ProbePair(report -> router.accept(new RouterEvent.EngineReportResult(engine, report)));
+            submit(() -> probe.handleCallEnd(control.report(engine, timeout)));
+            submit(() -> {
+                if (!probe.awaitResult(SECOND_CALL_MILLIS)) {
+                    probe.handleCallEnd(control.report(engine, timeout));
+                }
+            });
+        }
+    }
+
+    /**
+     * Records that an engine has answered, so it is not the cause of streams that stay silent. Called by the router's
+     * thread only.
+     */
+    void recordAnswer(BackendServerId engine, long now) {
+        nextProbeMillis.put(engine, now + ANSWERED_PAUSE_MILLIS);
+    }
+
+    /**
+     * Records that a probe failed while events forwarded by the engine were still arriving, so its result is not
+     * conclusive. The engine may be probed again soon; with the usual pause all its streams here would wait that long.
+     * Called by the router's thread only.
+     */
+    void recordInconclusiveProbe(BackendServer engine, long now) {
+        nextProbeMillis.put(engine.id(), now + INCONCLUSIVE_PAUSE_MILLIS);
+    }
+
+    /** Reads the report of an engine; false if too many calls are queued. */
+    boolean requestReport(BackendServer engine, Consumer<RouterEvent> router) {
+        return submit(() -> router.accept(new RouterEvent.EngineReportResult(engine, control.report(engine))));
+    }
+
+    /** Orders an engine to move a running request; false if too many calls are queued. */
+    boolean move(Attempt attempt, StagePath path, Consumer<RouterEvent> router) {
+        String id = attempt.exchange().call().id();
+        return submit(() ->
+                router.accept(new RouterEvent.MoveResult(attempt, path, control.repath(attempt.server(), id, path))));
+    }
+
+    private boolean submit(Runnable call) {
+        try {
+            threads.execute(call);
+            return true;
+        } catch (RejectedExecutionException e) {
+            return false; // the caller retries at its next tick
+        }
+    }
+}
--- a/gateway/src/main/java/org/cornelramp/gateway/route/Dispatcher.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Dispatcher.java
@@ -23,159 +23,166 @@
 import org.eclipse.jetty.client.HttpClient;
 
 /**
- * Sends a request to the best backend server, and keeps count of what that puts on engines and servers. Owned by the
- * router's duty.
+ * Sends a request to the best backend server, and counts the load that this adds to engines and servers. Confined to
+ * the router's thread.
  */
 final class Dispatcher {
     private final GatewaySettings settings;
     private final HttpClients clients;
     private final ConfigHolder config;
-    private final Beliefs beliefs;
+    private final FleetState fleet;
     private final SteadyClock clock;
     private final EventLog log;
     private final BiConsumer<Attempt, AttemptEnd> onEnd;
 
-    /** @param onEnd called once for each attempt, by any thread, when it has ended */
+    /** @param onEnd called once for each attempt when it has ended, on any thread */
     Dispatcher(
             GatewaySettings settings,
             HttpClients clients,
             ConfigHolder config,
-            Beliefs beliefs,
+            FleetState fleet,
             SteadyClock clock,
             EventLog log,
             BiConsumer<Attempt, AttemptEnd> onEnd) {
         this.settings = settings;
         this.clients = clients;
         this.config = config;
-        this.beliefs = beliefs;
+        this.fleet = fleet;
         this.clock = clock;
         this.log = log;
         this.onEnd = onEnd;
     }
 
     /**
-     * Where a request would go now. Immutable.
+     * The server to which a request can be sent now. Immutable.
      *
-     * @param server what it would be sent to
-     * @param path the engines that would run it; empty for a plain service
+     * @param server the server that receives the request
+     * @param path the engines that run the request; empty for a plain service
      */
-    record Choice(BackendServer server, Optional<StagePath> path) {}
+    record Target(BackendServer server, Optional<StagePath> path) {}
 
     /** Sends the request; false if no server can take it now. */
-    boolean send(Flight flight, long now) {
-        Optional<Choice> choice = choose(flight, now);
-        choice.ifPresent(chosen -> send(flight, chosen, now));
-        return choice.isPresent();
+    boolean send(ActiveRequest request, long now) {
+        Optional<Target> target = chooseTarget(request, now);
+        target.ifPresent(selected -> send(request, selected, now));
+        return target.isPresent();
     }
 
     /** The best server for a request now; empty if none can take it. */
-    Optional<Choice> choose(Flight flight, long now) {
-        Optional<EngineSpec> engine = engine(flight);
+    Optional<Target> chooseTarget(ActiveRequest request, long now) {
+        Optional<EngineSpec> engine = engineSpec(request);
         if (engine.isEmpty()) {
-            return beliefs.plain()
-                    .choose(beliefs.usable(flight.service(), now), flight.avoid(), settings.dataCentre())
-                    .map(server -> new Choice(server, Optional.empty()));
+            return fleet.plainServers()
+                    .choose(
+                            fleet.usableServers(request.service(), now),
+                            request.avoidedServers(),
+                            settings.dataCentre())
+                    .map(server -> new Target(server, Optional.empty()));
         }
-        flight.expectTokens(engine.get().meanRequestTokens());
-        return path(flight, engine.get(), now).map(way -> new Choice(way.first(), Optional.of(way)));
+        request.setDefaultTokens(engine.get().meanRequestTokens());
+        return findPath(request, engine.get(), now)
+                .map(stagePath -> new Target(stagePath.first(), Optional.of(stagePath)));
     }
 
-    /** Sends the request to a server that was chosen just now. */
-    void send(Flight flight, Choice choice, long now) {
-        choice.path().ifPresentOrElse(way -> loadPrompt(flight, way), () -> beliefs.plain()
-                .requestSent(choice.server().id()));
-        begin(flight, choice.server(), choice.path(), now);
+    /** Sends the request to a server that {@link #chooseTarget} has just returned. */
+    void send(ActiveRequest request, Target target, long now) {
+        target.path().ifPresentOrElse(stagePath -> addLoadWithPrompt(request, stagePath), () -> fleet.plainServers()
+                .requestSent(target.server().id()));
+        startAttempt(request, target.server(), target.path(), now);
     }
 
-    private void loadPrompt(Flight flight, StagePath way) {
-        int prompt = flight.exchange().call().head().promptTokens();
-        load(flight, way);
-        flight.setReading(prompt);
-        beliefs.loads().addPendingPromptTokens(way, prompt);
+    private void addLoadWithPrompt(ActiveRequest request, StagePath stagePath) {
+        int prompt = request.exchange().call().head().promptTokens();
+        addLoad(request, stagePath);
+        request.setUnreadPromptTokens(prompt);
+        fleet.loads().addPendingPromptTokens(stagePath, prompt);
     }
 
-    /** Whether engines could take the request now beside all that they have, itself included. */
-    boolean hasPath(Flight flight, long now) {
-        return engine(flight).flatMap(spec -> path(flight, spec, now)).isPresent();
+    /**
+     * Whether engines have room for the request now, in addition to their present load, which includes this request.
+     */
+    boolean hasPath(ActiveRequest request, long now) {
+        return engineSpec(request).flatMap(spec -> findPath(request, spec, now)).isPresent();
     }
 
-    private Optional<EngineSpec> engine(Flight flight) {
+    private Optional<EngineSpec> engineSpec(ActiveRequest request) {
         return config.current()
-                .flatMap(version -> version.service(flight.service()))
+                .flatMap(version -> version.service(request.service()))
                 .flatMap(ServiceSpec::engine);
     }
 
-    private Optional<StagePath> path(Flight flight, EngineSpec spec, long now) {
-        int prompt = flight.exchange().call().head().promptTokens();
-        PathFinder.Demand demand =
-                new PathFinder.Demand(settings.dataCentre(), prompt, flight.tokens(), allowedFirsts(flight));
-        List<BackendServer> usable = beliefs.usable(flight.service(), flight.avoid(), now);
-        return PathFinder.find(spec, usable, beliefs.loads(), demand);
+    private Optional<StagePath> findPath(ActiveRequest request, EngineSpec spec, long now) {
+        int prompt = request.exchange().call().head().promptTokens();
+        PathFinder.Demand demand = new PathFinder.Demand(
+                settings.dataCentre(), prompt, request.expectedTokens(), allowedFirstEngines(request));
+        List<BackendServer> usable = fleet.usableServers(request.service(), request.avoidedServers(), now);
+        return PathFinder.find(spec, usable, fleet.loads(), demand);
     }
 
-    private Set<BackendServerId> allowedFirsts(Flight flight) {
+    private Set<BackendServerId> allowedFirstEngines(ActiveRequest request) {
         return RequestServerLimit.allowedServers(
-                flight.firsts(),
-                id -> beliefs.registry().server(id).isPresent(),
-                flight.route().maxAttempts());
+                request.usedFirstEngines(),
+                id -> fleet.registry().server(id).isPresent(),
+                request.route().maxAttempts());
     }
 
-    /** Counts the request on the engines of a path, and no longer on those of another. */
-    void load(Flight flight, StagePath path) {
-        unload(flight);
-        beliefs.loads().add(path, flight.tokens());
-        flight.setLoaded(path);
+    /** Counts the load of the request on the engines of a path instead of those of its previous path. */
+    void addLoad(ActiveRequest request, StagePath path) {
+        removeLoad(request);
+        fleet.loads().add(path, request.expectedTokens());
+        request.setLoadedPath(path);
     }
 
-    /** Notes that the engines have read the prompt. */
-    void promptRead(Flight flight) {
-        if (flight.reading() != 0) {
-            beliefs.loads().addPendingPromptTokens(flight.loaded(), -flight.reading());
-            flight.setReading(0);
+    /** Records that the engines have read the prompt. */
+    void recordPromptRead(ActiveRequest request) {
+        if (request.unreadPromptTokens() != 0) {
+            fleet.loads().addPendingPromptTokens(request.loadedPath(), -request.unreadPromptTokens());
+            request.setUnreadPromptTokens(0);
         }
     }
 
-    /** Counts the request on no engine any more. */
-    void unload(Flight flight) {
-        if (flight.loaded() != null) {
-            promptRead(flight);
-            beliefs.loads().remove(flight.loaded(), flight.tokens());
-            flight.setLoaded(null);
+    /** Removes the load of the request from the engines. */
+    void removeLoad(ActiveRequest request) {
+        if (request.loadedPath() != null) {
+            recordPromptRead(request);
+            fleet.loads().remove(request.loadedPath(), request.expectedTokens());
+            request.setLoadedPath(null);
         }
     }
 
-    /** Whether another server than the given one could take a request to a plain service now. */
-    boolean hasAnother(Flight flight, BackendServer server, long now) {
-        Set<BackendServerId> avoid = new HashSet<>(flight.avoid());
+    /** Whether a server other than the given one can take a request to a plain service now. */
+    boolean hasAlternativeServer(ActiveRequest request, BackendServer server, long now) {
+        Set<BackendServerId> avoid = new HashSet<>(request.avoidedServers());
         avoid.add(server.id());
-        return beliefs.plain()
-                .choose(beliefs.usable(flight.service(), now), avoid, settings.dataCentre())
+        return fleet.plainServers()
+                .choose(fleet.usableServers(request.service(), now), avoid, settings.dataCentre())
                 .isPresent();
     }
 
-    private void begin(Flight flight, BackendServer server, Optional<StagePath> path, long now) {
-        Exchange exchange = flight.exchange();
+    private void startAttempt(ActiveRequest request, BackendServer server, Optional<StagePath> path, long now) {
+        Exchange exchange = request.exchange();
         Exchange.Call call = exchange.call();
         ForwardHead head = new ForwardHead(
                 server.name(),
                 call.deadlineMillis() - now,
                 call.organisation(),
                 path,
-                path.map(way -> call.priority()),
+                path.map(stagePath -> call.priority()),
                 exchange.lastEvent());
-        // A request that may not be repeated must not meet a kept connection that its server is just closing.
-        HttpClient http = flight.route().mayRepeat() ? clients.pooled() : clients.single();
+        // A request that may not be repeated must not use a pooled connection, which its server may just be closing.
+        HttpClient http = request.route().mayRepeat() ? clients.pooled() : clients.single();
         Attempt attempt = new Attempt(http, exchange, server, head, clock, onEnd);
-        flight.begin(attempt);
+        request.startAttempt(attempt);
         log.ordinary("route", "sent")
                 .with("id", call.id())
                 .with("server", server.id())
-                .with("attempt", flight.sent())
+                .with("attempt", request.attemptCount())
                 .with("path", path.map(StagePath::text).orElse(""))
                 .with(
                         "tokenMicros",
-                        path.map(way -> Math.round(way.tokenMillis() * 1_000)).orElse(0L))
-                .with("crossings", beliefs.loads().crossings())
+                        path.map(stagePath -> Math.round(stagePath.tokenMillis() * 1_000))
+                                .orElse(0L))
+                .with("crossings", fleet.loads().crossings())
                 .with("lastEvent", exchange.lastEvent().orElse(-1L))
                 .with(
                         "configVersion",
--- /dev/null
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/FleetState.java
@@ -0,0 +1,215 @@
+package org.cornelramp.gateway.route;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import org.cornelramp.core.fleet.BackendServer;
+import org.cornelramp.core.fleet.PlainServerSelector;
+import org.cornelramp.core.fleet.ServerRegistry;
+import org.cornelramp.core.fleet.SuspectedServers;
+import org.cornelramp.core.model.BackendServerId;
+import org.cornelramp.core.model.ServiceName;
+import org.cornelramp.core.path.EngineLoads;
+import org.cornelramp.core.settings.HostPort;
+
+/** State of the backend servers as this gateway knows it. Confined to the router's thread. */
+public final class FleetState {
+    /** Delay of a tick from which on a missing answer may be this process's own fault. */
+    private static final long LATE_TICK_MILLIS = 30;
+
+    /** How long the process counts as late after a late tick: its other threads may be scheduled even later. */
+    private static final long LATE_DURATION_MILLIS = 1_000;
+
+    /** Missed heartbeats after which a registration expires. */
+    private static final long MISSED_HEARTBEATS = 3;
+
+    private final long confirmMillis;
+    private final ServerRegistry registry = new ServerRegistry();
+    private final SuspectedServers suspicions = new SuspectedServers();
+    private final EngineLoads loads = new EngineLoads();
+    private final PlainServerSelector plainServers = new PlainServerSelector();
+    private long lagMillis;
+    private long lateUntilMillis = Long.MIN_VALUE;
+    private boolean initialised;
+    private boolean storeAvailable;
+    private long era;
+
+    /** @param heartbeatMillis interval at which the servers renew their registrations */
+    public FleetState(long heartbeatMillis) {
+        this.confirmMillis = MISSED_HEARTBEATS * heartbeatMillis + ServerRegistry.REGISTRATION_GRACE_MILLIS;
+    }
+
+    /** The registrations. */
+    public ServerRegistry registry() {
+        return registry;
+    }
+
+    /** Servers that have failed recently. */
+    public SuspectedServers suspicions() {
+        return suspicions;
+    }
+
+    /** Load and slowdown of each engine. */
+    public EngineLoads loads() {
+        return loads;
+    }
+
+    /** Recent results of the plain servers, which are not engines. */
+    public PlainServerSelector plainServers() {
+        return plainServers;
+    }
+
+    /** Recent scheduling delay of the router's thread, in milliseconds. */
+    public long lagMillis() {
+        return lagMillis;
+    }
+
+    /**
+     * Records how late a tick ran. A gateway that has just started, or whose processor is saturated, reads answers late
+     * and must not take the servers for dead whose answers it has not read. The lag halves with each tick that is on
+     * time, so it decays within 200 ms.
+     */
+    public void recordTickDelay(long lateMillis, long nowMillis) {
+        lagMillis = Math.max(lateMillis, lagMillis / 2);
+        if (lateMillis >= LATE_TICK_MILLIS) {
+            lateUntilMillis = nowMillis + LATE_DURATION_MILLIS;
+        }
+    }
+
+    /** Whether a tick was late within the last second, so that an answer may have been read too late. */
+    public boolean isLate(long nowMillis) {
+        return nowMillis < lateUntilMillis;
+    }
+
+    /** Whether the registrations have been read at least once. */
+    public boolean isInitialised() {
+        return initialised;
+    }
+
+    /** Effect of registration records on the known state. */
+    public enum RegistrationEffect {
+        /** The records were known already, or belong to an earlier era of the store. */
+        UNCHANGED,
+        /** The known servers have changed. */
+        CHANGED,
+        /** The records are the first of a restored store, whether or not they change anything. */
+        RESTORED
+    }
+
+    /**
+     * Applies registration records. Records of an earlier era than the known one are ignored, and only a complete set
+     * of records starts a later era.
+     */
+    public RegistrationEffect applyRegistrations(RouterEvent.RegistrationsRead read, long nowMillis) {
+        if (read.era() < era || (read.era() > era && !read.complete())) {
+            return RegistrationEffect.UNCHANGED;
+        }
+        boolean restored = read.era() > era && initialised;
+        era = read.era();
+        initialised = true;
+        if (restored) {
+            registry.restore(read.records(), read.end(), confirmMillis, nowMillis);
+            return RegistrationEffect.RESTORED;
+        }
+        return applyRecords(read, nowMillis) ? RegistrationEffect.CHANGED : RegistrationEffect.UNCHANGED;
+    }
+
+    private boolean applyRecords(RouterEvent.RegistrationsRead read, long nowMillis) {
+        if (read.complete()) {
+            return registry.replaceAll(read.records(), read.end(), nowMillis);
+        }
+        boolean changed = false;
+        for (ServerRegistry.Registration record : read.records()) {
+            changed |= registry.apply(record, nowMillis);
+        }
+        return changed;
+    }
+
+    /**
+     * The servers of a service that accept work and are not suspected. A server that is shutting down gets no new
+     * requests: an engine refuses each new request on its path, and each refusal consumes one of the retries that all
+     * gateways share.
+     */
+    public List<BackendServer> usableServers(ServiceName service, long nowMillis) {
+        List<BackendServer> usable = new ArrayList<>();
+        for (BackendServer server : registry.servers()) {
+            boolean leaves = registry.leavingSinceMillis(server.id()).isPresent();
+            if (server.service().equals(service) && !leaves && !isSuspect(server.id(), nowMillis)) {
+                usable.add(server);
+            }
+        }
+        return usable;
+    }
+
+    /** The usable servers of a service, except those that a request avoids. */
+    public List<BackendServer> usableServers(ServiceName service, Set<BackendServerId> avoid, long nowMillis) {
+        return usableServers(service, nowMillis).stream()
+                .filter(server -> !avoid.contains(server.id()))
+                .toList();
+    }
+
+    /** Records whether the store answers. */
+    public void setStoreAvailable(boolean answers, long nowMillis) {
+        storeAvailable = answers;
+        registry.setStoreAvailable(answers, nowMillis);
+    }
+
+    /** Whether the server is shutting down or is no longer registered. */
+    public boolean isLeaving(BackendServerId id) {
+        return registry.server(id).isEmpty() || registry.leavingSinceMillis(id).isPresent();
+    }
+
+    /** Number of known servers that are shutting down. */
+    public long leavingCount() {
+        return registry.servers().stream()
+                .filter(server -> isLeaving(server.id()))
+                .count();
+    }
+
+    /** Whether the server has failed recently, so that no requests are sent to it. */
+    public boolean isSuspect(BackendServerId id, long nowMillis) {
+        return suspicions.isSuspect(id, nowMillis);
+    }
+
+    /** Whether a server of the service accepts work but is suspected, so that it may be usable again soon. */
+    public boolean hasSuspect(ServiceName service, long nowMillis) {
+        return registry.servers().stream()
+                .anyMatch(server -> server.service().equals(service)
+                        && server.state().takesWork()
+                        && isSuspect(server.id(), nowMillis));
+    }
+
+    /** Whether a server is dead, unreachable or restarted, so that its running requests should move. */
+    public boolean isLost(BackendServerId id, long nowMillis) {
+        return suspicions.isLost(id, nowMillis) || registry.isReplaced(id);
+    }
+
+    /** The server of a service at an address; another service may have registered the same address. */
+    public Optional<BackendServer> serverAt(HostPort address, ServiceName service) {
+        return registry.servers().stream()
+                .filter(server ->
+                        server.address().equals(address) && server.service().equals(service))
+                .findFirst();
+    }
+
+    /** An immutable view of the present state, for other threads. */
+    public FleetView view(long nowMillis) {
+        List<BackendServer> servers = registry.servers();
+        Set<BackendServerId> suspects = new HashSet<>();
+        for (BackendServer server : servers) {
+            if (isSuspect(server.id(), nowMillis)) {
+                suspects.add(server.id());
+            }
+        }
+        return new FleetView(servers, suspects, storeAvailable, initialised);
+    }
+
+    /** Removes the state of servers that are no longer registered. */
+    public void removeUnregistered() {
+        suspicions.retain(id -> registry.server(id).isPresent());
+        loads.retain(id -> registry.server(id).isPresent());
+        plainServers.retain(id -> registry.server(id).isPresent());
+    }
+}
--- a/gateway/src/main/java/org/cornelramp/gateway/route/FleetView.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/FleetView.java
@@ -6,17 +6,17 @@
 import org.cornelramp.core.model.BackendServerId;
 
 /**
- * What the router believes of the fleet, for other duties. Immutable, safe for use by any thread.
+ * A snapshot of the router's state of the backend servers, for other threads. Immutable, safe for use by any thread.
  *
  * @param servers the registered servers
- * @param suspects those that have just failed
- * @param storeAnswers whether the store answered last
- * @param known whether the registrations have been read at all
+ * @param suspects servers that have failed recently
+ * @param storeAvailable whether the store answered the last call
+ * @param initialised whether the registrations have been read at least once
  */
 public record FleetView(
-        List<BackendServer> servers, Set<BackendServerId> suspects, boolean storeAnswers, boolean known) {
-    /** Before anything was read. */
-    public static final FleetView NOTHING = new FleetView(List.of(), Set.of(), false, false);
+        List<BackendServer> servers, Set<BackendServerId> suspects, boolean storeAvailable, boolean initialised) {
+    /** The view before any registration has been read. */
+    public static final FleetView EMPTY = new FleetView(List.of(), Set.of(), false, false);
 
     public FleetView {
         servers = List.copyOf(servers);
--- /dev/null
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/PeerUpdateHandler.java
@@ -0,0 +1,129 @@
+package org.cornelramp.gateway.route;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.function.Consumer;
+import org.cornelramp.core.fleet.BackendServer;
+import org.cornelramp.core.model.BackendServerId;
+import org.cornelramp.core.model.DataCentre;
+import org.cornelramp.core.path.EngineLoads;
+import org.cornelramp.core.retry.RetryLoanUpdate;
+import org.cornelramp.gateway.peer.PeerLink;
+import org.cornelramp.gateway.peer.PeerNews;
+import org.cornelramp.gateway.peer.PeerTurns;
+
+/**
+ * Prepares the updates that this gateway sends to its peers, and applies the updates of its peers. Confined to the
+ * router's thread.
+ */
+final class PeerUpdateHandler {
+    /**
+     * Age that is assigned to a slowdown factor from a peer's update, so that two gateways do not keep an outdated one
+     * alive by sending it to each other.
+     */
+    private static final long SLOWDOWN_AGE_MILLIS = 2_500;
+
+    /**
+     * How long a failure that this process has observed stays in its updates, since datagrams may be lost. Shorter than
+     * a suspicion lasts; otherwise a server that has just recovered would be suspected again.
+     */
+    private static final long FAILURE_REPORT_MILLIS = 1_000;
+
+    private final PeerNews.Sender sender;
+    private final FleetState fleet;
+    private final SharedRetries sharedRetries;
+    private final Consumer<BackendServer> probe;
+    private final Map<BackendServerId, Long> failuresSeen = new HashMap<>();
+    private final Map<String, Long> stayingPeers = new ConcurrentHashMap<>();
+    private volatile boolean leaving;
+    private long number;
+    private volatile PeerNews currentUpdate;
+
+    /** @param probe probes a server that a peer has seen fail */
+    PeerUpdateHandler(
+            String name,
+            DataCentre dataCentre,
+            FleetState fleet,
+            SharedRetries sharedRetries,
+            Consumer<BackendServer> probe) {
+        this.sender = new PeerNews.Sender(name, PeerLink.newLife(), dataCentre);
+        this.fleet = fleet;
+        this.sharedRetries = sharedRetries;
+        this.probe = probe;
+        this.currentUpdate = PeerNews.of(sender, 0, false, Map.of(), 0, Map.of(), Set.of(), RetryLoanUpdate.NONE);
+    }
+
+    /** The update to send now; may be called by any thread. */
+    PeerNews currentUpdate() {
+        return currentUpdate;
+    }
+
+    /** Marks this process as stopping in its updates; may be called by any thread. */
+    void announceStop() {
+        leaving = true;
+    }
+
+    /** Whether there is a peer that is not stopping; may be called by any thread. */
+    boolean hasStayingPeer() {
+        return !stayingPeers.isEmpty();
+    }
+
+    /**
+     * Records that this process itself has seen a server fail. Failures from peers' updates are not forwarded, or they
+     * would circulate without end.
+     */
+    void recordFailure(BackendServerId id, long nowMillis) {
+        failuresSeen.put(id, nowMillis);
+    }
+
+    /** Builds the current update and drops expired entries. */
+    void refreshUpdate(long nowMillis) {
+        EngineLoads loads = fleet.loads();
+        loads.removeExpiredSlowdowns(nowMillis);
+        // Updates may have been waiting unread for as long as this process is late.
+        long silence = PeerTurns.silenceMillis(loads.peerCount()) + fleet.lagMillis();
+        loads.removeSilentPeers(silence, nowMillis);
+        sharedRetries.setPeers(loads.peerCount(), nowMillis);
+        stayingPeers.values().removeIf(at -> nowMillis - at > silence);
+        failuresSeen.values().removeIf(at -> nowMillis - at > FAILURE_REPORT_MILLIS);
+        currentUpdate = PeerNews.of(
+                sender,
+                ++number,
+                leaving,
+                loads.ownLoads(),
+                loads.ownCrossings(),
+                loads.slowdownFactors(),
+                failuresSeen.keySet(),
+                sharedRetries.loanUpdate(nowMillis));
+    }
+
+    /** Applies a peer's update. */
+    void handleUpdate(PeerNews theirs, long nowMillis) {
+        if (theirs.leaving()) {
+            stayingPeers.remove(theirs.name());
+        } else {
+            stayingPeers.put(theirs.name(), nowMillis);
+        }
+        EngineLoads loads = fleet.loads();
+        theirs.loads()
+                .ifPresentOrElse(
+                        peerLoads -> loads.updatePeer(theirs.name(), peerLoads, theirs.crossings(), nowMillis),
+                        () -> loads.keepPeer(theirs.name(), theirs.crossings(), nowMillis));
+        sharedRetries.applyPeerUpdate(theirs.name(), theirs.repeats(), nowMillis);
+        theirs.paces().forEach((id, slowdown) -> {
+            if (loads.slowdown(id) == 1) {
+                loads.setSlowdown(id, slowdown, nowMillis - SLOWDOWN_AGE_MILLIS);
+            }
+        });
+        // A gateway whose own link or processor is overloaded gets no answers and considers every server dead, so its
+        // update is a reason to probe and no proof: taken as proof, it made gateways give up 52 of 80 layers of a data
+        // centre.
+        for (BackendServerId id : theirs.suspects()) {
+            if (!fleet.isSuspect(id, nowMillis)) {
+                fleet.registry().server(id).ifPresent(probe);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/RetryDispatcher.java
@@ -0,0 +1,213 @@
+package org.cornelramp.gateway.route;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import org.cornelramp.core.model.ServiceName;
+import org.cornelramp.core.retry.RetryQueue;
+import org.cornelramp.gateway.request.Attempt;
+import org.cornelramp.gateway.request.AttemptEnd;
+
+/**
+ * Retries requests whose attempt has failed, within the retry budget that all gateways share. A request for which no
+ * retry or no server is available waits in a queue. A stream that has started waits until its client leaves, since only
+ * this gateway can continue it. A request that has not started waits for a short time, in which peers may lend retries
+ * and full engines may have room again. Confined to the router's thread.
+ *
+ * <p>Invariant: a retry is consumed only if there is a server to send the request to.
+ */
+final class RetryDispatcher {
+    /**
+     * Most attempts at one request; more would not find a server either. Until the answer has started, every attempt
+     * counts. After that, only runs without an event count, because engines that are filling up refuse a stream several
+     * times within a short time, and a stream that makes progress is worth another run.
+     */
+    private static final int MAX_ATTEMPTS = 6;
+
+    /**
+     * Number of lost engines from which on a request is assumed to crash the engines that run it, so that all its runs
+     * count.
+     */
+    private static final int CRASH_THRESHOLD = 3;
+
+    /**
+     * Longest wait of a request that has not started, in milliseconds. Peers lend within two rounds of updates, and an
+     * engine that was full is tried again after 250 ms. A client that is refused after this time can still retry by
+     * itself.
+     */
+    private static final long MAX_UNSTARTED_WAIT_MILLIS = 400;
+
+    /**
+     * Least time between two searches for a server for one waiting request. A search takes some tenths of a
+     * millisecond; searching at each tick for dozens of waiting requests would delay the router's thread on a small
+     * machine.
+     */
+    private static final long SEARCH_INTERVAL_MILLIS = 60;
+
+    /** Time after which a request may use the servers again that have failed it, if no other server is available. */
+    private static final long AVOIDANCE_MILLIS = 250;
+
+    private final SharedRetries sharedRetries;
+    private final Dispatcher dispatcher;
+    private final FleetState fleet;
+    private final RoutingLog routingLog;
+    private final RetryQueue<ActiveRequest> waiting = new RetryQueue<>();
+
+    RetryDispatcher(SharedRetries sharedRetries, Dispatcher dispatcher, FleetState fleet, RoutingLog routingLog) {
+        this.sharedRetries = sharedRetries;
+        this.dispatcher = dispatcher;
+        this.fleet = fleet;
+        this.routingLog = routingLog;
+    }
+
+    /** Retries a repeatable request now or queues it; false if the request is to be ended. */
+    boolean retryOrQueue(ActiveRequest request, Attempt failed, AttemptEnd end, long now) {
+        return prepareRetry(request, failed, end, now) && (trySend(request, now) || enqueue(request, now));
+    }
+
+    /**
+     * Retries a repeatable request if a retry and a server are available; false if not. A request that has an answer,
+     * though an error, is not queued, because the answer can be passed on instead.
+     */
+    boolean retryNow(ActiveRequest request, Attempt failed, AttemptEnd end, long now) {
+        return prepareRetry(request, failed, end, now) && trySend(request, now);
+    }
+
+    /** Whether another attempt may be made; records the servers that it avoids and whether it consumes a retry. */
+    private boolean prepareRetry(ActiveRequest request, Attempt failed, AttemptEnd end, long now) {
+        if (!mayAttemptAgain(request, failed, now)) {
+            routingLog.notRetried(request, "all attempts are made, or its time is over");
+            return false;
+        }
+        avoidFailedServers(request, failed, end);
+        request.setNeedsRetry(end.kind().mayHaveArrived());
+        return true;
+    }
+
+    /** Queues a started stream for which there is no path. */
+    void queueForPath(ActiveRequest request, long now) {
+        waiting.add(request, queueEntry(request, now));
+        handleNoPath(request, now);
+    }
+
+    /**
+     * Retries the waiting requests, the most urgent first, and asks the peers to lend the retries that are still
+     * missing.
+     */
+    void retryWaiting(long now) {
+        Map<ServiceName, Integer> lacking = new HashMap<>();
+        for (ActiveRequest request : waiting.inOrder()) {
+            if (trySend(request, now)) {
+                waiting.remove(request);
+            } else if (request.needsRetry()) {
+                lacking.merge(request.service(), 1, Integer::sum);
+            }
+        }
+        sharedRetries.requestLoans(lacking, now);
+    }
+
+    /** Removes and returns the requests that have not started and have waited for the longest permitted time. */
+    List<ActiveRequest> removeExpired(long now) {
+        return waiting.removeOverdue(now);
+    }
+
+    /** Whether a request is in the queue. */
+    boolean isWaiting(ActiveRequest request) {
+        return waiting.contains(request);
+    }
+
+    /** Removes a request that has ended from the queue. */
+    void remove(ActiveRequest request) {
+        waiting.remove(request);
+    }
+
+    private boolean mayAttemptAgain(ActiveRequest request, Attempt failed, long now) {
+        boolean engines = failed.path().isPresent();
+        boolean left = engines || request.possibleRunCount() < request.route().maxAttempts();
+        boolean inTime = now < request.exchange().call().deadlineMillis();
+        return left && inTime && request.countedAttempts(seemsToCrash(request, now)) < MAX_ATTEMPTS;
+    }
+
+    /** Whether so many engines that ran a request are lost that the request may be the cause. */
+    private boolean seemsToCrash(ActiveRequest request, long now) {
+        long gone = request.usedFirstEngines().stream()
+                .filter(id ->
+                        fleet.isLost(id, now) || fleet.registry().server(id).isEmpty())
+                .count();
+        return gone >= CRASH_THRESHOLD;
+    }
+
+    private void avoidFailedServers(ActiveRequest request, Attempt failed, AttemptEnd end) {
+        boolean engines = failed.path().isPresent();
+        if (!engines || (end.kind().surelyNotRun() && end.faultAt().isEmpty())) {
+            request.avoidedServers().add(failed.server().id());
+        }
+        end.faultAt()
+                .flatMap(address -> fleet.serverAt(address, request.service()))
+                .ifPresent(server -> request.avoidedServers().add(server.id()));
+    }
+
+    private boolean trySend(ActiveRequest request, long now) {
+        boolean started = request.exchange().isCommitted();
+        if (request.needsRetry() && !sharedRetries.isAvailable(request.service(), started, now)) {
+            logNoRetryLeft(request, now);
+            return false;
+        }
+        if (!request.tryStartSearch(now, SEARCH_INTERVAL_MILLIS)) {
+            return false;
+        }
+        Optional<Dispatcher.Target> target = dispatcher.chooseTarget(request, now);
+        if (target.isEmpty()) {
+            handleNoPath(request, now);
+            return false;
+        }
+        if (request.needsRetry()) {
+            sharedRetries.tryConsume(request.service(), started, now);
+            request.setNeedsRetry(false);
+        }
+        dispatcher.send(request, target.get(), now);
+        return true;
+    }
+
+    private void logNoRetryLeft(ActiveRequest request, long now) {
+        if (!waiting.contains(request)) {
+            routingLog.noRetryLeft(
+                    request,
+                    sharedRetries.remaining(request.service(), now),
+                    sharedRetries.peers(),
+                    isWaitUseful(request, now));
+        }
+    }
+
+    private boolean enqueue(ActiveRequest request, long now) {
+        return isWaitUseful(request, now) && waiting.add(request, queueEntry(request, now));
+    }
+
+    /** Whether waiting may help; a request that could only be refused later is refused at once. */
+    private boolean isWaitUseful(ActiveRequest request, long now) {
+        boolean peersMayLend = sharedRetries.peers() > 0;
+        boolean serverMayReturn = fleet.hasSuspect(request.service(), now);
+        return request.exchange().isCommitted() || peersMayLend || serverMayReturn;
+    }
+
+    private static RetryQueue.WaitState queueEntry(ActiveRequest request, long now) {
+        return new RetryQueue.WaitState(
+                request.exchange().isCommitted(),
+                request.exchange().call().deadlineMillis(),
+                now + MAX_UNSTARTED_WAIT_MILLIS);
+    }
+
+    /**
+     * Handles that no server is available. After {@link #AVOIDANCE_MILLIS} the servers that have failed the request are
+     * allowed again: they may be the only ones, and may have room by now.
+     */
+    private void handleNoPath(ActiveRequest request, long now) {
+        if (request.markAwaitingPath(now)) {
+            routingLog.noPath(request); // logged once per wait, although the search is repeated
+        }
+        if (request.awaitedPathMillis(now) >= AVOIDANCE_MILLIS) {
+            request.avoidedServers().clear();
+        }
+    }
+}
--- a/gateway/src/main/java/org/cornelramp/gateway/route/Router.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Router.java
@@ -22,45 +22,48 @@
 import org.cornelramp.platform.StoreFault;
 
 /**
- * Decides where each request goes, and again when an attempt fails.
+ * Chooses a backend server for each request, and another one when an attempt fails.
  *
- * <p>One thread owns all state here; other threads only {@link #offer} events. Invariant: a request that may not be
- * repeated is sent again only after an attempt that surely did not run.
+ * <p>All state is confined to one thread; other threads only {@link #offer} events. Invariant: a request that may not
+ * be repeated is sent again only after an attempt that certainly did not run.
  */
 public final class Router {
-    private static final int RING = 8_192;
+    private static final int RING_CAPACITY = 8_192;
     private static final long TICK_MILLIS = 20;
 
-    /** How long a request waits at a start until the servers are known, in milliseconds; they are read in a tenth of it. */
-    private static final long START_WAIT_MILLIS = 1_000;
+    /**
+     * Longest wait of a request after the start until the servers are known, in milliseconds; reading them takes a
+     * tenth of it.
+     */
+    private static final long STARTUP_WAIT_MILLIS = 1_000;
 
-    /** Lowest status by which a backend server says that it failed. */
+    /** Lowest HTTP status that means a failure of the backend server. */
     private static final int SERVER_ERROR = 500;
 
     private final ConfigHolder config;
     private final SteadyClock clock;
     private final EventLog log;
     private final Meters meters;
-    private final EngineDesk desk;
-    private final FlightLog flightLog;
-    private final Beliefs beliefs;
-    private final IdentityHashMap<Exchange, Flight> flights = new IdentityHashMap<>();
-    private final Repeats repeats;
-    private final ServerJudge judge;
-    private final OverdueRuns overdue;
-    private final PeerTalk talk;
-    private final AtomicInteger underWay = new AtomicInteger();
+    private final AsyncEngineControl engineControl;
+    private final RoutingLog routingLog;
+    private final FleetState fleet;
+    private final IdentityHashMap<Exchange, ActiveRequest> activeRequests = new IdentityHashMap<>();
+    private final SharedRetries sharedRetries;
+    private final FailureDetector failureDetector;
+    private final OverdueAttempts overdueAttempts;
+    private final PeerUpdateHandler peerUpdateHandler;
+    private final AtomicInteger activeRequestCount = new AtomicInteger();
     private final Duty<RouterEvent> duty;
     private final Dispatcher dispatcher;
-    private final Resender resender;
-    private final StreamWatch watch;
-    private volatile FleetView view = FleetView.NOTHING;
-    private boolean storeAnswers;
+    private final RetryDispatcher retryDispatcher;
+    private final StreamMonitor streamMonitor;
+    private volatile FleetView view = FleetView.EMPTY;
+    private boolean storeAvailable;
     private long lastTickMillis;
 
     /**
      * @param clients send the requests
-     * @param desk asks engines and gives them orders
+     * @param engineControl reads engines' reports and sends them orders
      */
     public Router(
             GatewaySettings settings,
@@ -69,110 +72,115 @@
             SteadyClock clock,
             EventLog log,
             Meters meters,
-            EngineDesk desk) {
-        this.beliefs = new Beliefs(settings.timing().heartbeatMillis());
+            AsyncEngineControl engineControl) {
+        this.fleet = new FleetState(settings.timing().heartbeatMillis());
         this.config = config;
         this.clock = clock;
         this.log = log;
         this.meters = meters;
-        this.desk = desk;
-        this.flightLog = new FlightLog(log, meters);
-        this.duty = new Duty<>("router", RING, this::handle, this::tick, TICK_MILLIS);
-        this.repeats = new Repeats(settings.name(), settings.retries(), new SplittableRandom());
-        this.judge = new ServerJudge(beliefs, desk, settings.timing().stallMillis(), log, meters, this::offer);
-        this.talk = new PeerTalk(
+        this.engineControl = engineControl;
+        this.routingLog = new RoutingLog(log, meters);
+        this.duty = new Duty<>("router", RING_CAPACITY, this::handle, this::tick, TICK_MILLIS);
+        this.sharedRetries = new SharedRetries(settings.name(), settings.retries(), new SplittableRandom());
+        this.failureDetector =
+                new FailureDetector(fleet, engineControl, settings.timing().stallMillis(), log, meters, this::offer);
+        this.peerUpdateHandler = new PeerUpdateHandler(
                 settings.name(),
                 settings.dataCentre(),
-                beliefs,
-                repeats,
-                server -> judge.seenToFail(server, clock.millis()));
-        judge.setOnLost(talk::sawFail);
-        this.dispatcher = new Dispatcher(settings, clients, config, beliefs, clock, log, this::attemptEnded);
-        this.resender = new Resender(repeats, dispatcher, beliefs, flightLog);
-        this.overdue = new OverdueRuns(repeats, dispatcher);
-        this.watch = new StreamWatch(beliefs, desk, judge, overdue, log, this::offer);
-    }
-
-    /** Starts the duty's thread. */
+                fleet,
+                sharedRetries,
+                server -> failureDetector.handlePeerSuspicion(server, clock.millis()));
+        failureDetector.setOnLost(peerUpdateHandler::recordFailure);
+        this.dispatcher = new Dispatcher(settings, clients, config, fleet, clock, log, this::offerAttemptEnd);
+        this.retryDispatcher = new RetryDispatcher(sharedRetries, dispatcher, fleet, routingLog);
+        this.overdueAttempts = new OverdueAttempts(sharedRetries, dispatcher);
+        this.streamMonitor =
+                new StreamMonitor(fleet, engineControl, failureDetector, overdueAttempts, log, this::offer);
+    }
+
+    /** Starts the router's thread. */
     public void start() {
         duty.start();
     }
 
-    /** Ends the duty's thread. */
+    /** Stops the router's thread. */
     public void stop() {
         duty.stop();
     }
 
-    /** Hands an event to the duty; false when its ring is full. */
+    /** Queues an event for the router's thread; false if the ring buffer is full. */
     public boolean offer(RouterEvent event) {
         return duty.offer(event);
     }
 
-    /** Requests under way. */
-    public int underWay() {
-        return underWay.get();
+    /** Number of requests in progress. */
+    public int activeRequestCount() {
+        return activeRequestCount.get();
     }
 
-    /** What is believed of the fleet. */
+    /** The state of the backend servers as of the last tick. */
     public FleetView view() {
         return view;
     }
 
-    /** What this process tells its peers. */
-    public PeerNews news() {
-        return talk.news();
+    /** The update that this process sends to its peers. */
+    public PeerNews currentUpdate() {
+        return peerUpdateHandler.currentUpdate();
     }
 
-    /** Notes that this process is stopping, for its peers. */
-    public void leave() {
-        talk.leave();
+    /** Marks this process as stopping in the updates to its peers. */
+    public void announceStop() {
+        peerUpdateHandler.announceStop();
     }
 
-    /** Whether a peer is there that is not stopping. */
+    /** Whether there is a peer that is not stopping. */
     public boolean hasStayingPeer() {
-        return talk.hasStayingPeer();
+        return peerUpdateHandler.hasStayingPeer();
     }
 
-    /** Takes a peer's news. */
-    public void peerTold(PeerNews told) {
-        offer(new RouterEvent.PeerTold(told));
+    /** Queues a peer's update for the router's thread; dropped if the ring buffer is full. */
+    public void receivePeerUpdate(PeerNews told) {
+        offer(new RouterEvent.PeerUpdateReceived(told));
     }
 
     private void handle(RouterEvent event) {
         long now = clock.millis();
-        if (event instanceof RouterEvent.Arrived arrived) {
-            arrived(arrived.exchange(), now);
-        } else if (event instanceof RouterEvent.Ended ended) {
-            ended(ended.attempt(), ended.end(), now);
-        } else if (event instanceof RouterEvent.Registered registered) {
-            registered(registered, now);
-        } else if (event instanceof RouterEvent.PeerTold told) {
-            talk.told(told.news(), now);
-        } else if (event instanceof RouterEvent.StoreAnswers answers) {
-            storeAnswers(answers.answers(), now);
-        } else if (event instanceof RouterEvent.Reported reported) {
-            reported(reported, now);
-        } else if (event instanceof RouterEvent.Moved moved) {
-            moved(moved, now);
+        if (event instanceof RouterEvent.RequestReceived arrived) {
+            handleRequest(arrived.exchange(), now);
+        } else if (event instanceof RouterEvent.AttemptEnded ended) {
+            handleAttemptEnd(ended.attempt(), ended.end(), now);
+        } else if (event instanceof RouterEvent.RegistrationsRead registered) {
+            handleRegistrations(registered, now);
+        } else if (event instanceof RouterEvent.PeerUpdateReceived told) {
+            peerUpdateHandler.handleUpdate(told.update(), now);
+        } else if (event instanceof RouterEvent.StoreStatus answers) {
+            storeAvailable(answers.available(), now);
+        } else if (event instanceof RouterEvent.EngineReportResult reported) {
+            handleReport(reported, now);
+        } else if (event instanceof RouterEvent.MoveResult moved) {
+            handleMoveResult(moved, now);
         }
-        if (judge.takeLostSeen()) {
-            watch.check(flights.values(), config.current(), now); // its streams go on before their clients notice
+        if (failureDetector.pollNewlyLost()) {
+            streamMonitor.check(
+                    activeRequests.values(),
+                    config.current(),
+                    now); // so that its streams continue before their clients notice
         }
     }
 
-    private void arrived(Exchange exchange, long now) {
+    private void handleRequest(Exchange exchange, long now) {
         Exchange.Call call = exchange.call();
         double draw = (call.id().hashCode() & 0x7fffffff) / (double) (1L << 31);
         ServiceName service = call.route().service(draw);
-        Flight flight = new Flight(exchange, service, expectedTokens(call.head()));
-        flights.put(exchange, flight);
-        underWay.incrementAndGet();
-        repeats.request(service, now);
+        ActiveRequest request = new ActiveRequest(exchange, service, expectedTokens(call.head()));
+        activeRequests.put(exchange, request);
+        activeRequestCount.incrementAndGet();
+        sharedRetries.countRequest(service, now);
         if (exchange.hasClientLeft(now)) {
-            drop(flight, "client gone", flight.exchange().clientSeen(), now); // while its request was held
+            abort(request, "client gone", request.exchange().clientSeen(), now); // while the request was held
             return;
         }
-        send(flight, now);
+        send(request, now);
     }
 
     private static int expectedTokens(CallHead head) {
@@ -181,248 +189,255 @@
         return head.promptTokens() + output;
     }
 
-    /** Sends a request, or ends it when no server can take it. */
-    private void send(Flight flight, long now) {
-        if (now >= flight.exchange().call().deadlineMillis()) {
-            giveUp(flight, Refusal.NOT_RUN_IN_TIME, "deadline");
-        } else if (!dispatcher.send(flight, now)) {
-            waitOrGiveUp(flight, now);
+    /** Sends a request, or ends it if no server can take it. */
+    private void send(ActiveRequest request, long now) {
+        if (now >= request.exchange().call().deadlineMillis()) {
+            giveUp(request, Refusal.NOT_RUN_IN_TIME, "deadline");
+        } else if (!dispatcher.send(request, now)) {
+            waitOrGiveUp(request, now);
         }
     }
 
     /**
-     * A stream that has begun waits for a path until its client leaves, since nobody else can carry it on; what has not
-     * begun is refused at once, but for the moment after a start in which the servers are not known yet.
+     * Handles a request that no server can take. A started stream waits for a path until its client leaves, since only
+     * this gateway can continue it. A request that has not started is refused at once, except shortly after the start
+     * of the process, while the servers are not known yet.
      */
-    private void waitOrGiveUp(Flight flight, long now) {
-        if (!beliefs.isKnown() && now - flight.exchange().call().receivedMillis() < START_WAIT_MILLIS) {
+    private void waitOrGiveUp(ActiveRequest request, long now) {
+        if (!fleet.isInitialised() && now - request.exchange().call().receivedMillis() < STARTUP_WAIT_MILLIS) {
             return;
         }
-        if (flight.exchange().isCommitted()) {
-            resender.awaitPath(flight, now);
+        if (request.exchange().isCommitted()) {
+            retryDispatcher.queueForPath(request, now);
             return;
         }
-        giveUp(flight, flight.mayHaveRun() == 0 ? Refusal.NO_SERVER : Refusal.UNKNOWN, "no server");
+        giveUp(request, request.possibleRunCount() == 0 ? Refusal.NO_SERVER : Refusal.UNKNOWN, "no server");
     }
 
-    private void attemptEnded(Attempt attempt, AttemptEnd end) {
-        RouterEvent event = new RouterEvent.Ended(attempt, end);
+    private void offerAttemptEnd(Attempt attempt, AttemptEnd end) {
+        RouterEvent event = new RouterEvent.AttemptEnded(attempt, end);
         while (!offer(event)) {
-            Thread.onSpinWait(); // an end that is lost would keep its load counted for ever
+            Thread.onSpinWait(); // if the event were lost, the load of the attempt would be counted forever
         }
     }
 
-    private void ended(Attempt attempt, AttemptEnd end, long now) {
-        Flight flight = flights.get(attempt.exchange());
+    private void handleAttemptEnd(Attempt attempt, AttemptEnd end, long now) {
+        ActiveRequest request = activeRequests.get(attempt.exchange());
         meters.attemptEnded(end.kind().name());
-        boolean current = flight != null && flight.attempt() == attempt;
-        judge.learn(attempt, end, now);
+        boolean current = request != null && request.attempt() == attempt;
+        failureDetector.recordOutcome(attempt, end, now);
         if (!current) {
             return;
         }
-        if (OverdueRuns.hasBegun(flight, attempt)) {
-            begun(flight, attempt, now); // a short stream ends between two ticks
+        if (OverdueAttempts.hasEvents(request, attempt)) {
+            handleFirstEvent(request, attempt, now); // a short stream may end between two ticks
         }
-        dispatcher.unload(flight);
-        flight.endAttempt(end.kind().surelyNotRun());
+        dispatcher.removeLoad(request);
+        request.endAttempt(end.kind().surelyNotRun());
         if (attempt.path().isPresent() && !end.kind().surelyNotRun()) {
-            flight.firsts().add(attempt.server().id());
+            request.usedFirstEngines().add(attempt.server().id());
         }
         switch (end.kind()) {
-            case RELAYED -> complete(flight, end, now);
-            case CLIENT_GONE -> drop(flight, "client gone", end.detail(), now);
-            case ANSWERED -> answered(flight, attempt, end, now);
-            default -> failed(flight, attempt, end, now);
+            case RELAYED -> complete(request, end, now);
+            case CLIENT_GONE -> abort(request, "client gone", end.detail(), now);
+            case ANSWERED -> handleAnswer(request, attempt, end, now);
+            default -> handleFailure(request, attempt, end, now);
         }
     }
 
-    private void complete(Flight flight, AttemptEnd end, long now) {
-        flight.exchange().complete(end.fields());
-        finish(flight, "complete", end.status(), now);
+    private void complete(ActiveRequest request, AttemptEnd end, long now) {
+        request.exchange().complete(end.fields());
+        finish(request, "complete", end.status(), now);
     }
 
-    private void answered(Flight flight, Attempt attempt, AttemptEnd end, long now) {
-        // The client of a begun stream can be given no other status, so whatever a repeat is answered with, it goes on.
-        boolean begun = flight.exchange().isCommitted();
-        boolean failed = begun || end.status() >= SERVER_ERROR;
-        if (failed && flight.route().mayRepeat() && sendsAgain(flight, attempt, end, now)) {
+    private void handleAnswer(ActiveRequest request, Attempt attempt, AttemptEnd end, long now) {
+        // A started stream has sent its status to the client already, so any status that a retry is answered with is a
+        // failure.
+        boolean started = request.exchange().isCommitted();
+        boolean failed = started || end.status() >= SERVER_ERROR;
+        if (failed && request.route().mayRepeat() && retryAnswered(request, attempt, end, now)) {
             return;
         }
-        if (begun) {
-            breakOff(flight, "a repeat was answered with status " + end.status(), now);
+        if (started) {
+            breakOff(request, "a retry was answered with status " + end.status(), now);
             return;
         }
-        flight.exchange().answer(end.status(), end.fields(), end.body());
-        finish(flight, "answered", end.status(), now);
+        request.exchange().answer(end.status(), end.fields(), end.body());
+        finish(request, "answered", end.status(), now);
     }
 
-    /** Sends an answered request again; one that has not begun does not wait for it, as its answer can be passed on. */
-    private boolean sendsAgain(Flight flight, Attempt attempt, AttemptEnd end, long now) {
-        return flight.exchange().isCommitted()
-                ? resender.tryAgain(flight, attempt, end, now)
-                : resender.tryNow(flight, attempt, end, now);
+    /**
+     * Retries an answered request. A request that has not started is not queued for the retry, as its answer can be
+     * passed on.
+     */
+    private boolean retryAnswered(ActiveRequest request, Attempt attempt, AttemptEnd end, long now) {
+        return request.exchange().isCommitted()
+                ? retryDispatcher.retryOrQueue(request, attempt, end, now)
+                : retryDispatcher.retryNow(request, attempt, end, now);
     }
 
-    private void failed(Flight flight, Attempt attempt, AttemptEnd end, long now) {
-        judge.blame(attempt, end, now);
-        flightLog.attemptFailed(flight, attempt, end, now);
-        boolean mayRepeat = end.kind().surelyNotRun() || flight.route().mayRepeat();
-        if (mayRepeat && resender.tryAgain(flight, attempt, end, now)) {
+    private void handleFailure(ActiveRequest request, Attempt attempt, AttemptEnd end, long now) {
+        failureDetector.handleFailedAttempt(attempt, end, now);
+        routingLog.attemptFailed(request, attempt, end, now);
+        boolean mayRepeat = end.kind().surelyNotRun() || request.route().mayRepeat();
+        if (mayRepeat && retryDispatcher.retryOrQueue(request, attempt, end, now)) {
             return;
         }
-        giveUp(flight, failure(flight), end.detail());
+        giveUp(request, refusalFor(request), end.detail());
     }
 
-    private static Refusal failure(Flight flight) {
-        return flight.mayHaveRun() == 0 ? Refusal.OVERLOADED : Refusal.UNKNOWN;
+    private static Refusal refusalFor(ActiveRequest request) {
+        return request.possibleRunCount() == 0 ? Refusal.OVERLOADED : Refusal.UNKNOWN;
     }
 
-    private void giveUp(Flight flight, Refusal refusal, String why) {
+    private void giveUp(ActiveRequest request, Refusal refusal, String why) {
         long now = clock.millis();
-        if (flight.exchange().isCommitted()) {
-            breakOff(flight, why, now);
+        if (request.exchange().isCommitted()) {
+            breakOff(request, why, now);
             return;
         }
-        flight.exchange().refuse(refusal, refusal.retryMillis());
-        flightLog.refused(flight, refusal, why);
-        finish(flight, "refused", refusal.status(), now);
+        request.exchange().refuse(refusal, refusal.retryMillis());
+        routingLog.refused(request, refusal, why);
+        finish(request, "refused", refusal.status(), now);
     }
 
-    private void breakOff(Flight flight, String why, long now) {
-        drop(flight, why, "", now);
+    private void breakOff(ActiveRequest request, String why, long now) {
+        abort(request, why, "", now);
     }
 
-    /** @param seen what showed that the client has gone; empty where it has not */
-    private void drop(Flight flight, String why, String seen, long now) {
-        flight.exchange().breakOff(why);
-        flightLog.brokenOff(flight, why, seen, repeats.left(flight.service(), now), now);
-        finish(flight, "broken", 0, now);
+    /** @param seen how it was detected that the client has gone; empty if it has not */
+    private void abort(ActiveRequest request, String why, String seen, long now) {
+        request.exchange().breakOff(why);
+        routingLog.brokenOff(request, why, seen, sharedRetries.remaining(request.service(), now), now);
+        finish(request, "broken", 0, now);
     }
 
-    private void finish(Flight flight, String outcome, int status, long now) {
-        dispatcher.unload(flight);
-        resender.forget(flight);
-        flights.remove(flight.exchange());
-        underWay.decrementAndGet();
-        flightLog.ended(flight, outcome, status, now);
+    private void finish(ActiveRequest request, String outcome, int status, long now) {
+        dispatcher.removeLoad(request);
+        retryDispatcher.remove(request);
+        activeRequests.remove(request.exchange());
+        activeRequestCount.decrementAndGet();
+        routingLog.ended(request, outcome, status, now);
     }
 
-    private void registered(RouterEvent.Registered registered, long now) {
-        Beliefs.Taken taken = beliefs.registered(registered, now);
-        if (taken != Beliefs.Taken.NOTHING_NEW) {
-            log.line("fleet", taken == Beliefs.Taken.RESTORED ? "restored" : "changed")
+    private void handleRegistrations(RouterEvent.RegistrationsRead registered, long now) {
+        FleetState.RegistrationEffect effect = fleet.applyRegistrations(registered, now);
+        if (effect != FleetState.RegistrationEffect.UNCHANGED) {
+            log.line("fleet", effect == FleetState.RegistrationEffect.RESTORED ? "restored" : "changed")
                     .with("end", registered.end())
                     .with("era", registered.era())
-                    .with("servers", beliefs.registry().servers().size())
-                    .with("leaving", beliefs.leavingCount())
+                    .with("servers", fleet.registry().servers().size())
+                    .with("leaving", fleet.leavingCount())
                     .write();
-            beliefs.forgetGone();
+            fleet.removeUnregistered();
         }
     }
 
-    private void storeAnswers(boolean answers, long now) {
-        if (answers != storeAnswers) {
-            storeAnswers = answers;
+    private void storeAvailable(boolean answers, long now) {
+        if (answers != storeAvailable) {
+            storeAvailable = answers;
             log.line("store", answers ? "regained" : "lost").write();
         }
-        beliefs.storeAnswers(answers, now);
+        fleet.setStoreAvailable(answers, now);
     }
 
-    private void reported(RouterEvent.Reported reported, long now) {
+    private void handleReport(RouterEvent.EngineReportResult reported, long now) {
         boolean missed = reported.report().isLeft()
                 && reported.report().getLeft().kind() != StoreFault.Kind.NOT_LISTENING
-                && watch.isPassed(flights.values(), reported.engine().id(), now);
+                && streamMonitor.isForwarding(
+                        activeRequests.values(), reported.engine().id(), now);
         if (missed) {
-            flightLog.answerMissed(reported.engine(), beliefs.lagMillis());
-            desk.askedTooSoon(reported.engine(), now);
+            routingLog.probeUnanswered(reported.engine(), fleet.lagMillis());
+            engineControl.recordInconclusiveProbe(reported.engine(), now);
         } else {
-            judge.reported(reported.engine(), reported.report(), now);
+            failureDetector.handleReport(reported.engine(), reported.report(), now);
         }
     }
 
-    private void moved(RouterEvent.Moved moved, long now) {
-        Flight flight = flights.get(moved.attempt().exchange());
-        if (flight == null || flight.attempt() != moved.attempt()) {
+    private void handleMoveResult(RouterEvent.MoveResult moved, long now) {
+        ActiveRequest request = activeRequests.get(moved.attempt().exchange());
+        if (request == null || request.attempt() != moved.attempt()) {
             return;
         }
-        flight.setMoving(false);
+        request.setMoving(false);
         meters.moved(moved.result().isRight());
         log.line("route", moved.result().isRight() ? "moved" : "not moved")
-                .with("id", flight.exchange().call().id())
+                .with("id", request.exchange().call().id())
                 .with("path", moved.path().text())
                 .with("detail", moved.result().fold(MoveFault::toString, any -> ""))
                 .write();
         if (moved.result().isRight()) {
             moved.attempt().movedTo(moved.path());
-            dispatcher.load(flight, moved.path());
+            dispatcher.addLoad(request, moved.path());
         } else {
-            watch.notMoved(flight, moved.attempt(), moved.result().getLeft(), now);
+            streamMonitor.handleMoveFailure(
+                    request, moved.attempt(), moved.result().getLeft(), now);
         }
     }
 
-    private void begun(Flight flight, Attempt attempt, long now) {
-        dispatcher.promptRead(flight);
-        overdue.begun(flight, attempt, now);
+    private void handleFirstEvent(ActiveRequest request, Attempt attempt, long now) {
+        dispatcher.recordPromptRead(request);
+        overdueAttempts.recordFirstEvent(request, attempt, now);
     }
 
     private void tick() {
         long now = clock.millis();
-        beliefs.tickLate(lastTickMillis == 0 ? 0 : Math.max(0, now - lastTickMillis - TICK_MILLIS), now);
+        fleet.recordTickDelay(lastTickMillis == 0 ? 0 : Math.max(0, now - lastTickMillis - TICK_MILLIS), now);
         lastTickMillis = now;
-        for (Flight flight : List.copyOf(flights.values())) {
-            checkTime(flight, now);
+        for (ActiveRequest request : List.copyOf(activeRequests.values())) {
+            checkRequest(request, now);
         }
-        resumeWaiting(now);
-        for (BackendServerId id : beliefs.suspicions().dueForProbe(now)) {
-            beliefs.registry()
+        retryWaiting(now);
+        for (BackendServerId id : fleet.suspicions().dueForProbe(now)) {
+            fleet.registry()
                     .server(id)
                     .filter(server -> !server.card().isEmpty())
-                    .ifPresent(server -> desk.ask(server, this::offer));
+                    .ifPresent(server -> engineControl.requestReport(server, this::offer));
         }
-        watch.check(flights.values(), config.current(), now);
-        if (beliefs.registry().expire(now)) {
-            beliefs.forgetGone();
+        streamMonitor.check(activeRequests.values(), config.current(), now);
+        if (fleet.registry().expire(now)) {
+            fleet.removeUnregistered();
         }
-        talk.prepare(now);
-        view = beliefs.view(now);
+        peerUpdateHandler.refreshUpdate(now);
+        view = fleet.view(now);
     }
 
-    /** Looks again for a server for a request that came before the servers were known. */
-    private void resend(Flight flight, long now) {
-        if (!resender.isWaiting(flight)) {
-            send(flight, now);
+    /** Sends a request that has no attempt and is not queued for a retry: it arrived before the servers were known. */
+    private void sendUnsent(ActiveRequest request, long now) {
+        if (!retryDispatcher.isWaiting(request)) {
+            send(request, now);
         }
     }
 
-    private void resumeWaiting(long now) {
-        for (Flight flight : resender.takeOverdue(now)) {
-            giveUp(flight, failure(flight), "no repeat and server in time");
+    private void retryWaiting(long now) {
+        for (ActiveRequest request : retryDispatcher.removeExpired(now)) {
+            giveUp(request, refusalFor(request), "no retry and no server became available in time");
         }
-        resender.resume(now);
+        retryDispatcher.retryWaiting(now);
     }
 
-    private void checkTime(Flight flight, long now) {
-        Attempt attempt = flight.attempt();
-        if (flight.exchange().hasClientLeft(now)) {
+    private void checkRequest(ActiveRequest request, long now) {
+        Attempt attempt = request.attempt();
+        if (request.exchange().hasClientLeft(now)) {
             if (attempt != null) {
-                flight.endAttempt(false);
+                request.endAttempt(false);
                 attempt.cancel("the client has gone");
             }
-            drop(flight, "client gone", flight.exchange().clientSeen(), now);
+            abort(request, "client gone", request.exchange().clientSeen(), now);
             return;
         }
-        if (now >= flight.exchange().call().deadlineMillis()) {
+        if (now >= request.exchange().call().deadlineMillis()) {
             if (attempt != null) {
-                flight.endAttempt(false);
+                request.endAttempt(false);
                 attempt.cancel("the deadline has passed");
             }
-            giveUp(flight, flight.mayHaveRun() == 0 ? Refusal.NOT_RUN_IN_TIME : Refusal.TIMED_OUT, "deadline");
+            giveUp(request, request.possibleRunCount() == 0 ? Refusal.NOT_RUN_IN_TIME : Refusal.TIMED_OUT, "deadline");
         } else if (attempt == null) {
-            resend(flight, now);
-        } else if (OverdueRuns.hasBegun(flight, attempt)) {
-            begun(flight, attempt, now);
+            sendUnsent(request, now);
+        } else if (OverdueAttempts.hasEvents(request, attempt)) {
+            handleFirstEvent(request, attempt, now);
         } else {
-            overdue.reason(flight, attempt, now).ifPresent(attempt::cancel);
+            overdueAttempts.cancelReason(request, attempt, now).ifPresent(attempt::cancel);
         }
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/route/RouterEvent.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/RouterEvent.java
@@ -13,38 +13,38 @@
 import org.cornelramp.platform.MoveFault;
 import org.cornelramp.platform.StoreFault;
 
-/** What the router's duty is told. Immutable, safe for use by any thread. */
+/** Input events of the router. Immutable, safe for use by any thread. */
 public sealed interface RouterEvent {
 
-    /** A client's request has been read whole. */
-    record Arrived(Exchange exchange) implements RouterEvent {}
+    /** A client's request has been read completely. */
+    record RequestReceived(Exchange exchange) implements RouterEvent {}
 
-    /** An attempt has ended. */
-    record Ended(Attempt attempt, AttemptEnd end) implements RouterEvent {}
+    /** An attempt at a request has ended. */
+    record AttemptEnded(Attempt attempt, AttemptEnd end) implements RouterEvent {}
 
     /**
-     * Registrations have been read.
+     * Registration records have been read from the store or from a peer.
      *
-     * @param whole whether they are all there are up to the end
-     * @param end offset behind the newest record
-     * @param era era of the store in which the offsets hold
+     * @param complete whether the records contain every registration up to the end offset
+     * @param end offset after the newest record
+     * @param era era of the store, that is the time between two restores, for which the offsets are valid
      */
-    record Registered(List<ServerRegistry.Registration> records, boolean whole, long end, long era)
+    record RegistrationsRead(List<ServerRegistry.Registration> records, boolean complete, long end, long era)
             implements RouterEvent {
-        public Registered {
+        public RegistrationsRead {
             records = List.copyOf(records);
         }
     }
 
-    /** A peer has told its news. */
-    record PeerTold(PeerNews news) implements RouterEvent {}
+    /** An update from a peer has been received. */
+    record PeerUpdateReceived(PeerNews update) implements RouterEvent {}
 
-    /** The store answered, or did not. */
-    record StoreAnswers(boolean answers) implements RouterEvent {}
+    /** Whether the store answers. */
+    record StoreStatus(boolean available) implements RouterEvent {}
 
-    /** An engine was asked how it is. */
-    record Reported(BackendServer engine, Either<StoreFault, EngineReport> report) implements RouterEvent {}
+    /** An engine's report has been read, or the call for it has failed. */
+    record EngineReportResult(BackendServer engine, Either<StoreFault, EngineReport> report) implements RouterEvent {}
 
-    /** An engine was ordered to move a running request. */
-    record Moved(Attempt attempt, StagePath path, Either<MoveFault, byte[]> result) implements RouterEvent {}
+    /** An order to an engine to move a running request to another path has ended. */
+    record MoveResult(Attempt attempt, StagePath path, Either<MoveFault, byte[]> result) implements RouterEvent {}
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/route/FlightLog.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/RoutingLog.java
@@ -8,19 +8,19 @@
 import org.cornelramp.gateway.request.Exchange;
 import org.cornelramp.gateway.request.Refusal;
 
-/** Logs and counts what becomes of requests under way. Owned by the router's duty. */
-final class FlightLog {
+/** Writes the log lines and metrics of requests in progress. Confined to the router's thread. */
+final class RoutingLog {
     private final EventLog log;
     private final Meters meters;
 
-    FlightLog(EventLog log, Meters meters) {
+    RoutingLog(EventLog log, Meters meters) {
         this.log = log;
         this.meters = meters;
     }
 
-    void attemptFailed(Flight flight, Attempt attempt, AttemptEnd end, long nowMillis) {
+    void attemptFailed(ActiveRequest request, Attempt attempt, AttemptEnd end, long nowMillis) {
         log.line("route", "attempt failed")
-                .with("id", flight.exchange().call().id())
+                .with("id", request.exchange().call().id())
                 .with("server", attempt.server().id())
                 .with("kind", end.kind())
                 .with("detail", end.detail())
@@ -30,67 +30,67 @@
     }
 
     /**
-     * @param left repeats left for the service, which may be some that only begun streams may take
-     * @param waits whether it waits until there is one
+     * @param left retries left for the service; may include some that are reserved for started streams
+     * @param waits whether the request waits for a retry
      */
-    void noRepeat(Flight flight, long left, int peers, boolean waits) {
-        boolean begun = flight.exchange().isCommitted();
+    void noRetryLeft(ActiveRequest request, long left, int peers, boolean waits) {
+        boolean started = request.exchange().isCommitted();
         log.line("route", "no repeat left")
-                .with("id", flight.exchange().call().id())
-                .with("begun", begun)
+                .with("id", request.exchange().call().id())
+                .with("begun", started)
                 .with("left", left)
                 .with("peers", peers)
                 .with("outcome", waits ? "waits for one" : "not repeated")
                 .write();
     }
 
-    /** An engine did not answer a question, but events pass it. */
-    void answerMissed(BackendServer engine, long lagMillis) {
+    /** An engine did not answer a probe, but streams through it deliver events. */
+    void probeUnanswered(BackendServer engine, long lagMillis) {
         log.line("fleet", "answer missed")
                 .with("server", engine.id())
-                .with("why", "events pass it")
+                .with("why", "it forwards events")
                 .with("lagMillis", lagMillis)
                 .write();
     }
 
-    void refused(Flight flight, Refusal refusal, String why) {
+    void refused(ActiveRequest request, Refusal refusal, String why) {
         meters.refused(refusal.name());
         log.line("request", "refused")
-                .with("id", flight.exchange().call().id())
+                .with("id", request.exchange().call().id())
                 .with("as", refusal)
                 .with("why", why)
-                .with("attempts", flight.sent())
+                .with("attempts", request.attemptCount())
                 .write();
     }
 
-    /** A request for whose next attempt no server is there now. */
-    void noPath(Flight flight) {
+    /** No server is available now for the next attempt at a request. */
+    void noPath(ActiveRequest request) {
         log.line("route", "no path")
-                .with("id", flight.exchange().call().id())
-                .with("lastEvent", flight.exchange().lastEvent().orElse(-1L))
-                .with("avoids", flight.avoid().size())
-                .with("begun", flight.exchange().isCommitted())
+                .with("id", request.exchange().call().id())
+                .with("lastEvent", request.exchange().lastEvent().orElse(-1L))
+                .with("avoids", request.avoidedServers().size())
+                .with("begun", request.exchange().isCommitted())
                 .write();
     }
 
-    /** A failed attempt that no other follows, for another reason than a lack of repeats. */
-    void notRepeated(Flight flight, String why) {
+    /** A failed attempt is not followed by another one, for a reason other than a lack of retries. */
+    void notRetried(ActiveRequest request, String why) {
         log.line("route", "not repeated")
-                .with("id", flight.exchange().call().id())
+                .with("id", request.exchange().call().id())
                 .with("why", why)
-                .with("attempts", flight.sent())
-                .with("mayHaveRun", flight.mayHaveRun())
+                .with("attempts", request.attemptCount())
+                .with("mayHaveRun", request.possibleRunCount())
                 .write();
     }
 
     /**
-     * An answer that ends before it is whole.
+     * An answer ends before it is complete.
      *
-     * @param seen what showed that the client has gone; empty where it has not
-     * @param left repeats left for the service
+     * @param seen how it was detected that the client has gone; empty if it has not
+     * @param left retries left for the service
      */
-    void brokenOff(Flight flight, String why, String seen, long left, long nowMillis) {
-        Exchange exchange = flight.exchange();
+    void brokenOff(ActiveRequest request, String why, String seen, long left, long nowMillis) {
+        Exchange exchange = request.exchange();
         long quietSince = Math.max(exchange.lastEventMillis(), exchange.call().receivedMillis());
         log.line("request", "broken off")
                 .with("id", exchange.call().id())
@@ -98,23 +98,23 @@
                 .with("seen", seen)
                 .with("begun", exchange.isCommitted())
                 .with("quietMillis", nowMillis - quietSince)
-                .with("attempts", flight.sent())
-                .with("mayHaveRun", flight.mayHaveRun())
-                .with("awaitsRepeat", flight.owesRepeat())
-                .with("awaitsPath", flight.isAwaitingPath())
+                .with("attempts", request.attemptCount())
+                .with("mayHaveRun", request.possibleRunCount())
+                .with("awaitsRepeat", request.needsRetry())
+                .with("awaitsPath", request.isAwaitingPath())
                 .with("repeatsLeft", left)
                 .write();
     }
 
-    void ended(Flight flight, String outcome, int status, long nowMillis) {
-        Exchange exchange = flight.exchange();
+    void ended(ActiveRequest request, String outcome, int status, long nowMillis) {
+        Exchange exchange = request.exchange();
         Exchange.Call call = exchange.call();
         log.ordinary("request", "ended")
                 .with("id", call.id())
                 .with("route", call.route().name())
                 .with("outcome", outcome)
                 .with("status", status)
-                .with("attempts", flight.sent())
+                .with("attempts", request.attemptCount())
                 .with("millis", nowMillis - call.receivedMillis())
                 .with("promptTokens", call.head().promptTokens())
                 .with("guessedTokens", call.head().guessedOutputTokens())
--- a/gateway/src/main/java/org/cornelramp/gateway/route/package-info.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/package-info.java
@@ -1,2 +1,4 @@
-/** The duty that owns what the gateway believes and decides where each request goes. */
+/**
+ * The router: keeps the known state of the backend servers, sends each request to one of them and retries failed ones.
+ */
 package org.cornelramp.gateway.route;
--- /dev/null
+++ b/gateway/src/test/java/org/cornelramp/gateway/follow/ReadCoordinatorTest.java
@@ -0,0 +1,110 @@
+package org.cornelramp.gateway.follow;
+
+import static org.testng.Assert.assertEquals;
+
+import java.util.Optional;
+import org.cornelramp.core.settings.HostPort;
+import org.cornelramp.gateway.follow.ReadCoordinator.ReadPosition;
+import org.cornelramp.gateway.follow.ReadCoordinator.Source;
+import org.cornelramp.platform.MetadataStore.Topic;
+import org.testng.annotations.Test;
+
+/** From where a gateway reads the topics, in a deployment with many gateways and with a reader that fails. */
+public class ReadCoordinatorTest {
+    private static final HostPort READER = new HostPort("10.0.0.1", 7_000);
+    private static final HostPort OTHER = new HostPort("10.0.0.2", 7_000);
+    private static final long NOW = 50_000;
+    private static final long ERA = 2;
+
+    private static ReadCoordinator leaderThatReadBoth(long configEnd, long serversEnd) {
+        ReadCoordinator share = new ReadCoordinator(READER);
+        share.recordRead(Topic.OPERATORS, ERA, configEnd, NOW);
+        share.recordRead(Topic.SERVERS, ERA, serversEnd, NOW);
+        return share;
+    }
+
+    /**
+     * Guards against 28 gateways that each read every change of 58 engines from the store. The leader reads; another
+     * gateway fetches only new records from it, and reads nowhere while there are none.
+     */
+    @Test
+    public void leaderReadsForAll() {
+        ReadPosition position = leaderThatReadBoth(4, 70).ownPosition(true, NOW + 100).orElseThrow();
+        ReadCoordinator other = new ReadCoordinator(OTHER);
+        other.receivePosition(position, NOW + 150);
+        assertEquals(other.source(Topic.SERVERS, ERA, 69, false, NOW + 200), Source.READER);
+        assertEquals(other.source(Topic.SERVERS, ERA, 70, false, NOW + 200), Source.UP_TO_DATE);
+        assertEquals(other.source(Topic.OPERATORS, ERA, -1, false, NOW + 200), Source.READER);
+        assertEquals(other.readerAddress(), Optional.of(READER));
+    }
+
+    /**
+     * Guards against a change of the configuration that is not in force everywhere within two seconds because the
+     * reader was killed at that moment. Its updates stop, so after 600 ms each of the others reads from the store.
+     */
+    @Test
+    public void gatewayWithoutRecentPositionReadsStore() {
+        ReadCoordinator other = new ReadCoordinator(OTHER);
+        assertEquals(other.source(Topic.OPERATORS, ERA, 4, false, NOW), Source.STORE);
+        other.receivePosition(new ReadPosition(READER, 4, 70, ERA), NOW);
+        assertEquals(other.source(Topic.OPERATORS, ERA, 4, false, NOW + 600), Source.UP_TO_DATE);
+        assertEquals(other.source(Topic.OPERATORS, ERA, 4, false, NOW + 601), Source.STORE);
+    }
+
+    /**
+     * Guards against gateways that rely on the outdated position of a reader which the store refuses or does not
+     * answer.
+     */
+    @Test
+    public void readerWithoutAnswersAnnouncesNothing() {
+        ReadCoordinator refused = leaderThatReadBoth(4, 70);
+        refused.recordFailure(Topic.SERVERS);
+        assertEquals(refused.ownPosition(true, NOW + 1), Optional.empty());
+        assertEquals(leaderThatReadBoth(4, 70).ownPosition(true, NOW + ReadCoordinator.ANSWER_VALID_MILLIS + 1), Optional.empty());
+    }
+
+    /**
+     * Two gateways may both consider themselves the leader for a moment; each then reads from the store, at little
+     * cost.
+     */
+    @Test
+    public void leaderAlwaysReadsStore() {
+        ReadCoordinator share = leaderThatReadBoth(4, 70);
+        share.receivePosition(new ReadPosition(OTHER, 9, 99, ERA), NOW);
+        assertEquals(share.source(Topic.SERVERS, ERA, 70, true, NOW), Source.STORE);
+        assertEquals(share.ownPosition(false, NOW), Optional.empty());
+    }
+
+    /**
+     * Guards against a gateway that never reads again: the store was restored, and the reader's end is lower than the
+     * offset that this gateway had reached before.
+     */
+    @Test
+    public void positionOfLaterEraIsNewer() {
+        ReadCoordinator other = new ReadCoordinator(OTHER);
+        other.receivePosition(new ReadPosition(READER, 4, 70, ERA + 1), NOW);
+        assertEquals(other.source(Topic.SERVERS, ERA, 120, false, NOW), Source.READER);
+        assertEquals(other.source(Topic.SERVERS, ERA + 1, 70, false, NOW), Source.UP_TO_DATE);
+    }
+
+    /**
+     * Guards against records that never arrive because the reader does not know of the restore yet and no other gateway
+     * reads.
+     */
+    @Test
+    public void positionOfEarlierEraIsIgnored() {
+        ReadCoordinator other = new ReadCoordinator(OTHER);
+        other.receivePosition(new ReadPosition(READER, 4, 130, ERA), NOW);
+        assertEquals(other.source(Topic.SERVERS, ERA + 1, 70, false, NOW), Source.STORE);
+    }
+
+    /** Guards against a position with ends of two eras, while the reader has read only one topic since the restore. */
+    @Test
+    public void readerBetweenErasAnnouncesNothing() {
+        ReadCoordinator share = leaderThatReadBoth(4, 70);
+        share.recordRead(Topic.SERVERS, ERA + 1, 60, NOW);
+        assertEquals(share.ownPosition(true, NOW), Optional.empty());
+        share.recordRead(Topic.OPERATORS, ERA + 1, 3, NOW);
+        assertEquals(share.ownPosition(true, NOW), Optional.of(new ReadPosition(READER, 3, 60, ERA + 1)));
+    }
+}
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/PeerLinkTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/PeerLinkTest.java
@@ -15,8 +15,8 @@
 import org.cornelramp.core.settings.HostPort;
 import org.cornelramp.gateway.GatewayFixture;
 import org.cornelramp.gateway.SteadyClock;
-import org.cornelramp.gateway.follow.PeerVersions;
-import org.cornelramp.gateway.follow.ReadingShare;
+import org.cornelramp.gateway.follow.PeerConfigVersions;
+import org.cornelramp.gateway.follow.ReadCoordinator;
 import org.cornelramp.gateway.log.EventLog;
 import org.testng.annotations.Test;
 
@@ -46,8 +46,8 @@
                         Set.of(),
                         RetryLoanUpdate.NONE),
                 heard::add,
-                new ReadingShare(address),
-                new PeerVersions(() -> PeerVersions.NONE),
+                new ReadCoordinator(address),
+                new PeerConfigVersions(() -> PeerConfigVersions.NONE),
                 () -> false,
                 SteadyClock.system(),
                 log);
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/PeerNewsCodecTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/PeerNewsCodecTest.java
@@ -14,7 +14,7 @@
 import org.cornelramp.core.path.EngineLoads;
 import org.cornelramp.core.retry.RetryLoanUpdate;
 import org.cornelramp.core.settings.HostPort;
-import org.cornelramp.gateway.follow.ReadingShare;
+import org.cornelramp.gateway.follow.ReadCoordinator;
 import org.testng.annotations.Test;
 
 /** News between gateways, whole and damaged. */
@@ -34,7 +34,7 @@
                     Map.of(SERVICE, new RetryLoanUpdate.LoanRequest(1L << 60, 3)),
                     Map.of(SERVICE, List.of(new RetryLoanUpdate.Loan("g2", -5, 2)))),
             List.of(ADDRESS),
-            Optional.of(new ReadingShare.Reading(ADDRESS, 12, 345, 2)),
+            Optional.of(new ReadCoordinator.ReadPosition(ADDRESS, 12, 345, 2)),
             17);
 
     @Test
--- a/gateway/src/test/java/org/cornelramp/gateway/place/PlacementDutyTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/place/LayerPlacerTest.java
@@ -13,7 +13,7 @@
 import org.cornelramp.gateway.GatewayFixture;
 import org.cornelramp.gateway.SteadyClock;
 import org.cornelramp.gateway.TestEngines;
-import org.cornelramp.gateway.follow.StoreAccess;
+import org.cornelramp.gateway.follow.StoreAvailability;
 import org.cornelramp.gateway.log.EventLog;
 import org.cornelramp.gateway.metrics.Meters;
 import org.cornelramp.gateway.route.ConfigHolder;
@@ -26,8 +26,8 @@
 import org.eclipse.jetty.client.HttpClient;
 import org.testng.annotations.Test;
 
-/** When the leader places layers. */
-public class PlacementDutyTest {
+/** When the leader assigns layers. */
+public class LayerPlacerTest {
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
 
     private static BackendServer empty(StandInServer engine) {
@@ -35,12 +35,13 @@
     }
 
     /**
-     * The store is silent for eight seconds. What a leader orders meanwhile shows in no registration, so after each
-     * order was taken as lost it moved another engine, while all gateways went on sending to the old layers: when the
-     * last whole data centre lost an engine, 160 streams in four seconds found no path. The leader waits for the store.
+     * Guards against a leader that reassigns one engine after the other while the store does not answer, for example
+     * for eight seconds. Its orders show in no registration, so each counts as lost and the next engine is moved, while
+     * all gateways still route by the old layers: when the last complete data centre lost an engine, 160 streams in
+     * four seconds found no path. The leader must wait for the store.
      */
     @Test
-    public void placesNothingWhileTheStoreIsAway() throws Exception {
+    public void placesNothingWhileStoreIsUnavailable() throws Exception {
         HttpClient http = new HttpClient();
         http.start();
         EventLog log = new EventLog(logged, Clock.systemUTC(), "g1");
@@ -58,11 +59,11 @@
                     new HostPort("127.0.0.1", 1),
                     peers -> {},
                     new MetadataStore(http, store.address()),
-                    new StoreAccess(),
+                    new StoreAvailability(),
                     clock,
                     log,
                     meters);
-            PlacementDuty duty = new PlacementDuty(
+            LayerPlacer duty = new LayerPlacer(
                     lease,
                     new EngineControl(http),
                     config,
@@ -72,7 +73,8 @@
                     meters);
             lease.start();
             duty.start();
-            GatewayFixture.await(() -> !lease.term(clock.millis()).equals(LeaderLease.NONE), "it leads");
+            GatewayFixture.await(
+                    () -> !lease.term(clock.millis()).equals(LeaderLease.NONE), "this process is the leader");
             Thread.sleep(2_000); // longer than the first plan waits for more engines
             assertEquals(engine.layers(), "0-0");
             storeAnswers.set(true);
--- a/gateway/src/test/java/org/cornelramp/gateway/route/ServerJudgeTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/route/FailureDetectorTest.java
@@ -26,8 +26,8 @@
 import org.eclipse.jetty.http.HttpFields;
 import org.testng.annotations.Test;
 
-/** Which servers are held to be dead for the end of an attempt. */
-public class ServerJudgeTest {
+/** Which servers are considered dead or suspected after a failed attempt or a missing report. */
+public class FailureDetectorTest {
     private static final long NOW = 10_000;
 
     private final BackendServer engine = new BackendServer(
@@ -41,13 +41,13 @@
             "l4",
             Optional.of(new LayerRange(0, 8, 8)));
 
-    private final Beliefs beliefs = new Beliefs(1_200);
+    private final FleetState fleet = new FleetState(1_200);
     private final EventLog log = new EventLog(new ByteArrayOutputStream(), Clock.systemUTC(), "g1");
-    private final ServerJudge judge = judge(beliefs);
+    private final FailureDetector failureDetector = failureDetector(fleet);
 
-    private ServerJudge judge(Beliefs of) {
-        EngineDesk desk = new EngineDesk(new EngineControl(new HttpClient()));
-        return new ServerJudge(of, desk, 2_000, log, new Meters(), event -> {});
+    private FailureDetector failureDetector(FleetState of) {
+        AsyncEngineControl engineControl = new AsyncEngineControl(new EngineControl(new HttpClient()));
+        return new FailureDetector(of, engineControl, 2_000, log, new Meters(), event -> {});
     }
 
     private Attempt attempt() {
@@ -65,45 +65,46 @@
     }
 
     /**
-     * A stream waits for a connection to its first engine when another engine of its path is found dead. The gateway cancels
-     * it to start it anew, so it is never sent. Its first engine lives and must be trusted: held to be dead for that, it lost
-     * all streams of this gateway ("suspected" as LOST with the gateway's own words, "an engine of its path is lost").
+     * Guards against a living first engine that loses all streams of a gateway. Another engine of the path is found
+     * dead while a stream still waits for a connection to its first engine; the gateway cancels the attempt to restart
+     * it, so it is never sent. Its end must not count against the first engine (log line "suspected" with evidence LOST
+     * and the gateway's own reason, "an engine of its path is lost").
      */
     @Test
-    public void anEngineIsNotBlamedForWhatTheGatewayCancelled() {
+    public void cancelledAttemptDoesNotSuspectEngine() {
         Attempt cancelled = attempt();
         cancelled.cancel("an engine of its path is lost");
-        judge.blame(cancelled, notSent("an engine of its path is lost"), NOW);
-        assertFalse(beliefs.isSuspect(engine.id(), NOW));
+        failureDetector.handleFailedAttempt(cancelled, notSent("an engine of its path is lost"), NOW);
+        assertFalse(fleet.isSuspect(engine.id(), NOW));
     }
 
-    /** An engine that takes no connection is dead or cut off. */
+    /** An engine that accepts no connection is dead or unreachable. */
     @Test
-    public void anEngineThatTakesNoConnectionIsHeldToBeDead() {
-        judge.blame(attempt(), notSent("Connection refused"), NOW);
-        assertTrue(beliefs.isLost(engine.id(), NOW));
+    public void engineRefusingConnectionsIsLost() {
+        failureDetector.handleFailedAttempt(attempt(), notSent("Connection refused"), NOW);
+        assertTrue(fleet.isLost(engine.id(), NOW));
     }
 
-    /** Guards against living engines that lose all streams of a gateway because one of their connects was not answered. */
+    /** Guards against living engines that lose all streams of a gateway because one connect to them timed out. */
     @Test
-    public void anEngineThatDoesNotTakeAConnectInTimeIsAskedFirst() {
-        Beliefs own = new Beliefs(1_200);
+    public void connectTimeoutSuspectsEngineButDoesNotLoseIt() {
+        FleetState own = new FleetState(1_200);
         AttemptEnd timedOut = end(AttemptEnd.Kind.NO_CONNECTION, "Connect Timeout");
-        judge(own).blame(attempt(), timedOut, NOW);
-        assertTrue(own.isSuspect(engine.id(), NOW), "new requests go elsewhere meanwhile");
+        failureDetector(own).handleFailedAttempt(attempt(), timedOut, NOW);
+        assertTrue(own.isSuspect(engine.id(), NOW), "new requests go to other engines meanwhile");
         assertFalse(own.isLost(engine.id(), NOW));
     }
 
     /**
-     * Guards against streams that stay at a crashed engine because the gateway was late, or had heard nothing of two others:
-     * its own lateness explains no refused connection.
+     * Guards against streams that stay on a crashed engine because the gateway was late or got no answer from two other
+     * engines: a refused connection cannot be caused by the gateway's own delay.
      */
     @Test
-    public void aRefusedQuestionIsBelievedByALateGateway() {
-        Beliefs late = new Beliefs(1_200);
-        late.tickLate(200, NOW);
+    public void lateGatewayTrustsRefusedConnection() {
+        FleetState late = new FleetState(1_200);
+        late.recordTickDelay(200, NOW);
         StoreFault refused = new StoreFault(StoreFault.Kind.NOT_LISTENING, "Connection refused");
-        judge(late).reported(engine, Either.left(refused), NOW);
+        failureDetector(late).handleReport(engine, Either.left(refused), NOW);
         assertTrue(late.isLost(engine.id(), NOW));
     }
 }
--- /dev/null
+++ b/gateway/src/test/java/org/cornelramp/gateway/route/PeerUpdateHandlerTest.java
@@ -0,0 +1,64 @@
+package org.cornelramp.gateway.route;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertTrue;
+
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+import org.cornelramp.core.model.DataCentre;
+import org.cornelramp.core.retry.RetryLoanUpdate;
+import org.cornelramp.core.settings.GatewaySettings;
+import org.cornelramp.gateway.peer.PeerNews;
+import org.cornelramp.gateway.peer.PeerTurns;
+import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.Test;
+
+/** Which peers count as gone. */
+public class PeerUpdateHandlerTest {
+    private static final DataCentre HERE = new DataCentre("dc1");
+    private static final long RECEIVED_MILLIS = 10_000;
+
+    /** Longer than a peer may be silent. */
+    private static final long SILENCE_MILLIS = PeerTurns.silenceMillis(1) + 500;
+
+    private FleetState fleet;
+    private SharedRetries sharedRetries;
+    private PeerUpdateHandler peerUpdateHandler;
+
+    @BeforeMethod
+    public void start() {
+        fleet = new FleetState(1_200);
+        sharedRetries = new SharedRetries("g1", new GatewaySettings.Retries(0.2, 100, 10_000), new SplittableRandom(1));
+        peerUpdateHandler = new PeerUpdateHandler("g1", HERE, fleet, sharedRetries, server -> {});
+    }
+
+    private void receiveUpdate(long now) {
+        PeerNews.Sender peer = new PeerNews.Sender("g2", 1, HERE);
+        peerUpdateHandler.handleUpdate(
+                PeerNews.of(peer, 1, false, Map.of(), 0, Map.of(), Set.of(), RetryLoanUpdate.NONE), now);
+        peerUpdateHandler.refreshUpdate(now);
+        assertEquals(sharedRetries.peers(), 1);
+    }
+
+    /** Guards against callers refused for want of a retry because a late process considered all its peers gone. */
+    @Test
+    public void stalledProcessKeepsItsPeers() {
+        receiveUpdate(RECEIVED_MILLIS);
+        long now = RECEIVED_MILLIS + SILENCE_MILLIS;
+        fleet.recordTickDelay(SILENCE_MILLIS, now);
+        peerUpdateHandler.refreshUpdate(now);
+        assertEquals(sharedRetries.peers(), 1);
+        assertTrue(peerUpdateHandler.hasStayingPeer());
+    }
+
+    /** A peer whose updates stop counts as gone if this process runs on time. */
+    @Test
+    public void silentPeerIsGone() {
+        receiveUpdate(RECEIVED_MILLIS);
+        peerUpdateHandler.refreshUpdate(RECEIVED_MILLIS + SILENCE_MILLIS);
+        assertEquals(sharedRetries.peers(), 0);
+        assertFalse(peerUpdateHandler.hasStayingPeer());
+    }
+}
