--- a/gateway/src/main/java/org/cornelramp/gateway/Gateway.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/Gateway.java
@@ -7,42 +7,48 @@
 import org.cornelramp.core.routing.RoutingConfig;
 import org.cornelramp.core.settings.GatewaySettings;
 import org.cornelramp.gateway.follow.ConfigFollower;
-import org.cornelramp.gateway.follow.TopicFollower;
+import org.cornelramp.gateway.follow.PeerConfigVersions;
 import org.cornelramp.gateway.follow.PeerRecordsClient;
 import org.cornelramp.gateway.follow.PeerRecordsHandler;
-import org.cornelramp.gateway.follow.PeerConfigVersions;
 import org.cornelramp.gateway.follow.ReadCoordinator;
 import org.cornelramp.gateway.follow.RecordCache;
 import org.cornelramp.gateway.follow.ServerFollower;
 import org.cornelramp.gateway.follow.StoreAvailability;
+import org.cornelramp.gateway.follow.TopicFollower;
 import org.cornelramp.gateway.log.EventLog;
 import org.cornelramp.gateway.metrics.Meters;
-import org.cornelramp.gateway.peer.PeerLink;
-import org.cornelramp.gateway.place.LeaderLease;
+import org.cornelramp.gateway.peer.PeerUpdateService;
 import org.cornelramp.gateway.place.LayerPlacer;
-import org.cornelramp.gateway.request.FrontServer;
+import org.cornelramp.gateway.place.LeaderLease;
+import org.cornelramp.gateway.request.GatewayHttpServer;
 import org.cornelramp.gateway.request.InternalHandler;
-import org.cornelramp.gateway.route.ConfigHolder;
 import org.cornelramp.gateway.route.AsyncEngineControl;
+import org.cornelramp.gateway.route.ConfigHolder;
 import org.cornelramp.gateway.route.Router;
 import org.cornelramp.platform.EngineControl;
 import org.cornelramp.platform.MetadataStore;
 
-/** All parts of one gateway. {@link #beginStop} may be called by any thread, the rest by the main thread only. */
+/**
+ * Assembles the components of one gateway. {@link #beginStop} may be called by any thread, the other methods by the
+ * main thread only.
+ */
 public final class Gateway implements AutoCloseable {
-    /** After two missed questions, a second apart, the balancer sends no new connections; then a margin. */
-    private static final long UNLISTED_MILLIS = 2_500;
+    /** Time until the balancer sends no new connections: two failed readiness checks, a second apart, plus a margin. */
+    private static final long BALANCER_NOTICE_MILLIS = 2_500;
 
-    /** Left of the grace time for the last answers to leave and the process to end. */
-    private static final long MARGIN_MILLIS = 400;
+    /** Rest of the grace time that is reserved for sending the last responses and ending the process. */
+    private static final long END_MARGIN_MILLIS = 400;
 
-    /** After this time from the stop signal no stream is begun: it would be cut when the grace time ends. */
-    private static final long STREAMS_MILLIS = 2_800;
+    /**
+     * Time after the stop signal from which new streams are refused; they would be cut off at the end of the grace
+     * time.
+     */
+    private static final long REFUSE_STREAMS_AFTER_MILLIS = 2_800;
 
-    /** Before the end no plain request is begun; the longest ones take a second. */
-    private static final long SHORT_MILLIS = 1_200;
+    /** Time before the end from which all new requests are refused; the longest plain requests take a second. */
+    private static final long REFUSE_ALL_BEFORE_END_MILLIS = 1_200;
 
-    private static final long POLL_MILLIS = 20;
+    private static final long POLL_INTERVAL_MILLIS = 20;
 
     private final GatewaySettings settings;
     private final SteadyClock clock;
@@ -52,15 +58,15 @@
     private final Router router;
     private final ConfigFollower configFollower;
     private final ServerFollower serverFollower;
-    private final PeerLink peers;
+    private final PeerUpdateService peers;
     private final LeaderLease lease;
     private final LayerPlacer placement;
-    private final FrontServer front;
+    private final GatewayHttpServer server;
     private final CountDownLatch stop = new CountDownLatch(1);
 
-    /** Takes the address for clients' requests at once; they are served after {@link #start}. */
+    /** Binds the address for clients' requests at once; requests are served after {@link #start}. */
     public Gateway(GatewaySettings settings, SteadyClock clock, EventLog log) throws IOException {
-        ServerSocketChannel door = FrontServer.open(settings.requests());
+        ServerSocketChannel listener = GatewayHttpServer.open(settings.requests());
         this.settings = settings;
         this.clock = clock;
         this.log = log;
@@ -73,24 +79,25 @@
         RecordCache cache = new RecordCache();
         StoreAvailability access = new StoreAvailability();
         ReadCoordinator share = new ReadCoordinator(settings.metrics());
-        BooleanSupplier leads = () -> !this.lease().term(clock.millis()).equals(LeaderLease.NONE);
+        BooleanSupplier isLeader = () -> !this.lease().term(clock.millis()).equals(LeaderLease.NONE);
         PeerConfigVersions versions = new PeerConfigVersions(
                 () -> config.current().map(RoutingConfig::version).orElse(PeerConfigVersions.NONE));
-        this.peers = new PeerLink(
+        this.peers = new PeerUpdateService(
                 settings.peers(),
                 settings.dataCentre(),
                 router::currentUpdate,
                 router::receivePeerUpdate,
                 share,
                 versions,
-                leads,
+                isLeader,
                 clock,
                 log);
         this.lease =
                 new LeaderLease(settings.name(), settings.peers(), peers::setPeers, store, access, clock, log, meters);
         PeerRecordsClient peerRecords =
                 new PeerRecordsClient(clients.pooled(), settings.metrics().port(), peers::peers);
-        TopicFollower.Dependencies parts = new TopicFollower.Dependencies(store, access, share, leads, cache, peerRecords, clock, log, meters);
+        TopicFollower.Dependencies parts =
+                new TopicFollower.Dependencies(store, access, share, isLeader, cache, peerRecords, clock, log, meters);
         this.configFollower = new ConfigFollower(parts, config, versions);
         this.serverFollower = new ServerFollower(parts, router);
         this.placement = new LayerPlacer(lease, control, config, router::view, clock, log, meters);
@@ -104,9 +111,9 @@
         meters.gauge("connects.late", clients::lateConnects);
         meters.gauge("log.dropped", log::dropped);
         meters.gauge("log.skipped", log::skipped);
-        this.front = new FrontServer(
+        this.server = new GatewayHttpServer(
                 settings,
-                door,
+                listener,
                 clients.threads(),
                 config,
                 router,
@@ -116,7 +123,7 @@
                 meters);
     }
 
-    /** The clients that talk to backend servers and the store. */
+    /** The HTTP clients for backend servers and the store. */
     HttpClients clients() {
         return clients;
     }
@@ -125,49 +132,52 @@
         return lease;
     }
 
-    /** Starts all parts. */
+    /** Starts all components. */
     public void start() throws Exception {
         log.line("process", "start").with("dataCentre", settings.dataCentre()).write();
         clients.start();
         configFollower.start();
         serverFollower.start();
         router.start();
-        front.start();
+        server.start();
         peers.start();
         lease.start();
         placement.start();
         meters.start();
     }
 
-    /** Begins a planned stop; a repeat changes nothing. */
+    /** Begins a planned shutdown; further calls have no effect. */
     public void beginStop() {
         stop.countDown();
     }
 
-    /** Waits for the stop, lets the requests under way end, and ends all parts. */
+    /** Waits for a planned shutdown, lets the requests in progress finish, and stops all components. */
     public void awaitStop() throws Exception {
         stop.await();
-        long begun = clock.millis();
-        log.line("process", "stop begins").with("underWay", router.activeRequestCount()).write();
-        front.leave();
+        long beganMillis = clock.millis();
+        log.line("process", "stop begins")
+                .with("underWay", router.activeRequestCount())
+                .write();
+        server.beginShutdown();
         router.announceStop();
         placement.stop();
         lease.stop();
-        long limit = begun + settings.timing().graceMillis() - MARGIN_MILLIS;
-        while (clock.millis() < limit && (clock.millis() < begun + UNLISTED_MILLIS || router.activeRequestCount() > 0)) {
-            Thread.sleep(POLL_MILLIS);
-            if (clock.millis() >= begun + STREAMS_MILLIS) {
-                front.refuseStreams();
+        long limitMillis = beganMillis + settings.timing().graceMillis() - END_MARGIN_MILLIS;
+        while (clock.millis() < limitMillis
+                && (clock.millis() < beganMillis + BALANCER_NOTICE_MILLIS || router.activeRequestCount() > 0)) {
+            Thread.sleep(POLL_INTERVAL_MILLIS);
+            if (clock.millis() >= beganMillis + REFUSE_STREAMS_AFTER_MILLIS) {
+                server.refuseStreams();
             }
-            if (clock.millis() >= limit - SHORT_MILLIS) {
-                front.refuseNew();
+            if (clock.millis() >= limitMillis - REFUSE_ALL_BEFORE_END_MILLIS) {
+                server.refuseNew();
             }
         }
         log.line("process", "stop").with("cut", router.activeRequestCount()).write();
         close();
     }
 
-    /** Ends all parts at once, whatever is under way. */
+    /** Stops all components at once and cuts off requests in progress. */
     @Override
     public void close() throws Exception {
         configFollower.stop();
@@ -175,7 +185,7 @@
         placement.stop();
         lease.stop();
         peers.stop();
-        front.stop();
+        server.stop();
         router.stop();
         clients.stop();
         meters.stop();
--- a/gateway/src/main/java/org/cornelramp/gateway/HttpClients.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/HttpClients.java
@@ -15,24 +15,27 @@
     private static final int MAX_THREADS = 16;
     private static final int MIN_THREADS = 4;
 
-    /** Answers come within a few milliseconds; a backend server that takes no connection by then is dead. */
-    private static final long CONNECT_MILLIS = 500;
+    /**
+     * Connect timeout. Connects usually take a few milliseconds; a backend server that accepts none in this time is
+     * dead.
+     */
+    private static final long CONNECT_TIMEOUT_MILLIS = 500;
 
     /** Shorter than the time after which backend servers close idle connections. */
-    private static final long IDLE_MILLIS = 25_000;
+    private static final long IDLE_TIMEOUT_MILLIS = 25_000;
 
-    private static final int MOST_CONNECTIONS = 512;
+    private static final int MAX_CONNECTIONS = 512;
 
-    private final QueuedThreadPool threads = new PlainThreads();
+    private final QueuedThreadPool threads = new PlainThreadPool();
     private final ScheduledExecutorScheduler timers = new ScheduledExecutorScheduler("timers", true);
-    private final TurnAwareScheduler pooledConnects = new TurnAwareScheduler(timers);
-    private final TurnAwareScheduler singleConnects = new TurnAwareScheduler(timers);
+    private final SelectorAwareScheduler pooledConnects = new SelectorAwareScheduler(timers);
+    private final SelectorAwareScheduler singleConnects = new SelectorAwareScheduler(timers);
     private final HttpClient pooled;
-    private final HttpClient single;
+    private final HttpClient unpooled;
 
-    /** Threads made without the security manager's help, whose preparation takes a tenth of a start. */
-    private static final class PlainThreads extends QueuedThreadPool {
-        PlainThreads() {
+    /** Creates threads without using the security manager, whose initialisation takes a tenth of a start. */
+    private static final class PlainThreadPool extends QueuedThreadPool {
+        PlainThreadPool() {
             super(MAX_THREADS, MIN_THREADS);
         }
 
@@ -48,28 +51,28 @@
     HttpClients() {
         threads.setName("http");
         pooled = client(-1, pooledConnects);
-        single = client(1, singleConnects);
+        unpooled = client(1, singleConnects);
     }
 
-    private HttpClient client(int usages, TurnAwareScheduler connectTimers) {
-        ConnectWatch connects = new ConnectWatch();
-        ClientConnector connector = new ResetAwareConnector(connects, connectTimers);
+    private HttpClient client(int maxUsage, SelectorAwareScheduler connectTimers) {
+        ConnectWatch connectWatch = new ConnectWatch();
+        ClientConnector connector = new ResetAwareConnector(connectWatch, connectTimers);
         connector.setExecutor(threads);
         connector.setSelectors(1);
         HttpClientTransportOverHTTP transport = new HttpClientTransportOverHTTP(connector);
         transport.setConnectionPoolFactory(destination -> {
             AbstractConnectionPool pool = new DuplexConnectionPool(
                     destination, destination.getHttpClient().getMaxConnectionsPerDestination());
-            pool.setMaxUsage(usages);
+            pool.setMaxUsage(maxUsage);
             return pool;
         });
         HttpClient client = new HttpClient(transport);
-        client.addBean(connects);
+        client.addBean(connectWatch);
         client.setExecutor(threads);
         client.setScheduler(timers);
-        client.setConnectTimeout(CONNECT_MILLIS);
-        client.setIdleTimeout(IDLE_MILLIS);
-        client.setMaxConnectionsPerDestination(MOST_CONNECTIONS);
+        client.setConnectTimeout(CONNECT_TIMEOUT_MILLIS);
+        client.setIdleTimeout(IDLE_TIMEOUT_MILLIS);
+        client.setMaxConnectionsPerDestination(MAX_CONNECTIONS);
         client.setFollowRedirects(false);
         client.setUserAgentField(null);
         client.setHttpCookieStore(new HttpCookieStore.Empty());
@@ -79,9 +82,9 @@
     void start() throws Exception {
         threads.start();
         timers.start();
-        for (HttpClient client : new HttpClient[] {pooled, single}) {
+        for (HttpClient client : new HttpClient[] {pooled, unpooled}) {
             client.start();
-            // An answer is passed on as it came: neither decoded, nor followed, nor answered.
+            // Responses are forwarded unchanged: no content decoding, redirects or authentication.
             client.getContentDecoderFactories().clear();
             client.getProtocolHandlers().clear();
         }
@@ -89,36 +92,39 @@
 
     void stop() throws Exception {
         pooled.stop();
-        single.stop();
+        unpooled.stop();
         timers.stop();
         threads.stop();
     }
 
-    /** Sends over kept connections. */
+    /** The client that reuses pooled connections. */
     public HttpClient pooled() {
         return pooled;
     }
 
-    /** Sends each request over a connection of its own. */
-    public HttpClient single() {
-        return single;
+    /** The client that opens a new connection for each request. */
+    public HttpClient unpooled() {
+        return unpooled;
     }
 
-    /** Connects under way. */
+    /** Number of connects in progress. */
     public int connectsUnderWay() {
-        return underWay(pooled) + underWay(single);
+        return underWay(pooled) + underWay(unpooled);
     }
 
     private static int underWay(HttpClient client) {
         return client.getBean(ConnectWatch.class).underWay();
     }
 
-    /** Connects that this process noticed only after their timeout, although the other side had taken them in time. */
+    /**
+     * Number of connects whose completion this process noticed only after their timeout, though the peer had accepted
+     * in time.
+     */
     public long lateConnects() {
-        return pooledConnects.late() + singleConnects.late();
+        return pooledConnects.cancelledLate() + singleConnects.cancelledLate();
     }
 
-    /** The threads, for the server as well. */
+    /** The thread pool, which the server shares. */
     QueuedThreadPool threads() {
         return threads;
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/Main.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/Main.java
@@ -18,36 +18,39 @@
 import org.cornelramp.gateway.log.EventLog;
 import org.cornelramp.platform.Environment;
 
-/** Starts the gateway, {@code gateway [--settings FILE]}; the platform may name the file instead. Stateless. */
+/**
+ * Starts the gateway: {@code gateway [--settings FILE]}; without the option the environment names the file. Stateless.
+ */
 public final class Main {
-    private static final int FAULTY_SETTINGS = 2;
-    private static final int NOT_STARTED = 3;
+    private static final int EXIT_INVALID_SETTINGS = 2;
+    private static final int EXIT_NOT_STARTED = 3;
 
     /**
-     * The server's own line for each answer that is broken off, with a stack. The router logs such an end with its reason;
-     * when fifty clients leave at once the stacks cost a tenth of a second and are all that the log shows. Kept here, as
-     * a logger that nothing refers to forgets its level.
+     * Logger of the HTTP server that writes a line with a stack trace for each aborted response. It is switched off,
+     * since the router logs the abort with its reason; when fifty clients disconnect at once, the stack traces cost a
+     * tenth of a second and hide all other lines. The strong reference keeps the logger's level, which is lost with
+     * the logger otherwise.
      */
-    private static final Logger FAILED_ANSWERS = Logger.getLogger("org.eclipse.jetty.server.Response");
+    private static final Logger JETTY_RESPONSE_LOGGER = Logger.getLogger("org.eclipse.jetty.server.Response");
 
     private Main() {}
 
-    /** Runs until a stop signal has been handled, then ends the process. */
+    /** Runs until a stop signal has been handled, then exits the process. */
     public static void main(String[] args) {
         Either<String, GatewaySettings> settings = file(args).flatMap(Main::read);
         if (settings.isLeft()) {
             System.err.println(settings.getLeft());
-            end(FAULTY_SETTINGS);
+            exit(EXIT_INVALID_SETTINGS);
             return;
         }
-        Logger.getLogger("").setLevel(Level.WARNING); // what libraries say of their ordinary work is not ours to log
-        FAILED_ANSWERS.setLevel(Level.OFF);
+        Logger.getLogger("").setLevel(Level.WARNING); // suppresses the routine messages of libraries
+        JETTY_RESPONSE_LOGGER.setLevel(Level.OFF);
         EventLog log = new EventLog(
                 new FileOutputStream(FileDescriptor.out),
                 Clock.systemUTC(),
                 settings.get().name());
         log.start();
-        end(run(settings.get(), file(args).get(), log));
+        exit(run(settings.get(), file(args).get(), log));
     }
 
     private static int run(GatewaySettings settings, Path file, EventLog log) {
@@ -65,11 +68,14 @@
                     .with("at", Arrays.toString(e.getStackTrace()))
                     .write();
             log.stop();
-            return NOT_STARTED;
+            return EXIT_NOT_STARTED;
         }
     }
 
-    /** Addresses and bounds are fixed for a process's life, so a change is told and waits for the next start. */
+    /**
+     * Logs whether the settings file has changed; a change takes effect at the next start, since addresses and limits
+     * are fixed.
+     */
     private static void reload(Path file, GatewaySettings inForce, EventLog log) {
         Either<String, GatewaySettings> read = read(file);
         log.line("process", "reload")
@@ -82,8 +88,9 @@
         if (args.length == 2 && args[0].equals("--settings")) {
             return Either.right(Path.of(args[1]));
         }
-        Optional<Path> given = args.length == 0 ? Environment.settingsFile(System.getenv()) : Optional.empty();
-        return given.map(Either::<String, Path>right).orElse(Either.left("usage: gateway --settings FILE"));
+        Optional<Path> fromEnvironment =
+                args.length == 0 ? Environment.settingsFile(System.getenv()) : Optional.empty();
+        return fromEnvironment.map(Either::<String, Path>right).orElse(Either.left("usage: gateway --settings FILE"));
     }
 
     private static Either<String, GatewaySettings> read(Path file) {
@@ -96,8 +103,8 @@
         }
     }
 
-    /** Halts, because a library's forgotten thread must not keep a stopped process alive. */
-    private static void end(int code) {
+    /** Halts the JVM, so that a library's remaining thread cannot keep a stopped process alive. */
+    private static void exit(int code) {
         System.err.flush();
         Runtime.getRuntime().halt(code);
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/ResetAwareConnector.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/ResetAwareConnector.java
@@ -19,32 +19,32 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Connects to backend servers such that a reset connection fails the answer, and that a connect runs into its timeout only
- * when the other side has not taken it.
+ * A connector for backend servers with two differences from its parent: a connection reset fails the response, and a
+ * connect times out only if the peer has not accepted it.
  *
- * <p>The usual end point takes a reset for an ordinary end. An answer without a length ends with its connection, so
- * one that was cut by a crash would look whole, and the client would get half an answer as a success.
+ * <p>The default end point treats a reset like an orderly close. A response without a length ends with its connection,
+ * so a response that was cut off by a crash would look complete, and the client would get a part of it as a success.
  *
- * <p>The usual timer of a connect asks whether the selector has finished it. In a process short of processor time the
- * selector's turn comes after the timer's, and connections that living servers had long taken would be given up. As
- * thread-safe as its parent.
+ * <p>The default connect timer checks whether the selector has finished the connect. In a process that is short of
+ * processor time the timer may run before the selector does, and connections that live servers accepted long ago would
+ * be given up. As thread-safe as its parent.
  */
 final class ResetAwareConnector extends ClientConnector {
-    private final ConnectWatch connects;
-    private final TurnAwareScheduler connectTimers;
+    private final ConnectWatch connectWatch;
+    private final SelectorAwareScheduler connectTimers;
 
     /**
-     * @param connects is told of each connect
-     * @param connectTimers limits the time of each connect
+     * @param connectWatch notified of the begin and end of each connect
+     * @param connectTimers scheduler of the connect timeouts
      */
-    ResetAwareConnector(ConnectWatch connects, TurnAwareScheduler connectTimers) {
-        this.connects = connects;
+    ResetAwareConnector(ConnectWatch connectWatch, SelectorAwareScheduler connectTimers) {
+        this.connectWatch = connectWatch;
         this.connectTimers = connectTimers;
     }
 
     /**
-     * None: all connections are plain. The usual one loads some 600 classes for TLS, which takes a quarter of the
-     * processor time of a start.
+     * Returns null, since no connection uses TLS. The default factory loads some 600 classes, which takes a quarter of
+     * the processor time of a start.
      */
     @Override
     protected SslContextFactory.Client newSslContextFactory() {
@@ -54,30 +54,30 @@
     @Override
     protected void configure(SelectableChannel selectable) throws IOException {
         super.configure(selectable);
-        connects.begun((SocketChannel) selectable);
+        connectWatch.begun((SocketChannel) selectable);
     }
 
     @Override
     protected void connectFailed(
             SelectableChannel selectable, SocketAddress address, Throwable failure, Map<String, Object> context) {
-        connects.ended((SocketChannel) selectable);
+        connectWatch.ended((SocketChannel) selectable);
         super.connectFailed(selectable, address, failure, context);
     }
 
     @Override
     protected SelectorManager newSelectorManager() {
-        return new TurnAwareSelectorManager(getExecutor(), connectTimers, getSelectors());
+        return new TimeoutAwareSelectorManager(getExecutor(), connectTimers, getSelectors());
     }
 
     @Override
     protected EndPoint newEndPoint(SelectableChannel selectable, ManagedSelector selector, SelectionKey key) {
-        connects.ended((SocketChannel) selectable);
+        connectWatch.ended((SocketChannel) selectable);
         return new ResetAwareEndPoint((SocketChannel) selectable, selector, key, getScheduler());
     }
 
-    /** Limits the time of its connects by timers that wait for its selector. As thread-safe as its parent. */
-    private final class TurnAwareSelectorManager extends ClientSelectorManager {
-        TurnAwareSelectorManager(Executor executor, Scheduler scheduler, int selectors) {
+    /** Attaches its selector to the scheduler of the connect timeouts. As thread-safe as its parent. */
+    private final class TimeoutAwareSelectorManager extends ClientSelectorManager {
+        TimeoutAwareSelectorManager(Executor executor, Scheduler scheduler, int selectors) {
             super(executor, scheduler, selectors);
         }
 
@@ -89,7 +89,10 @@
         }
     }
 
-    /** Passes a failed read on. As thread-safe as its parent. */
+    /**
+     * Propagates the exception of a failed read instead of treating it as the end of input. As thread-safe as its
+     * parent.
+     */
     private static final class ResetAwareEndPoint extends SocketChannelEndPoint {
         ResetAwareEndPoint(SocketChannel channel, ManagedSelector selector, SelectionKey key, Scheduler scheduler) {
             super(channel, selector, key, scheduler);
--- a/gateway/src/main/java/org/cornelramp/gateway/SteadyClock.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/SteadyClock.java
@@ -1,12 +1,12 @@
 package org.cornelramp.gateway;
 
-/** Milliseconds that only grow, whatever happens to the time of day. Safe for use by any thread. */
+/** A monotonic clock in milliseconds, independent of changes to the time of day. Safe for use by any thread. */
 public interface SteadyClock {
 
-    /** The time now, in milliseconds from an arbitrary start. */
+    /** The current time, in milliseconds since an arbitrary origin. */
     long millis();
 
-    /** The virtual machine's steady clock. */
+    /** The monotonic clock of the JVM. */
     static SteadyClock system() {
         return () -> System.nanoTime() / 1_000_000L;
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/archive/ArchiveRun.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/archive/ArchiveRun.java
@@ -20,21 +20,21 @@
 import org.cornelramp.platform.standin.StandInStore;
 
 /**
- * Starts a gateway against stand-ins on loopback, sends requests through it and ends. The build runs it with the
- * virtual machine's option that archives the loaded classes; a gateway that starts with the archive spends a third
- * less time until it listens, which counts after a crash. Stateless.
+ * Starts a gateway against stand-ins on loopback, sends requests through it and exits. The build runs it with the JVM
+ * option that archives the loaded classes (class data sharing). A gateway that starts with the archive takes a third
+ * less time until it listens, which matters after a crash. Stateless.
  */
 public final class ArchiveRun {
     private static final int REQUESTS = 20;
-    private static final int TRIES = 100;
+    private static final int MAX_ATTEMPTS = 100;
     private static final int OK = 200;
 
-    /** Time in which two gateways hear of each other, twice over. */
+    /** Twice the time in which two gateways discover each other. */
     private static final long PEER_MILLIS = 3_000;
 
     private ArchiveRun() {}
 
-    /** Runs once. */
+    /** Runs the workload once and ends the process. */
     public static void main(String[] args) throws Exception {
         try (StandInStore store = new StandInStore()) {
             store.publishConfig(StandInConfig.small(1).json());
@@ -54,14 +54,14 @@
         gateway.setDaemon(true);
         gateway.start();
         StandInClient client = new StandInClient(new HostPort("127.0.0.1", ports.get(0)), StandInConfig.KEY);
-        int served = serve(client, "archive-");
+        int served = sendRequests(client, "archive-");
         Files.delete(file);
-        served += serveBesideAPeer(store, client);
+        served += serveWithPeer(store, client);
         System.out.println("archive: served " + served + " requests by " + servers.size() + " servers");
     }
 
-    /** What a restarted gateway of a fleet does besides: news of peers, their records, and a store that is away. */
-    private static int serveBesideAPeer(StandInStore store, StandInClient client) throws Exception {
+    /** Loads the classes that a gateway with peers needs as well: peers' updates and records, and a store outage. */
+    private static int serveWithPeer(StandInStore store, StandInClient client) throws Exception {
         String json = StandInSettings.gateway("peer", FreePorts.take(4), store.address());
         GatewaySettings settings = new GatewaySettingsReader().read(json).get();
         EventLog log = new EventLog(System.out, Clock.systemUTC(), settings.name());
@@ -73,18 +73,18 @@
         store.setRefuses(false);
         Thread.sleep(PEER_MILLIS);
         StandInClient other = new StandInClient(settings.requests(), StandInConfig.KEY);
-        int served = serve(client, "beside-") + serve(other, "peer-");
+        int served = sendRequests(client, "beside-") + sendRequests(other, "peer-");
         peer.close();
         return served;
     }
 
-    private static int serve(StandInClient client, String ids) throws InterruptedException {
+    private static int sendRequests(StandInClient client, String idPrefix) throws InterruptedException {
         int served = 0;
-        for (int i = 0; served < REQUESTS && i < TRIES; i++) {
+        for (int i = 0; served < REQUESTS && i < MAX_ATTEMPTS; i++) {
             String path = i % 2 == 0 ? "/chat/" : "/book/";
-            boolean good = isServed(client, path + i, ids + i);
-            served += good ? 1 : 0;
-            Thread.sleep(good ? 1 : 100);
+            boolean ok = isServed(client, path + i, idPrefix + i);
+            served += ok ? 1 : 0;
+            Thread.sleep(ok ? 1 : 100);
         }
         return served;
     }
@@ -93,7 +93,7 @@
         try {
             return client.send(path, id, "body").statusCode() == OK;
         } catch (IOException e) {
-            return false; // it does not listen yet
+            return false; // the gateway does not listen yet
         }
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/archive/package-info.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/archive/package-info.java
@@ -1,2 +1,2 @@
-/** Run by the build only: loads the classes of a gateway at work, so that they can be archived. */
+/** Used by the build only: loads the classes that a working gateway needs, so that the JVM can archive them. */
 package org.cornelramp.gateway.archive;
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/TopicFollower.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/TopicFollower.java
@@ -116,9 +116,9 @@
 
     /** Counts and logs an unusable record; the log line is sampled, as the writer may repeat the record endlessly. */
     final void recordUnreadable(long offset, String fault) {
-        parts.meters().unreadable(thread.getName());
+        parts.meters().countUnreadableRecord(thread.getName());
         parts.log()
-                .ordinary(thread.getName(), "unreadable")
+                .routine(thread.getName(), "unreadable")
                 .with("offset", offset)
                 .with("fault", fault)
                 .write();
@@ -154,7 +154,7 @@
         if (read.isLeft()) {
             return handleFault(read.getLeft());
         }
-        parts.meters().storeCall(thread.getName(), "ok");
+        parts.meters().countStoreCall(thread.getName(), "ok");
         parts.storeAvailability().recordAnswer(parts.clock().millis());
         MetadataStore.Page page = read.get();
         if (!complete && page.era() != era) {
@@ -191,7 +191,7 @@
         if (recordSet.isEmpty() || !continuesFromHere(recordSet.get())) {
             return readStore(); // its updates arrive, but it does not answer, or does not know of the restore yet
         }
-        parts.meters().storeCall(thread.getName(), "peer");
+        parts.meters().countStoreCall(thread.getName(), "peer");
         MetadataStore.Page page = recordSet.get().page();
         parts.cache()
                 .update(topic, page, recordSet.get().complete(), parts.clock().millis());
@@ -214,7 +214,7 @@
             nextOffset = -1;
             return 0;
         }
-        parts.meters().storeCall(thread.getName(), fault.kind().name());
+        parts.meters().countStoreCall(thread.getName(), fault.kind().name());
         parts.storeAvailability().recordFailure();
         line("not read").with("fault", fault).write();
         return fallBackToPeers();
--- a/gateway/src/main/java/org/cornelramp/gateway/log/EventLog.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/log/EventLog.java
@@ -10,33 +10,37 @@
 import org.jctools.queues.MpscArrayQueue;
 
 /**
- * Writes one JSON object a line: each decision on a request and each change of belief.
+ * Writes structured log lines, one JSON object per line: decisions on requests, and changes in what the gateway assumes
+ * about servers and its peers.
  *
- * <p>The volume is bounded: ordinary lines are sampled to {@value #ORDINARY_PER_SECOND} a second, failures and
- * changes of belief are always offered to a ring of {@value #RING}, and a full ring drops the line and counts it. A
- * reader that does not take the output stops only the writing thread, never a request. Safe for use by any thread.
+ * <p>The volume is bounded: routine lines are sampled to {@value #ROUTINE_PER_SECOND} per second, failures and changed
+ * assumptions are always offered to a ring buffer of {@value #RING_CAPACITY} lines, and a full ring buffer drops the
+ * line and counts it. If nobody reads the output, only the writing thread blocks, never a request. Safe for use by any
+ * thread.
  */
 public final class EventLog {
-    /** Ordinary lines a second; a calm day has fewer, and a flood must not cost a tenth of a core. */
-    static final int ORDINARY_PER_SECOND = 60;
+    /**
+     * Routine lines per second: more than occur under normal load; a flood of lines must not cost a tenth of a core.
+     */
+    static final int ROUTINE_PER_SECOND = 60;
 
-    private static final int RING = 4_096;
-    private static final long PAUSE_NANOS = 40_000_000;
+    private static final int RING_CAPACITY = 4_096;
+    private static final long POLL_INTERVAL_NANOS = 40_000_000;
 
     private final OutputStream out;
     private final Clock clock;
     private final String process;
-    private final MpscArrayQueue<String> ring = new MpscArrayQueue<>(RING);
+    private final MpscArrayQueue<String> buffer = new MpscArrayQueue<>(RING_CAPACITY);
     private final LongAdder dropped = new LongAdder();
     private final Thread thread = new Thread(this::run, "log");
     private volatile boolean running = true;
-    private long second;
-    private int ordinary;
+    private long currentSecond;
+    private int routineThisSecond;
     private long skipped;
 
     /**
-     * @param out where lines go
-     * @param clock gives the time of day of each line
+     * @param out the stream that lines are written to
+     * @param clock supplies the timestamp of each line
      * @param process name of this process
      */
     public EventLog(OutputStream out, Clock clock, String process) {
@@ -51,7 +55,7 @@
         thread.start();
     }
 
-    /** Writes what is left and ends the thread. */
+    /** Writes the remaining lines and ends the thread; waits for it for at most half a second. */
     public void stop() {
         running = false;
         LockSupport.unpark(thread);
@@ -62,29 +66,29 @@
         }
     }
 
-    /** A line that is always kept: a failure or a change of belief. */
+    /** Begins a line that is never sampled out: a failure or a changed assumption. */
     public Line line(String part, String event) {
         return new Line(true, part, event);
     }
 
-    /** A line of ordinary work, kept as far as the rate allows. */
-    public Line ordinary(String part, String event) {
-        return new Line(takeOrdinary(), part, event);
+    /** Begins a routine line, which is kept only as far as the rate limit allows. */
+    public Line routine(String part, String event) {
+        return new Line(admitRoutine(), part, event);
     }
 
-    /** Lines that were lost because the ring was full. */
+    /** Number of lines that were dropped because the ring buffer was full. */
     public long dropped() {
         return dropped.sum();
     }
 
-    private synchronized boolean takeOrdinary() {
+    private synchronized boolean admitRoutine() {
         long now = System.nanoTime() / 1_000_000_000L;
-        if (now != second) {
-            second = now;
-            ordinary = 0;
+        if (now != currentSecond) {
+            currentSecond = now;
+            routineThisSecond = 0;
         }
-        ordinary++;
-        if (ordinary <= ORDINARY_PER_SECOND) {
+        routineThisSecond++;
+        if (routineThisSecond <= ROUTINE_PER_SECOND) {
             return true;
         }
         skipped++;
@@ -93,20 +97,20 @@
 
     private void run() {
         StringBuilder batch = new StringBuilder();
-        long told = 0;
-        while (running || !ring.isEmpty()) {
-            for (String line = ring.poll(); line != null; line = ring.poll()) {
+        long reportedDrops = 0;
+        while (running || !buffer.isEmpty()) {
+            for (String line = buffer.poll(); line != null; line = buffer.poll()) {
                 batch.append(line).append('\n');
             }
-            long lost = dropped.sum();
-            if (lost != told) {
-                told = lost;
-                batch.append("{\"part\":\"log\",\"event\":\"dropped\",\"lines\":" + lost + "}\n");
+            long drops = dropped.sum();
+            if (drops != reportedDrops) {
+                reportedDrops = drops;
+                batch.append("{\"part\":\"log\",\"event\":\"dropped\",\"lines\":" + drops + "}\n");
             }
             if (!write(batch)) {
                 return;
             }
-            LockSupport.parkNanos(this, PAUSE_NANOS);
+            LockSupport.parkNanos(this, POLL_INTERVAL_NANOS);
         }
     }
 
@@ -118,7 +122,7 @@
             out.write(batch.toString().getBytes(StandardCharsets.UTF_8));
             out.flush();
         } catch (IOException e) {
-            dropped.increment(); // standard output is gone, so there is no place left to say it
+            dropped.increment(); // the output is closed, so the failure cannot be logged
             return false;
         }
         batch.setLength(0);
@@ -138,7 +142,7 @@
             }
         }
 
-        /** Adds a text. */
+        /** Adds a string field. */
         public Line with(String name, String value) {
             if (text != null) {
                 text.append(",\"").append(name).append("\":\"");
@@ -148,12 +152,12 @@
             return this;
         }
 
-        /** Adds anything by its text. */
+        /** Adds a field with the string form of a value. */
         public Line with(String name, Object value) {
             return text == null ? this : with(name, String.valueOf(value));
         }
 
-        /** Adds a whole number. */
+        /** Adds an integer field. */
         public Line with(String name, long value) {
             if (text != null) {
                 text.append(",\"").append(name).append("\":").append(value);
@@ -163,13 +167,13 @@
 
         /** Offers the line to the writer. */
         public void write() {
-            if (text != null && !ring.offer(text.append('}').toString())) {
+            if (text != null && !buffer.offer(text.append('}').toString())) {
                 dropped.increment();
             }
         }
     }
 
-    /** Ordinary lines that the rate did not allow. */
+    /** Number of routine lines that the rate limit suppressed. */
     public synchronized long skipped() {
         return skipped;
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/log/package-info.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/log/package-info.java
@@ -1,2 +1,2 @@
-/** Structured log lines on standard output, bounded and never blocking. */
+/** Structured log lines on standard output, bounded in volume and without blocking the callers. */
 package org.cornelramp.gateway.log;
--- a/gateway/src/main/java/org/cornelramp/gateway/metrics/Meters.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/metrics/Meters.java
@@ -15,28 +15,29 @@
 import org.jctools.queues.MpscArrayQueue;
 
 /**
- * What a gateway counts and times. Safe for use by any thread.
+ * The counters, timers and gauges of a gateway. Safe for use by any thread.
  *
- * <p>Names and units stand in docs/OPERATIONS.md; labels take few values each, so the output stays small.
+ * <p>Names and units are listed in docs/OPERATIONS.md. Each label takes few values, so the output stays small.
  *
- * <p>What is counted goes through a bounded ring to a thread of its own, which makes the registry only some seconds after
- * the start, or when the metrics are asked for. The registry takes a fifth of the processor time of a start, and a
- * gateway that was killed has clients waiting then. A full ring loses counts and counts how many.
+ * <p>Measurements pass through a bounded ring buffer to a separate thread, which creates the registry only some seconds
+ * after the start, or when the metrics are first requested. Creating the registry takes a fifth of the processor time
+ * of a start, while clients wait for a gateway that is restarted after a crash. A full ring buffer drops measurements
+ * and counts them.
  */
 public final class Meters {
     private static final String PREFIX = "cornelramp.gateway.";
-    private static final Duration LEAST = Duration.ofMillis(5);
-    private static final Duration MOST = Duration.ofSeconds(20);
+    private static final Duration MIN_EXPECTED = Duration.ofMillis(5);
+    private static final Duration MAX_EXPECTED = Duration.ofSeconds(20);
 
-    /** Ten seconds of five counts a request at 60 requests a second, twice over. */
-    private static final int RING = 8_192;
+    /** Twice the measurements of ten seconds, at 60 requests per second and five measurements per request. */
+    private static final int RING_CAPACITY = 8_192;
 
-    /** The clients that waited for the start have been served by then. */
-    private static final long FIRST_PAUSE_NANOS = 10_000_000_000L;
+    /** Delay of the registry's creation; the clients that waited for the start have been served by then. */
+    private static final long INITIAL_DELAY_NANOS = 10_000_000_000L;
 
-    private static final long PAUSE_NANOS = 250_000_000L;
+    private static final long POLL_INTERVAL_NANOS = 250_000_000L;
 
-    private final MpscArrayQueue<Consumer<PrometheusMeterRegistry>> ring = new MpscArrayQueue<>(RING);
+    private final MpscArrayQueue<Consumer<PrometheusMeterRegistry>> pending = new MpscArrayQueue<>(RING_CAPACITY);
     private final LongAdder lost = new LongAdder();
     private final Thread thread = new Thread(this::run, "metrics");
     private volatile boolean running = true;
@@ -51,112 +52,112 @@
         thread.start();
     }
 
-    /** Tells the thread to end. */
+    /** Asks the thread to end; does not wait for it. */
     public void stop() {
         running = false;
         LockSupport.unpark(thread);
     }
 
     private void run() {
-        LockSupport.parkNanos(this, FIRST_PAUSE_NANOS);
+        LockSupport.parkNanos(this, INITIAL_DELAY_NANOS);
         while (running) {
-            apply();
-            LockSupport.parkNanos(this, PAUSE_NANOS);
+            applyPending();
+            LockSupport.parkNanos(this, POLL_INTERVAL_NANOS);
         }
     }
 
-    /** Counts all that the ring holds. */
-    private synchronized PrometheusMeterRegistry apply() {
+    /** Applies all queued measurements to the registry, which it creates if necessary. */
+    private synchronized PrometheusMeterRegistry applyPending() {
         if (registry == null) {
             registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
             Gauge.builder(PREFIX + "metrics.lost", lost::sum).register(registry);
         }
-        ring.drain(count -> count.accept(registry));
+        pending.drain(count -> count.accept(registry));
         return registry;
     }
 
-    private void later(Consumer<PrometheusMeterRegistry> count) {
-        if (!ring.offer(count)) {
+    private void enqueue(Consumer<PrometheusMeterRegistry> count) {
+        if (!pending.offer(count)) {
             lost.increment();
         }
     }
 
-    /** A request has ended. */
-    public void requestEnded(RouteKind kind, String outcome, long millis) {
+    /** Counts a request that has ended, and records its duration. */
+    public void recordRequest(RouteKind kind, String outcome, long millis) {
         String kindText = kind.name().toLowerCase(Locale.ROOT);
-        later(into -> into.counter(PREFIX + "requests", "kind", kindText, "outcome", outcome)
+        enqueue(target -> target.counter(PREFIX + "requests", "kind", kindText, "outcome", outcome)
                 .increment());
         time("request.duration", kindText, millis);
     }
 
-    /** The first event of a stream was passed on. */
-    public void firstEvent(long millis) {
+    /** Records the time to the first event of a stream. */
+    public void recordTimeToFirstEvent(long millis) {
         time("first.event", "streaming", millis);
     }
 
-    /** A stream has ended whose longest pause between events was so long. */
-    public void longestPause(long millis) {
+    /** Records the longest pause between two events of a stream that has ended. */
+    public void recordLongestPause(long millis) {
         time("longest.pause", "streaming", millis);
     }
 
-    /** An attempt has ended. */
-    public void attemptEnded(String end) {
+    /** Counts an attempt that has ended. */
+    public void countAttempt(String end) {
         count("attempts", "end", end);
     }
 
-    /** The gateway has refused a request by itself. */
-    public void refused(String cause) {
+    /** Counts a request that the gateway itself has refused. */
+    public void countRefusal(String cause) {
         count("refusals", "cause", cause);
     }
 
-    /** A server is suspected. */
-    public void suspected(String evidence) {
+    /** Counts a backend server that has become suspected of having failed. */
+    public void countSuspicion(String evidence) {
         count("suspicions", "evidence", evidence);
     }
 
-    /** A running request was moved, or could not be. */
-    public void moved(boolean done) {
+    /** Counts an order to move a running request to another path. */
+    public void countMove(boolean done) {
         count("moves", "result", done ? "done" : "refused");
     }
 
-    /** An engine was ordered to hold layers. */
-    public void ordered(boolean accepted) {
+    /** Counts an order to an engine to load layers. */
+    public void countOrder(boolean accepted) {
         count("orders", "result", accepted ? "accepted" : "failed");
     }
 
-    /** A record of the store could not be read. */
-    public void unreadable(String follower) {
+    /** Counts a record of the store that could not be decoded. */
+    public void countUnreadableRecord(String follower) {
         count("records.unreadable", "topic", follower);
     }
 
-    /** The store was called. */
-    public void storeCall(String call, String result) {
-        later(into -> into.counter(PREFIX + "store.calls", "call", call, "result", result)
+    /** Counts a call of the store. */
+    public void countStoreCall(String call, String result) {
+        enqueue(target -> target.counter(PREFIX + "store.calls", "call", call, "result", result)
                 .increment());
     }
 
-    /** Shows a value as it is when the metrics are read. */
+    /** Registers a gauge whose value is read when the metrics are requested. */
     public void gauge(String name, Supplier<Number> value) {
-        later(into -> Gauge.builder(PREFIX + name, value).register(into));
+        enqueue(target -> Gauge.builder(PREFIX + name, value).register(target));
     }
 
-    /** All meters in Prometheus' text format. */
-    public String text() {
-        return apply().scrape();
+    /** All metrics in the Prometheus text format. */
+    public String scrape() {
+        return applyPending().scrape();
     }
 
     private void count(String name, String label, String value) {
-        later(into -> into.counter(PREFIX + name, label, value.toLowerCase(Locale.ROOT))
+        enqueue(target -> target.counter(PREFIX + name, label, value.toLowerCase(Locale.ROOT))
                 .increment());
     }
 
     private void time(String name, String kind, long millis) {
-        later(into -> Timer.builder(PREFIX + name)
+        enqueue(target -> Timer.builder(PREFIX + name)
                 .tag("kind", kind)
                 .publishPercentileHistogram()
-                .minimumExpectedValue(LEAST)
-                .maximumExpectedValue(MOST)
-                .register(into)
+                .minimumExpectedValue(MIN_EXPECTED)
+                .maximumExpectedValue(MAX_EXPECTED)
+                .register(target)
                 .record(millis, TimeUnit.MILLISECONDS));
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/package-info.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/package-info.java
@@ -1,2 +1,2 @@
-/** The gateway: a process before the backend servers that takes clients' requests and keeps nothing. */
+/** The gateway: a process in front of the backend servers that routes clients' requests and stores nothing. */
 package org.cornelramp.gateway;
--- /dev/null
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerUpdate.java
@@ -0,0 +1,121 @@
+package org.cornelramp.gateway.peer;
+
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import org.cornelramp.core.model.BackendServerId;
+import org.cornelramp.core.model.DataCentre;
+import org.cornelramp.core.path.EngineLoads;
+import org.cornelramp.core.retry.RetryLoanUpdate;
+import org.cornelramp.core.settings.HostPort;
+import org.cornelramp.gateway.follow.PeerConfigVersions;
+import org.cornelramp.gateway.follow.ReadCoordinator;
+
+/**
+ * The state that one gateway sends to its peers. Immutable, safe for use by any thread.
+ *
+ * @param sender the gateway
+ * @param sequenceNumber sequence number within an incarnation of the sender; an update with an older number is ignored
+ * @param leaving whether it is stopping
+ * @param loads the load of its requests in progress on each engine; empty if this update omits the loads
+ * @param crossings number of hops to another data centre of all its requests in progress
+ * @param paces factor by which each engine is slower than usual; engines with a factor of 1 are omitted
+ * @param suspects servers that it has seen fail since its last update or shortly before
+ * @param repeats the retries that it requests and lends out of the budget that all gateways share
+ * @param recentPeers addresses of some peers that have recently sent it an update
+ * @param reading how far it has read the store for all gateways; empty if it does not read for them
+ * @param configVersion version of the configuration that it has in force; negative for none
+ */
+public record PeerUpdate(
+        Sender sender,
+        long sequenceNumber,
+        boolean leaving,
+        Optional<Map<BackendServerId, EngineLoads.Load>> loads,
+        int crossings,
+        Map<BackendServerId, Double> paces,
+        Set<BackendServerId> suspects,
+        RetryLoanUpdate repeats,
+        List<HostPort> recentPeers,
+        Optional<ReadCoordinator.ReadPosition> reading,
+        long configVersion) {
+
+    public PeerUpdate {
+        loads = loads.map(Map::copyOf);
+        paces = Map.copyOf(paces);
+        suspects = Set.copyOf(suspects);
+        recentPeers = List.copyOf(recentPeers);
+    }
+
+    /**
+     * The gateway that sends an update. Immutable, safe for use by any thread.
+     *
+     * @param name its name
+     * @param incarnation random number of its incarnation, see {@link PeerUpdateService#newIncarnation}
+     * @param dataCentre the data centre where it runs
+     */
+    public record Sender(String name, long incarnation, DataCentre dataCentre) {}
+
+    /** Name of the sending gateway. */
+    public String name() {
+        return sender.name();
+    }
+
+    /** An update without peers, reading and configuration version. */
+    public static PeerUpdate of(
+            Sender sender,
+            long number,
+            boolean leaving,
+            Map<BackendServerId, EngineLoads.Load> loads,
+            int crossings,
+            Map<BackendServerId, Double> paces,
+            Set<BackendServerId> suspects,
+            RetryLoanUpdate repeats) {
+        return new PeerUpdate(
+                sender,
+                number,
+                leaving,
+                Optional.of(loads),
+                crossings,
+                paces,
+                suspects,
+                repeats,
+                List.of(),
+                Optional.empty(),
+                PeerConfigVersions.NONE);
+    }
+
+    /** The same update with addresses of peers. */
+    PeerUpdate withRecentPeers(List<HostPort> addresses) {
+        return new PeerUpdate(
+                sender, sequenceNumber, leaving, loads, crossings, paces, suspects, repeats, addresses, reading, configVersion);
+    }
+
+    /** The same update with how far this gateway has read the store for all. */
+    PeerUpdate withReading(Optional<ReadCoordinator.ReadPosition> progress) {
+        return new PeerUpdate(
+                sender, sequenceNumber, leaving, loads, crossings, paces, suspects, repeats, recentPeers, progress, configVersion);
+    }
+
+    /** The same update with the configuration version that this gateway has in force. */
+    PeerUpdate withConfigVersion(long version) {
+        return new PeerUpdate(
+                sender, sequenceNumber, leaving, loads, crossings, paces, suspects, repeats, recentPeers, reading, version);
+    }
+
+    /** The same update without the loads, which make up most of its bytes. */
+    PeerUpdate withoutLoads() {
+        return new PeerUpdate(
+                sender,
+                sequenceNumber,
+                leaving,
+                Optional.empty(),
+                crossings,
+                paces,
+                suspects,
+                repeats,
+                recentPeers,
+                reading,
+                configVersion);
+    }
+}
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerNewsCodec.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerUpdateCodec.java
@@ -20,51 +20,51 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** The MessagePack form of news between gateways. Stateless, safe for use by any thread. */
-final class PeerNewsCodec {
+/** Encodes the updates between gateways as MessagePack and decodes them. Stateless, safe for use by any thread. */
+final class PeerUpdateCodec {
     private static final int FORMAT = 6;
 
-    private PeerNewsCodec() {}
+    private PeerUpdateCodec() {}
 
-    static byte[] write(PeerNews news) {
+    static byte[] write(PeerUpdate update) {
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
             out.packInt(FORMAT);
-            out.packString(news.sender().name());
-            out.packLong(news.sender().life());
-            out.packString(news.sender().dataCentre().value());
-            out.packLong(news.number());
-            out.packBoolean(news.leaving());
-            out.packBoolean(news.loads().isPresent());
-            if (news.loads().isPresent()) {
-                writeLoads(news.loads().get(), out);
+            out.packString(update.sender().name());
+            out.packLong(update.sender().incarnation());
+            out.packString(update.sender().dataCentre().value());
+            out.packLong(update.sequenceNumber());
+            out.packBoolean(update.leaving());
+            out.packBoolean(update.loads().isPresent());
+            if (update.loads().isPresent()) {
+                writeLoads(update.loads().get(), out);
             }
-            out.packInt(news.crossings());
-            out.packMapHeader(news.paces().size());
-            for (Map.Entry<BackendServerId, Double> pace : news.paces().entrySet()) {
+            out.packInt(update.crossings());
+            out.packMapHeader(update.paces().size());
+            for (Map.Entry<BackendServerId, Double> pace : update.paces().entrySet()) {
                 out.packString(pace.getKey().value());
                 out.packDouble(pace.getValue());
             }
-            out.packArrayHeader(news.suspects().size());
-            for (BackendServerId id : news.suspects()) {
+            out.packArrayHeader(update.suspects().size());
+            for (BackendServerId id : update.suspects()) {
                 out.packString(id.value());
             }
-            writeRepeats(news.repeats(), out);
-            out.packArrayHeader(news.heard().size());
-            for (HostPort peer : news.heard()) {
+            writeRepeats(update.repeats(), out);
+            out.packArrayHeader(update.recentPeers().size());
+            for (HostPort peer : update.recentPeers()) {
                 out.packString(peer.toString());
             }
-            out.packBoolean(news.reading().isPresent());
-            if (news.reading().isPresent()) {
-                ReadCoordinator.ReadPosition reading = news.reading().get();
+            out.packBoolean(update.reading().isPresent());
+            if (update.reading().isPresent()) {
+                ReadCoordinator.ReadPosition reading = update.reading().get();
                 out.packString(reading.recordsAddress().toString());
                 out.packLong(reading.configEnd());
                 out.packLong(reading.serversEnd());
                 out.packLong(reading.era());
             }
-            out.packLong(news.configVersion());
+            out.packLong(update.configVersion());
             return out.toByteArray();
         } catch (IOException e) {
-            throw new IllegalStateException("Memory takes every byte", e);
+            throw new IllegalStateException("Writing to memory failed", e);
         }
     }
 
@@ -132,15 +132,15 @@
         return loans;
     }
 
-    /** Reads news; the left side says what is wrong with the bytes. */
-    static Either<String, PeerNews> read(byte[] bytes, int length) {
+    /** Decodes an update; the left side describes what is wrong with the bytes. */
+    static Either<String, PeerUpdate> read(byte[] bytes, int length) {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes, 0, length)) {
             int format = in.unpackInt();
             if (format != FORMAT) {
                 return Either.left("unknown format " + format);
             }
-            PeerNews.Sender sender =
-                    new PeerNews.Sender(in.unpackString(), in.unpackLong(), new DataCentre(in.unpackString()));
+            PeerUpdate.Sender sender =
+                    new PeerUpdate.Sender(in.unpackString(), in.unpackLong(), new DataCentre(in.unpackString()));
             long number = in.unpackLong();
             boolean leaving = in.unpackBoolean();
             Optional<Map<BackendServerId, EngineLoads.Load>> loads =
@@ -164,7 +164,7 @@
                             HostPort.parse(in.unpackString()), in.unpackLong(), in.unpackLong(), in.unpackLong()))
                     : Optional.empty();
             long version = in.unpackLong();
-            return Either.right(new PeerNews(
+            return Either.right(new PeerUpdate(
                     sender, number, leaving, loads, crossings, paces, suspects, repeats, heard, reading, version));
         } catch (IOException | RuntimeException e) {
             return Either.left(e.toString());
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/package-info.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/package-info.java
@@ -1,2 +1,2 @@
-/** News that gateways tell one another: what each has under way and which servers it has seen fail. */
+/** State updates between gateways: the load that each causes on the engines, and the servers that it has seen fail. */
 package org.cornelramp.gateway.peer;
--- a/gateway/src/main/java/org/cornelramp/gateway/place/LayerPlacer.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/place/LayerPlacer.java
@@ -219,7 +219,7 @@
             return;
         }
         Either<StoreFault, byte[]> result = engines.place(engine, placement.layers(), before);
-        meters.ordered(result.isRight());
+        meters.countOrder(result.isRight());
         log.line("placement", result.isRight() ? "ordered" : "order failed")
                 .with("server", engine.id())
                 .with(
--- a/gateway/src/main/java/org/cornelramp/gateway/place/LeaderLease.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/place/LeaderLease.java
@@ -151,7 +151,7 @@
 
     private void join(long now) {
         Either<StoreFault, MetadataStore.Membership> joined = store.join(GROUP, member, GROUP, TTL_MILLIS, generation);
-        meters.storeCall("join", joined.fold(fault -> fault.kind().name(), any -> "ok"));
+        meters.countStoreCall("join", joined.fold(fault -> fault.kind().name(), any -> "ok"));
         if (joined.isLeft()) {
             access.recordFailure();
             log.line("lease", "not joined").with("fault", joined.getLeft()).write();
@@ -177,7 +177,7 @@
 
     private void readMembers(long now) {
         Either<StoreFault, Set<String>> members = store.members(GROUP);
-        meters.storeCall("members", members.fold(fault -> fault.kind().name(), any -> "ok"));
+        meters.countStoreCall("members", members.fold(fault -> fault.kind().name(), any -> "ok"));
         List<HostPort> peers = new ArrayList<>();
         members.getOrElse(Set.of()).forEach(memberName -> address(memberName).ifPresent(peers::add));
         boolean settled = peers.size() > 1 && peers.size() == peerCount;
--- a/gateway/src/main/java/org/cornelramp/gateway/request/Attempt.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/Attempt.java
@@ -25,18 +25,19 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * One attempt at a backend server: sends the request once, passes the events of a stream on as they come, and tells
- * how it ended. {@link #start} is called once; {@link #cancel} by any thread.
+ * One attempt to run a request on a backend server: sends the request once, forwards the events of a streaming response
+ * as they arrive, and reports how the attempt ended. {@link #start} is called once; {@link #cancel} may be called by
+ * any thread.
  *
- * <p>Invariant: the end is told once. Events are read only when the client has taken those before, so a slow client
- * holds back its backend server instead of filling the memory.
+ * <p>Invariant: the end is reported exactly once. Events are read only after the client has accepted the previous ones,
+ * so a slow client applies backpressure to its backend server instead of filling the memory.
  */
 public final class Attempt {
-    /** An answer that is larger than this is not one of a plain service; streams are not buffered. */
-    private static final int MAX_BUFFERED = 16 << 20;
+    /** Limit of a buffered response; no plain service sends a larger one. Streams are not buffered. */
+    private static final int MAX_BUFFERED_BYTES = 16 << 20;
 
-    /** Characters of a failure that are logged: its kind and what it says first. */
-    private static final int MOST_DETAIL = 120;
+    /** Length to which the text of a failure is cut in logs; keeps its type and the start of its message. */
+    private static final int MAX_DETAIL_CHARS = 120;
 
     private final HttpClient http;
     private final Exchange exchange;
@@ -46,20 +47,20 @@
     private final BiConsumer<Attempt, AttemptEnd> onEnd;
     private final EventSplitter splitter = new EventSplitter();
     private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
-    private final AtomicReference<AttemptEnd> told = new AtomicReference<>();
+    private final AtomicReference<AttemptEnd> reportedEnd = new AtomicReference<>();
     private volatile StagePath path;
     private volatile Request request;
-    private volatile boolean begun;
+    private volatile boolean requestBegun;
     private volatile boolean answering;
     private volatile boolean relaying;
     private volatile boolean cancelled;
     private volatile boolean contentEnded;
     private volatile Throwable clientFailure;
-    private volatile AnswerHead answer;
+    private volatile AnswerHead receivedHead;
     private volatile HttpFields fields = HttpFields.EMPTY;
     private boolean writing;
-    private boolean over;
-    private Result endedWhileWriting;
+    private boolean ended;
+    private Result deferredResult;
     private long startMillis;
 
     /** @param onEnd called once, by any thread, when the attempt has ended */
@@ -79,38 +80,38 @@
         this.path = head.path().orElse(null);
     }
 
-    /** The exchange that it serves. */
+    /** The client exchange that this attempt serves. */
     public Exchange exchange() {
         return exchange;
     }
 
-    /** Where it was sent. */
+    /** The backend server that the request was sent to. */
     public BackendServer server() {
         return server;
     }
 
-    /** The engines that run it now; empty for a plain service. */
+    /** The engines that run the request now; empty for a plain service. */
     public Optional<StagePath> path() {
         return Optional.ofNullable(path);
     }
 
-    /** Notes that the engine has moved the request to another path. */
-    public void movedTo(StagePath other) {
+    /** Records that the engine has moved the request to another path. */
+    public void setPath(StagePath other) {
         path = other;
     }
 
-    /** When it was started, on the steady clock. */
+    /** When the attempt was started, in milliseconds of the {@link SteadyClock}. */
     public long startMillis() {
         return startMillis;
     }
 
-    /** Whether the backend server has begun to answer. */
-    public boolean isAnswering() {
+    /** Whether the head of the response has arrived. */
+    public boolean hasResponseStarted() {
         return answering;
     }
 
-    /** Whether a part of the answer has arrived that this process has not read yet. */
-    public boolean hasUnread() {
+    /** Whether bytes of the response wait unread in the socket. */
+    public boolean hasUnreadBytes() {
         Request out = request;
         return out != null && SocketReadiness.hasUnread(out);
     }
@@ -118,56 +119,58 @@
     /** Sends the request. */
     public void start(long nowMillis) {
         startMillis = nowMillis;
-        Exchange.Call call = exchange.call();
+        Exchange.ClientRequest call = exchange.request();
         Request out = http.newRequest(server.address().host(), server.address().port())
                 .method(call.method())
                 .path(call.pathQuery())
-                .tag(server.id()) // a connection to an earlier life at the address is never used again
-                .headers(own -> head.write(call.fields(), own));
+                .tag(server.id()) // keeps connections to an earlier incarnation at the address from being reused
+                .headers(headers -> head.write(call.fields(), headers));
         if (call.body().length > 0 || !HttpMethod.GET.is(call.method())) {
             out.body(new BytesRequestContent((String) null, call.body()));
         }
-        out.onRequestBegin(any -> begun = true);
+        out.onRequestBegin(started -> requestBegun = true);
         out.onResponseContentSource(this::onContent);
         request = out;
         out.send(this::onComplete);
     }
 
-    /** Ends the attempt; closing the connection makes the backend server stop. */
-    public void cancel(String why) {
+    /** Aborts the attempt and closes its connection, which makes the backend server stop. */
+    public void cancel(String reason) {
         cancelled = true;
         Request out = request;
         if (out != null) {
-            var unused = out.abort(new CancelledAttempt(why)); // the end is told by onComplete
+            var unused = out.abort(new AttemptCancelledException(reason)); // onComplete reports the end
         }
     }
 
-    /** Whether this gateway has ended the attempt, so that its end tells nothing of the backend server. */
+    /** Whether this gateway has cancelled the attempt; its end then says nothing about the backend server's health. */
     public boolean isCancelled() {
         return cancelled;
     }
 
-    /** Marks an end that the gateway itself brought about. Immutable. */
-    private static final class CancelledAttempt extends Exception {
+    /** Marks an attempt that the gateway itself cancelled. Immutable. */
+    private static final class AttemptCancelledException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        CancelledAttempt(String why) {
-            super(why, null, false, false);
+        AttemptCancelledException(String reason) {
+            super(reason, null, false, false);
         }
     }
 
     void onContent(Response response, Content.Source source) {
         fields = response.getHeaders();
-        AnswerHead decoded = AnswerHead.decode(response.getStatus(), fields);
-        answer = decoded;
+        AnswerHead responseHead = AnswerHead.decode(response.getStatus(), fields);
+        receivedHead = responseHead;
         answering = true;
-        relaying = exchange.call().route().kind() == RouteKind.STREAMING && decoded.isSuccess() && isOwn(decoded);
+        relaying = exchange.request().route().kind() == RouteKind.STREAMING
+                && responseHead.isSuccess()
+                && matchesRequest(responseHead);
         read(source);
     }
 
-    /** An answer without the request's id, or with another one, belongs to an earlier request of the connection. */
-    private boolean isOwn(AnswerHead decoded) {
-        return decoded.requestId().equals(exchange.call().id());
+    /** Whether the response carries this request's id. Otherwise it belongs to an earlier request of the connection. */
+    private boolean matchesRequest(AnswerHead responseHead) {
+        return responseHead.requestId().equals(exchange.request().id());
     }
 
     private void read(Content.Source source) {
@@ -178,10 +181,10 @@
                 return;
             }
             if (Content.Chunk.isFailure(chunk)) {
-                return; // the failure ends the exchange, see onComplete
+                return; // onComplete reports the failure
             }
             boolean last = chunk.isLast();
-            ByteBuffer events = take(chunk);
+            ByteBuffer events = consume(chunk);
             contentEnded = last;
             if (events.hasRemaining()) {
                 relay(source, events, last);
@@ -193,18 +196,18 @@
         }
     }
 
-    /** The whole events that the chunk completes; none where the answer is buffered. */
-    private ByteBuffer take(Content.Chunk chunk) {
+    /** Consumes a chunk; returns the whole events that it completes, or none if the response is buffered. */
+    private ByteBuffer consume(Content.Chunk chunk) {
         ByteBuffer bytes = chunk.getByteBuffer();
         try {
             if (relaying) {
-                return takeEvents(bytes);
+                return splitEvents(bytes);
             }
             byte[] copy = new byte[bytes.remaining()];
             bytes.get(copy);
             buffer.writeBytes(copy);
-            if (buffer.size() > MAX_BUFFERED) {
-                cancel("the answer is too large");
+            if (buffer.size() > MAX_BUFFERED_BYTES) {
+                cancel("the response exceeds the buffer limit");
             }
             return ByteBuffer.allocate(0);
         } finally {
@@ -212,10 +215,10 @@
         }
     }
 
-    private ByteBuffer takeEvents(ByteBuffer bytes) {
-        ByteBuffer events = splitter.take(bytes);
+    private ByteBuffer splitEvents(ByteBuffer bytes) {
+        ByteBuffer events = splitter.consume(bytes);
         if (splitter.hasOverflowed()) {
-            cancel("an event has no end");
+            cancel("an event exceeds the size limit");
         }
         return events;
     }
@@ -224,31 +227,32 @@
         if (!beginWrite()) {
             return;
         }
-        Callback done = Callback.from(() -> relayed(source, last), this::clientLost);
-        exchange.relay(fields, events, splitter.lastId(), clock.millis(), done);
+        Callback callback = Callback.from(() -> onRelayed(source, last), this::onClientLost);
+        exchange.relay(fields, events, splitter.lastId(), clock.millis(), callback);
     }
 
-    private void relayed(Content.Source source, boolean last) {
+    private void onRelayed(Content.Source source, boolean last) {
         endWrite();
         if (!last) {
             read(source);
         }
     }
 
-    private void clientLost(Throwable failure) {
+    private void onClientLost(Throwable failure) {
         clientFailure = failure;
-        cancel("the client has gone");
+        cancel("the client has disconnected");
         endWrite();
     }
 
     /**
-     * Begins a write unless the attempt is over. The router may cancel an attempt between the read of some events and
-     * their write, and send the request again after the last event that was passed on. Written all the same, the events
-     * would reach the client twice, or meet the next attempt's write on the same connection, which fails both and looks
-     * like a client that has left. Left out, they come again from the next attempt.
+     * Begins a write unless the attempt has ended. The router may cancel an attempt after some events were read and
+     * before they are written, and send the request again from the last event that was forwarded. If the events were
+     * still written, the client would get them twice, or the write would overlap with the next attempt's write on the
+     * same connection; both writes would then fail, which looks like a client that has disconnected. Events that are
+     * dropped here are sent again by the next attempt.
      */
     private synchronized boolean beginWrite() {
-        writing = !over;
+        writing = !ended;
         return writing;
     }
 
@@ -256,79 +260,86 @@
         Result result;
         synchronized (this) {
             writing = false;
-            result = endedWhileWriting;
-            over |= result != null;
+            result = deferredResult;
+            ended |= result != null;
         }
         if (result != null) {
-            tell(end(result));
+            reportEnd(end(result));
         }
     }
 
-    /** An end that comes during a write is told after it: two writes at once on one connection would fail. */
+    /** Defers an end that comes during a write until after it: two writes at once on one connection would fail. */
     void onComplete(Result result) {
         synchronized (this) {
             if (writing) {
-                endedWhileWriting = result;
+                deferredResult = result;
                 return;
             }
-            over = true;
+            ended = true;
         }
-        tell(end(result));
+        reportEnd(end(result));
     }
 
     private AttemptEnd end(Result result) {
         Throwable failure = result.getFailure();
         if (clientFailure != null) {
-            return AttemptEnd.without(AttemptEnd.Kind.CLIENT_GONE, brief(clientFailure));
+            return AttemptEnd.without(AttemptEnd.Kind.CLIENT_GONE, summarise(clientFailure));
         }
-        AnswerHead decoded = answer;
-        if (result.isFailed() || decoded == null) {
-            return AttemptEnd.without(unanswered(failure), brief(failure));
+        AnswerHead responseHead = receivedHead;
+        if (result.isFailed() || responseHead == null) {
+            return AttemptEnd.without(kindWithoutResponse(failure), summarise(failure));
         }
-        if (!isOwn(decoded) && !decoded.saysNotRun()) {
-            return AttemptEnd.without(AttemptEnd.Kind.BROKEN, "the answer belongs to another request");
+        if (!matchesRequest(responseHead) && !responseHead.saysNotRun()) {
+            return AttemptEnd.without(AttemptEnd.Kind.BROKEN, "the response belongs to another request");
         }
         if (relaying) {
             boolean whole = contentEnded && splitter.isWhole();
             return new AttemptEnd(
                     whole ? AttemptEnd.Kind.RELAYED : AttemptEnd.Kind.BROKEN,
-                    decoded.status(),
+                    responseHead.status(),
                     fields,
                     new byte[0],
-                    decoded.faultAt(),
-                    whole ? "" : "the stream ended within an event");
+                    responseHead.faultAt(),
+                    whole ? "" : "the stream ended in the middle of an event");
         }
-        return answered(decoded);
+        return bufferedEnd(responseHead);
     }
 
-    /** The kind of an end without an answer. */
-    private AttemptEnd.Kind unanswered(Throwable failure) {
-        if (begun && !(failure instanceof ConnectException)) {
+    /** The kind of an end without a response. */
+    private AttemptEnd.Kind kindWithoutResponse(Throwable failure) {
+        if (requestBegun && !(failure instanceof ConnectException)) {
             return AttemptEnd.Kind.BROKEN;
         }
         boolean timedOut = failure instanceof SocketTimeoutException;
         return timedOut ? AttemptEnd.Kind.NO_CONNECTION : AttemptEnd.Kind.NOT_SENT;
     }
 
-    /** A failure for logs. The HTTP library's own texts hold the state of a whole connection, a kilobyte a line. */
-    private static String brief(Throwable failure) {
-        String text = failure instanceof CancelledAttempt ? failure.getMessage() : String.valueOf(failure);
-        return text.length() > MOST_DETAIL ? text.substring(0, MOST_DETAIL) : text;
+    /**
+     * Shortens a failure for logs; the HTTP library's messages dump the state of a whole connection, about a kilobyte.
+     */
+    private static String summarise(Throwable failure) {
+        String text = failure instanceof AttemptCancelledException ? failure.getMessage() : String.valueOf(failure);
+        return text.length() > MAX_DETAIL_CHARS ? text.substring(0, MAX_DETAIL_CHARS) : text;
     }
 
-    private AttemptEnd answered(AnswerHead decoded) {
+    private AttemptEnd bufferedEnd(AnswerHead responseHead) {
         AttemptEnd.Kind kind = AttemptEnd.Kind.ANSWERED;
-        if (decoded.saysNotRun()) {
+        if (responseHead.saysNotRun()) {
             kind = AttemptEnd.Kind.NOT_RUN;
-        } else if (!decoded.signed() || decoded.encoded()) {
+        } else if (!responseHead.signed() || responseHead.encoded()) {
             kind = AttemptEnd.Kind.BROKEN;
         }
         return new AttemptEnd(
-                kind, decoded.status(), fields, buffer.toByteArray(), decoded.faultAt(), "status " + decoded.status());
+                kind,
+                responseHead.status(),
+                fields,
+                buffer.toByteArray(),
+                responseHead.faultAt(),
+                "status " + responseHead.status());
     }
 
-    private void tell(AttemptEnd end) {
-        if (told.compareAndSet(null, end)) {
+    private void reportEnd(AttemptEnd end) {
+        if (reportedEnd.compareAndSet(null, end)) {
             onEnd.accept(this, end);
         }
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/request/AttemptEnd.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/AttemptEnd.java
@@ -8,30 +8,30 @@
  * How one attempt at a backend server ended. Immutable, safe for use by any thread.
  *
  * @param kind what happened
- * @param status status of the backend server's answer; 0 without one
- * @param fields head of the answer; empty without one
- * @param body whole body of the answer; empty where it was passed on already or is not whole
- * @param faultAt engine that the answer blames
- * @param detail what happened, for logs
+ * @param status HTTP status of the backend server's response; 0 without one
+ * @param fields headers of the response; empty without one
+ * @param body complete body of the response; empty if it was already forwarded or is incomplete
+ * @param faultAt engine that the response names as the cause of a failure
+ * @param detail description of what happened, for logs
  */
 public record AttemptEnd(
         Kind kind, int status, HttpFields fields, byte[] body, Optional<HostPort> faultAt, String detail) {
 
     /** Kinds of ends. Immutable, safe for use by any thread. */
     public enum Kind {
-        /** The whole stream was passed on. */
+        /** The whole stream was forwarded to the client. */
         RELAYED(false, true),
-        /** A whole, signed answer is there to be passed on. */
+        /** A complete, signed response is ready to be forwarded. */
         ANSWERED(false, true),
-        /** The backend server says that it did not run the request. */
+        /** The backend server states that it did not run the request. */
         NOT_RUN(true, true),
         /** No byte of the request was sent. */
         NOT_SENT(true, false),
-        /** The backend server has taken no connection in time, and no byte of the request was sent. */
+        /** The connect timed out, and no byte of the request was sent. */
         NO_CONNECTION(true, false),
-        /** The answer did not come whole, or was none. */
+        /** The response is missing, incomplete or invalid. */
         BROKEN(false, true),
-        /** The client has gone. */
+        /** The client has disconnected. */
         CLIENT_GONE(false, true);
 
         private final boolean surelyNotRun;
@@ -47,13 +47,13 @@
             return surelyNotRun;
         }
 
-        /** Whether the request may have reached the backend server, so that another attempt counts as a repeat. */
+        /** Whether the request may have reached the backend server, so that another attempt counts as a retry. */
         public boolean mayHaveArrived() {
             return mayHaveArrived;
         }
     }
 
-    /** An end without an answer. */
+    /** An end without a response. */
     static AttemptEnd without(Kind kind, String detail) {
         return new AttemptEnd(kind, 0, HttpFields.EMPTY, new byte[0], Optional.empty(), detail);
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/request/Intake.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/ClientRequestHandler.java
@@ -24,49 +24,49 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Reads a client's request, finds its route and organisation, and hands it to the router. Stateless but for its
- * parts, safe for use by any thread.
+ * Reads a client's request, determines its route and organisation, and hands it to the router. Holds no state of its
+ * own besides its collaborators. Safe for use by any thread.
  */
-final class Intake {
+final class ClientRequestHandler {
     private final ConfigHolder config;
     private final Router router;
     private final SteadyClock clock;
     private final EventLog log;
-    private final EarlyRequests early;
-    private final BooleanSupplier leaving;
+    private final StartupRequestDelay earlyRequests;
+    private final BooleanSupplier closing;
     private final Predicate<RouteKind> refuses;
     private final Meters meters;
 
     /**
-     * @param leaving whether connections are closed after their answers
-     * @param refuses whether new requests of a kind are refused because this process stops
+     * @param closing whether connections are closed after their responses
+     * @param refuses whether new requests of a kind are refused because this process is stopping
      */
-    Intake(
+    ClientRequestHandler(
             ConfigHolder config,
             Router router,
             SteadyClock clock,
             EventLog log,
-            BooleanSupplier leaving,
+            BooleanSupplier closing,
             Predicate<RouteKind> refuses,
             Meters meters) {
         this.config = config;
-        this.early = new EarlyRequests(config, clock.millis());
+        this.earlyRequests = new StartupRequestDelay(config, clock.millis());
         this.router = router;
         this.clock = clock;
         this.log = log;
-        this.leaving = leaving;
+        this.closing = closing;
         this.refuses = refuses;
         this.meters = meters;
     }
 
     void handle(Request request, Response response, Callback callback) {
         long now = clock.millis();
-        // A request that waits for its answer is not idle; reads and writes that stall still time out.
+        // A request that waits for its response is not idle; stalled reads and writes still time out.
         request.addIdleTimeoutListener(timeout -> false);
-        boolean held =
-                config.current().isEmpty() && early.hold(request, () -> handle(request, response, callback, now), now);
-        if (held) {
-            log.ordinary("intake", "held")
+        boolean delayed = config.current().isEmpty()
+                && earlyRequests.tryDelay(request, () -> handle(request, response, callback, now), now);
+        if (delayed) {
+            log.routine("intake", "held")
                     .with("id", CallHead.decode(request.getHeaders()).requestId())
                     .with("why", "no configuration yet")
                     .write();
@@ -99,11 +99,15 @@
             refuse(request, response, callback, head, Refusal.NO_KEY);
             return;
         }
-        read(request, response, callback, new Known(version.get(), route.get(), organisation, head, fields, now));
+        readBody(
+                request,
+                response,
+                callback,
+                new ResolvedHead(version.get(), route.get(), organisation, head, fields, now));
     }
 
-    /** What the head of a request has shown. Immutable. */
-    private record Known(
+    /** What was determined from the head of a request. Immutable. */
+    private record ResolvedHead(
             RoutingConfig version,
             Route route,
             Optional<RoutingConfig.Organisation> organisation,
@@ -111,13 +115,13 @@
             HttpFields fields,
             long now) {}
 
-    private void read(Request request, Response response, Callback callback, Known known) {
-        int most = known.version().limits().bodyBytes();
-        new BodyReader(request, most, body -> {
+    private void readBody(Request request, Response response, Callback callback, ResolvedHead resolved) {
+        int maxBytes = resolved.version().limits().bodyBytes();
+        new BodyReader(request, maxBytes, body -> {
                     if (body.isRight()) {
-                        handOver(request, response, callback, known, body.get());
+                        submit(request, response, callback, resolved, body.get());
                     } else if (body.getLeft().kind() == ProblemKind.REQUEST_TOO_LARGE) {
-                        refuse(request, response, callback, known.head(), Refusal.TOO_LARGE);
+                        refuse(request, response, callback, resolved.head(), Refusal.TOO_LARGE);
                     } else {
                         callback.failed(new IOException(body.getLeft().detail()));
                     }
@@ -125,37 +129,37 @@
                 .start();
     }
 
-    private void handOver(Request request, Response response, Callback callback, Known known, byte[] body) {
-        Route route = known.route();
-        long wait = Math.min(known.head().remainingMillis().orElse(Long.MAX_VALUE), route.timeoutMillis());
-        Exchange.Call call = new Exchange.Call(
-                known.head(),
+    private void submit(Request request, Response response, Callback callback, ResolvedHead resolved, byte[] body) {
+        Route route = resolved.route();
+        long timeoutMillis = Math.min(resolved.head().remainingMillis().orElse(Long.MAX_VALUE), route.timeoutMillis());
+        Exchange.ClientRequest call = new Exchange.ClientRequest(
+                resolved.head(),
                 request.getMethod(),
                 request.getHttpURI().getPathQuery(),
-                known.fields(),
+                resolved.fields(),
                 body,
                 route,
-                known.organisation().map(RoutingConfig.Organisation::id),
-                known.organisation()
+                resolved.organisation().map(RoutingConfig.Organisation::id),
+                resolved.organisation()
                         .flatMap(RoutingConfig.Organisation::priority)
                         .orElse(route.priority()),
-                known.now(),
-                known.now() + wait);
-        Exchange exchange = new Exchange(call, response, callback, leaving, ClientProbe.of(request));
+                resolved.now(),
+                resolved.now() + timeoutMillis);
+        Exchange exchange = new Exchange(call, response, callback, closing, ClientDisconnectProbe.of(request));
         if (!router.offer(new RouterEvent.RequestReceived(exchange))) {
             exchange.refuse(Refusal.OVERLOADED, Refusal.OVERLOADED.retryMillis());
-            logRefused(known.head(), Refusal.OVERLOADED, "the router's ring is full");
+            logRefused(resolved.head(), Refusal.OVERLOADED, "the router's event queue is full");
         }
     }
 
     private void refuse(Request request, Response response, Callback callback, CallHead head, Refusal refusal) {
         String path = request.getHttpURI().getPath();
         logRefused(head, refusal, "host " + request.getHeaders().get(HttpHeader.HOST) + " path " + path);
-        Exchange.refuse(response, callback, refusal, refusal.retryMillis(), leaving.getAsBoolean());
+        Exchange.refuse(response, callback, refusal, refusal.retryMillis(), closing.getAsBoolean());
     }
 
     private void logRefused(CallHead head, Refusal refusal, String why) {
-        meters.refused(refusal.name());
+        meters.countRefusal(refusal.name());
         log.line("intake", "refused")
                 .with("id", head.requestId())
                 .with("as", refusal)
--- a/gateway/src/main/java/org/cornelramp/gateway/request/Exchange.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/Exchange.java
@@ -18,42 +18,42 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * One client's request and the way back to the client.
+ * One client's request together with the response to the client.
  *
  * <p>Safe for use by any thread: the fields that are not final are written by one attempt at a time. Invariant: the
- * client gets one answer; whoever ends the exchange first decides which, later ends change nothing.
+ * client gets one response; the first call that ends the exchange determines it, and later calls have no effect.
  */
 public final class Exchange {
-    private static final double SPREAD = 0.5;
+    private static final double RETRY_JITTER = 0.5;
 
-    private final Call call;
+    private final ClientRequest request;
     private final Response response;
     private final Callback callback;
-    private final BooleanSupplier leaving;
-    private final ClientProbe probe;
+    private final BooleanSupplier closing;
+    private final ClientDisconnectProbe probe;
     private final AtomicBoolean ended = new AtomicBoolean();
     private volatile boolean committed;
-    private volatile long lastEvent;
+    private volatile long lastEventId;
     private volatile long lastEventMillis;
     private volatile long firstEventMillis;
     private volatile long longestPauseMillis;
     private volatile int writes;
 
     /**
-     * What the client asked for. Immutable, safe for use by any thread.
+     * The client's request. Immutable, safe for use by any thread.
      *
-     * @param head what the head says
+     * @param head the decoded head
      * @param method HTTP method
-     * @param pathQuery path and query as they came
-     * @param fields headers as they came
+     * @param pathQuery path and query as received
+     * @param fields headers as received
      * @param body the whole body
-     * @param route the route that takes it
-     * @param organisation who asks
-     * @param priority rank, 0 first
-     * @param receivedMillis when it was read
-     * @param deadlineMillis when it must have its final answer
+     * @param route the matching route
+     * @param organisation the organisation of the caller's key
+     * @param priority rank; 0 is the most urgent
+     * @param receivedMillis when the request was received, on the steady clock
+     * @param deadlineMillis when the final response is due, on the steady clock
      */
-    public record Call(
+    public record ClientRequest(
             CallHead head,
             String method,
             String pathQuery,
@@ -65,27 +65,27 @@
             long receivedMillis,
             long deadlineMillis) {
 
-        /** The client's id of this request. */
+        /** The request id that the client chose. */
         public String id() {
             return head.requestId();
         }
     }
 
-    Exchange(Call call, Response response, Callback callback, BooleanSupplier leaving, ClientProbe probe) {
+    Exchange(ClientRequest call, Response response, Callback callback, BooleanSupplier closing, ClientDisconnectProbe probe) {
         this.probe = probe;
-        this.call = call;
+        this.request = call;
         this.response = response;
         this.callback = callback;
-        this.leaving = leaving;
-        this.lastEvent = call.head().lastEvent().orElse(-1L);
+        this.closing = closing;
+        this.lastEventId = call.head().lastEvent().orElse(-1L);
     }
 
-    /** What the client asked for. */
-    public Call call() {
-        return call;
+    /** The client's request. */
+    public ClientRequest request() {
+        return request;
     }
 
-    /** Whether a part of the answer has been passed on, so that it can only go on or break off. */
+    /** Whether a part of the response has been sent, so that it can only be continued or aborted. */
     public boolean isCommitted() {
         return committed;
     }
@@ -95,111 +95,115 @@
         return ended.get();
     }
 
-    /** The last event that the client has; empty if it has none. */
-    public Optional<Long> lastEvent() {
-        return lastEvent < 0 ? Optional.empty() : Optional.of(lastEvent);
+    /** Id of the last event that was sent to the client; empty if there is none. */
+    public Optional<Long> lastEventId() {
+        return lastEventId < 0 ? Optional.empty() : Optional.of(lastEventId);
     }
 
-    /** When the last event was passed on, on the steady clock; 0 before the first. */
+    /** When the last event was sent to the client, on the steady clock; 0 before the first. */
     public long lastEventMillis() {
         return lastEventMillis;
     }
 
-    /** Time from the request to its first event; negative before that. */
-    public long firstEventAfterMillis() {
-        return firstEventMillis == 0 ? -1 : firstEventMillis - call.receivedMillis();
+    /** Time from the request to its first event, in milliseconds; negative before the first event. */
+    public long timeToFirstEventMillis() {
+        return firstEventMillis == 0 ? -1 : firstEventMillis - request.receivedMillis();
     }
 
-    /** Usual time between two of the pieces that were passed on; 0 before the second. */
-    public double usualPauseMillis() {
-        int pauses = writes - 1;
-        return pauses < 1 ? 0 : (lastEventMillis - firstEventMillis) / (double) pauses;
+    /** Mean time between two writes to the client, in milliseconds; 0 before the second. */
+    public double meanPauseMillis() {
+        int pauseCount = writes - 1;
+        return pauseCount < 1 ? 0 : (lastEventMillis - firstEventMillis) / (double) pauseCount;
     }
 
-    /** Longest pause between two events so far. */
+    /** Longest pause between two events so far, in milliseconds. */
     public long longestPauseMillis() {
         return longestPauseMillis;
     }
 
-    /** Whether the client has closed its connection; asked only while no event has been passed on lately. */
-    public boolean hasClientLeft(long nowMillis) {
-        long quiet = nowMillis - Math.max(lastEventMillis, call.receivedMillis());
-        return !ended.get() && quiet > ClientProbe.INTERVAL_MILLIS && probe.hasClosed(nowMillis);
+    /** Whether the client has closed its connection; probed only if no event was sent within the probe's interval. */
+    public boolean hasClientDisconnected(long nowMillis) {
+        long idleMillis = nowMillis - Math.max(lastEventMillis, request.receivedMillis());
+        return !ended.get() && idleMillis > ClientDisconnectProbe.INTERVAL_MILLIS && probe.hasClosed(nowMillis);
     }
 
-    /** What showed that the client has closed its connection; empty while it has not. */
-    public String clientSeen() {
-        return probe.seen();
+    /** How the close of the client's connection was detected; empty while it is open. */
+    public String clientCloseReason() {
+        return probe.closeReason();
     }
 
-    /** Ends the exchange; false if it has ended before. The probe must not read what comes after the answer. */
+    /**
+     * Ends the exchange; false if it had already ended. Stops the probe, which must not read the bytes after the
+     * response.
+     */
     private boolean end() {
         boolean first = ended.compareAndSet(false, true);
         probe.stop();
         return first;
     }
 
-    /** Passes whole events on; the head of the first answer goes before them. */
+    /** Forwards whole events; sends the headers of the first response before them. */
     void relay(HttpFields fields, ByteBuffer events, long lastId, long nowMillis, Callback done) {
         if (!committed) {
             committed = true;
-            begin(200);
+            beginResponse(200);
             AnswerHead.copy(fields, response.getHeaders());
-            // On a connection that closes after its answer, the server would let the close end the answer. A stream
-            // that is cut when the process is killed would look whole; the last chunk tells the two apart.
+            // On a connection that closes after the response, the server would let the close mark its end. A stream
+            // that
+            // is cut because the process is killed would then look complete; the last chunk tells the two apart.
             response.getHeaders().put(HttpHeader.TRANSFER_ENCODING, "chunked");
         }
-        lastEvent = Math.max(lastEvent, lastId);
+        lastEventId = Math.max(lastEventId, lastId);
         if (lastEventMillis == 0) {
             firstEventMillis = nowMillis;
         } else {
             longestPauseMillis = Math.max(longestPauseMillis, nowMillis - lastEventMillis);
         }
         lastEventMillis = nowMillis;
-        int before = writes;
-        writes = before + 1;
+        int writesBefore = writes;
+        writes = writesBefore + 1;
         response.write(false, events, done);
     }
 
-    /** Ends a stream that was passed on whole. */
+    /** Ends a stream whose events were all forwarded. */
     public boolean complete(HttpFields fields) {
         if (!end()) {
             return false;
         }
         if (!committed) {
-            begin(200);
+            beginResponse(200);
             AnswerHead.copy(fields, response.getHeaders());
         }
         response.write(true, ByteBuffer.allocate(0), callback);
         return true;
     }
 
-    /** Passes a whole answer of a backend server on. */
-    public boolean answer(int status, HttpFields fields, byte[] body) {
+    /** Forwards a complete response of a backend server. */
+    public boolean forwardResponse(int status, HttpFields fields, byte[] body) {
         if (committed || !end()) {
             return false;
         }
-        begin(status);
+        beginResponse(status);
         AnswerHead.copy(fields, response.getHeaders());
         response.write(true, ByteBuffer.wrap(body), callback);
         return true;
     }
 
     /**
-     * Answers by itself.
+     * Sends the gateway's own response.
      *
-     * @param retryMillis least time after which the client may come again; half of it more is spread at random, so
-     *     that clients refused together do not come back together
+     * @param retryMillis minimum time after which the client may retry, in milliseconds, or 0 for none; up to half of
+     *     it is added at random, so that clients that were refused together do not retry together
      */
     public boolean refuse(Refusal refusal, long retryMillis) {
         if (committed || !end()) {
             return false;
         }
-        refuse(response, callback, refusal, retryMillis, leaving.getAsBoolean());
+        refuse(response, callback, refusal, retryMillis, closing.getAsBoolean());
         return true;
     }
 
-    /** Writes the gateway's own answer. */
+    /** Writes the gateway's own response. */
     static void refuse(Response response, Callback callback, Refusal refusal, long retryMillis, boolean close) {
         response.setStatus(refusal.status());
         HttpFields.Mutable fields = response.getHeaders();
@@ -209,25 +213,25 @@
         if (retryMillis > 0) {
             double seconds = retryMillis
                     / 1_000.0
-                    * (1 + SPREAD * ThreadLocalRandom.current().nextDouble());
+                    * (1 + RETRY_JITTER * ThreadLocalRandom.current().nextDouble());
             fields.put(HttpHeader.RETRY_AFTER, String.format(Locale.ROOT, "%.2f", seconds));
         }
         fields.put(HttpHeader.CONTENT_TYPE, "text/plain");
         response.write(true, ByteBuffer.wrap(refusal.text().getBytes(StandardCharsets.UTF_8)), callback);
     }
 
-    /** Breaks the answer off, so that it does not look complete. */
-    public boolean breakOff(String why) {
+    /** Aborts the response in a way that the client cannot mistake for its end. */
+    public boolean abort(String reason) {
         if (!end()) {
             return false;
         }
-        callback.failed(new IOException(why));
+        callback.failed(new IOException(reason));
         return true;
     }
 
-    private void begin(int status) {
+    private void beginResponse(int status) {
         response.setStatus(status);
-        if (leaving.getAsBoolean()) {
+        if (closing.getAsBoolean()) {
             response.getHeaders().put(HttpHeader.CONNECTION, "close");
         }
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/request/FrontServer.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/GatewayHttpServer.java
@@ -26,27 +26,28 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /**
- * Takes clients' requests, and answers the balancer's question whether this process is ready. Started once;
- * {@link #leave} by any thread.
+ * The HTTP server of the gateway: accepts clients' requests, the load balancer's readiness checks, and requests for
+ * metrics and from peers, each on an address of its own. Started once; {@link #beginShutdown}, {@link #refuseStreams}
+ * and {@link #refuseNew} may be called by any thread.
  */
-public final class FrontServer {
+public final class GatewayHttpServer {
     private static final int BACKLOG = 1_024;
     private static final int HEADER_BYTES = 24 * 1_024;
 
-    /** A little longer than clients keep connections idle, so that a client closes before this side does. */
+    /** Slightly longer than clients keep idle connections, so that the client closes first. */
     private static final long IDLE_MILLIS = 60_000;
 
     private final Server server;
     private final ConfigHolder config;
     private final Router router;
-    private volatile boolean leaving;
+    private volatile boolean shuttingDown;
     private volatile boolean refusingStreams;
     private volatile boolean refusing;
 
-    /** @param door where clients' connections arrive, see {@link #open} */
-    public FrontServer(
+    /** @param listener the bound channel for clients' connections, see {@link #open} */
+    public GatewayHttpServer(
             GatewaySettings settings,
-            ServerSocketChannel door,
+            ServerSocketChannel listener,
             QueuedThreadPool threads,
             ConfigHolder config,
             Router router,
@@ -59,13 +60,14 @@
         this.router = router;
         this.server = new Server(threads);
         ServerConnector requests = connector(settings.requests(), "requests");
-        requests.open(door);
+        requests.open(listener);
         ServerConnector readiness = connector(settings.readiness(), "readiness");
         server.addConnector(requests);
         server.addConnector(readiness);
-        ServerConnector own = connector(settings.metrics(), "internal");
-        server.addConnector(own);
-        Intake intake = new Intake(config, router, clock, log, () -> leaving, this::refuses, meters);
+        ServerConnector internalConnector = connector(settings.metrics(), "internal");
+        server.addConnector(internalConnector);
+        ClientRequestHandler intake =
+                new ClientRequestHandler(config, router, clock, log, () -> shuttingDown, this::refuses, meters);
         server.setHandler(new Handler.Abstract.NonBlocking() {
             @Override
             public boolean handle(Request request, Response response, Callback callback) throws Exception {
@@ -83,9 +85,9 @@
     }
 
     /**
-     * Opens the address for clients' requests, long before anything takes them. Clients that come while the process
-     * starts wait for some hundred milliseconds in the system's queue; without a socket they are turned away at once, and
-     * one that repeats once has used up its repeat.
+     * Binds the address for clients' requests, long before connections are accepted. Clients that connect while the
+     * process starts wait some hundred milliseconds in the kernel's accept queue. Without a bound socket they would be
+     * refused at once, and a client that retries once would have used up its retry.
      */
     public static ServerSocketChannel open(HostPort address) throws IOException {
         ServerSocketChannel channel = ServerSocketChannel.open();
@@ -109,16 +111,16 @@
     }
 
     private void readiness(Request request, Response response, Callback callback) {
-        boolean known = Request.getPathInContext(request).equals(Environment.READINESS_PATH);
-        response.setStatus(!known ? HttpStatus.NOT_FOUND_404 : isReady() ? HttpStatus.OK_200 : 503);
+        boolean isReadinessPath = Request.getPathInContext(request).equals(Environment.READINESS_PATH);
+        response.setStatus(!isReadinessPath ? HttpStatus.NOT_FOUND_404 : isReady() ? HttpStatus.OK_200 : 503);
         response.write(true, null, callback);
     }
 
     private boolean isReady() {
-        return !leaving && config.current().isPresent() && router.view().initialised();
+        return !shuttingDown && config.current().isPresent() && router.view().initialised();
     }
 
-    /** Starts to listen. */
+    /** Starts to accept connections. */
     public void start() throws Exception {
         server.start();
     }
@@ -128,12 +130,12 @@
         server.stop();
     }
 
-    /** Refuses new streams from now on; they would be cut when this process ends. */
+    /** Refuses new streams from now on; they would be cut off when this process ends. */
     public void refuseStreams() {
         refusingStreams = true;
     }
 
-    /** Refuses all new requests from now on; those under way go on. */
+    /** Refuses all new requests from now on; those in progress continue. */
     public void refuseNew() {
         refusing = true;
     }
@@ -142,8 +144,8 @@
         return refusing || (refusingStreams && kind == RouteKind.STREAMING);
     }
 
-    /** Says that this process is not ready any more, and closes each connection after its next answer. */
-    public void leave() {
-        leaving = true;
+    /** Reports this process as not ready from now on, and closes each connection after its next response. */
+    public void beginShutdown() {
+        shuttingDown = true;
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/request/InternalHandler.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/InternalHandler.java
@@ -10,14 +10,14 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** Serves the metrics and what peers ask for. Safe for use by any thread. */
+/** Serves the metrics and delegates all other requests to the handler for peers. Safe for use by any thread. */
 public final class InternalHandler extends Handler.Abstract {
-    private static final String METRICS = "/metrics";
+    private static final String METRICS_PATH = "/metrics";
 
     private final Meters meters;
     private final Handler peers;
 
-    /** @param peers answers what peers ask for */
+    /** @param peers handles requests from peers */
     public InternalHandler(Meters meters, Handler peers) {
         this.meters = meters;
         this.peers = peers;
@@ -25,12 +25,12 @@
 
     @Override
     public boolean handle(Request request, Response response, Callback callback) throws Exception {
-        if (!Request.getPathInContext(request).equals(METRICS)) {
+        if (!Request.getPathInContext(request).equals(METRICS_PATH)) {
             return peers.handle(request, response, callback);
         }
         response.setStatus(HttpStatus.OK_200);
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, "text/plain; version=0.0.4; charset=utf-8");
-        response.write(true, ByteBuffer.wrap(meters.text().getBytes(StandardCharsets.UTF_8)), callback);
+        response.write(true, ByteBuffer.wrap(meters.scrape().getBytes(StandardCharsets.UTF_8)), callback);
         return true;
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/request/Refusal.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/Refusal.java
@@ -1,8 +1,9 @@
 package org.cornelramp.gateway.request;
 
 /**
- * Answers that the gateway gives by itself. A request that ends with one of them has not run and will not run, but
- * for {@link #UNKNOWN} and {@link #TIMED_OUT}, which promise nothing. Immutable, safe for use by any thread.
+ * Responses that the gateway itself generates. A request that ends with one of them has not run and will not run,
+ * except for {@link #UNKNOWN} and {@link #TIMED_OUT}, after which it may have run. Immutable, safe for use by any
+ * thread.
  */
 public enum Refusal {
     NO_CONFIGURATION(503, "This process has no configuration yet; come again soon.", 400),
@@ -32,12 +33,12 @@
         return status;
     }
 
-    /** What happened and what to do. */
+    /** Body of the response: what happened and what the client can do. */
     public String text() {
         return text;
     }
 
-    /** Least time after which the client may come again, in milliseconds; 0 if that does not help. */
+    /** Minimum time after which the client may retry, in milliseconds; 0 if a retry does not help. */
     public long retryMillis() {
         return retryMillis;
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/request/package-info.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/package-info.java
@@ -1,2 +1,2 @@
-/** One client's request: its intake, its attempts, and the events passed on. */
+/** Handling of a client's request: reading it, attempts at backend servers, and forwarding the response. */
 package org.cornelramp.gateway.request;
--- a/gateway/src/main/java/org/cornelramp/gateway/route/ActiveRequest.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/ActiveRequest.java
@@ -45,7 +45,7 @@
     }
 
     Route route() {
-        return exchange.call().route();
+        return exchange.request().route();
     }
 
     ServiceName service() {
@@ -211,7 +211,7 @@
         if (leavingSinceMillis == 0) {
             leavingSinceMillis = nowMillis;
         }
-        long moment = Math.floorMod(exchange.call().id().hashCode(), spreadMillis);
+        long moment = Math.floorMod(exchange.request().id().hashCode(), spreadMillis);
         boolean due =
                 !notMovable && nowMillis - leavingSinceMillis >= moment && nowMillis - lastMoveMillis >= pauseMillis;
         lastMoveMillis = due ? nowMillis : lastMoveMillis;
--- a/gateway/src/main/java/org/cornelramp/gateway/route/AsyncEngineControl.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/AsyncEngineControl.java
@@ -113,7 +113,7 @@
 
     /** Orders an engine to move a running request; false if too many calls are queued. */
     boolean move(Attempt attempt, StagePath path, Consumer<RouterEvent> router) {
-        String id = attempt.exchange().call().id();
+        String id = attempt.exchange().request().id();
         return submit(() ->
                 router.accept(new RouterEvent.MoveResult(attempt, path, control.repath(attempt.server(), id, path))));
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/route/Dispatcher.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Dispatcher.java
@@ -92,7 +92,7 @@
     }
 
     private void addLoadWithPrompt(ActiveRequest request, StagePath stagePath) {
-        int prompt = request.exchange().call().head().promptTokens();
+        int prompt = request.exchange().request().head().promptTokens();
         addLoad(request, stagePath);
         request.setUnreadPromptTokens(prompt);
         fleet.loads().addPendingPromptTokens(stagePath, prompt);
@@ -112,7 +112,7 @@
     }
 
     private Optional<StagePath> findPath(ActiveRequest request, EngineSpec spec, long now) {
-        int prompt = request.exchange().call().head().promptTokens();
+        int prompt = request.exchange().request().head().promptTokens();
         PathFinder.Demand demand = new PathFinder.Demand(
                 settings.dataCentre(), prompt, request.expectedTokens(), allowedFirstEngines(request));
         List<BackendServer> usable = fleet.usableServers(request.service(), request.avoidedServers(), now);
@@ -161,19 +161,19 @@
 
     private void startAttempt(ActiveRequest request, BackendServer server, Optional<StagePath> path, long now) {
         Exchange exchange = request.exchange();
-        Exchange.Call call = exchange.call();
+        Exchange.ClientRequest call = exchange.request();
         ForwardHead head = new ForwardHead(
                 server.name(),
                 call.deadlineMillis() - now,
                 call.organisation(),
                 path,
                 path.map(stagePath -> call.priority()),
-                exchange.lastEvent());
+                exchange.lastEventId());
         // A request that may not be repeated must not use a pooled connection, which its server may just be closing.
-        HttpClient http = request.route().mayRepeat() ? clients.pooled() : clients.single();
+        HttpClient http = request.route().mayRepeat() ? clients.pooled() : clients.unpooled();
         Attempt attempt = new Attempt(http, exchange, server, head, clock, onEnd);
         request.startAttempt(attempt);
-        log.ordinary("route", "sent")
+        log.routine("route", "sent")
                 .with("id", call.id())
                 .with("server", server.id())
                 .with("attempt", request.attemptCount())
@@ -183,7 +183,7 @@
                         path.map(stagePath -> Math.round(stagePath.tokenMillis() * 1_000))
                                 .orElse(0L))
                 .with("crossings", fleet.loads().crossings())
-                .with("lastEvent", exchange.lastEvent().orElse(-1L))
+                .with("lastEvent", exchange.lastEventId().orElse(-1L))
                 .with(
                         "configVersion",
                         config.current().map(version -> version.version()).orElse(-1L))
--- a/gateway/src/main/java/org/cornelramp/gateway/route/FailureDetector.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/FailureDetector.java
@@ -138,7 +138,7 @@
             onLost.accept(server.id(), now);
             newlyLost = true;
         }
-        meters.suspected(evidence.name());
+        meters.countSuspicion(evidence.name());
         log.line("fleet", "suspected")
                 .with("server", server.id())
                 .with("address", server.address())
--- a/gateway/src/main/java/org/cornelramp/gateway/route/OverdueAttempts.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/OverdueAttempts.java
@@ -45,7 +45,7 @@
     Optional<String> cancelReason(ActiveRequest request, Attempt attempt, long now) {
         return overdueReason(request, attempt, now)
                 .filter(why -> canRetry(request, attempt, now))
-                .filter(why -> !attempt.hasUnread()); // the answer has arrived, but this process has not read it yet
+                .filter(why -> !attempt.hasUnreadBytes()); // the answer has arrived, but this process has not read it yet
     }
 
     private Optional<String> overdueReason(ActiveRequest request, Attempt attempt, long now) {
@@ -79,7 +79,7 @@
     private static boolean isLate(ActiveRequest request, Attempt attempt, long now) {
         double patience = LATE_FACTOR * request.route().targetMillis();
         boolean first = request.route().kind() == RouteKind.SAFE && request.attemptCount() == 1;
-        return first && !attempt.isAnswering() && now - attempt.startMillis() > patience;
+        return first && !attempt.hasResponseStarted() && now - attempt.startMillis() > patience;
     }
 
     private boolean canRetry(ActiveRequest request, Attempt attempt, long now) {
--- a/gateway/src/main/java/org/cornelramp/gateway/route/PeerUpdateHandler.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/PeerUpdateHandler.java
@@ -10,9 +10,9 @@
 import org.cornelramp.core.model.DataCentre;
 import org.cornelramp.core.path.EngineLoads;
 import org.cornelramp.core.retry.RetryLoanUpdate;
-import org.cornelramp.gateway.peer.PeerLink;
-import org.cornelramp.gateway.peer.PeerNews;
-import org.cornelramp.gateway.peer.PeerTurns;
+import org.cornelramp.gateway.peer.PeerUpdateService;
+import org.cornelramp.gateway.peer.PeerUpdate;
+import org.cornelramp.gateway.peer.PeerRotation;
 
 /**
  * Prepares the updates that this gateway sends to its peers, and applies the updates of its peers. Confined to the
@@ -31,7 +31,7 @@
      */
     private static final long FAILURE_REPORT_MILLIS = 1_000;
 
-    private final PeerNews.Sender sender;
+    private final PeerUpdate.Sender sender;
     private final FleetState fleet;
     private final SharedRetries sharedRetries;
     private final Consumer<BackendServer> probe;
@@ -39,7 +39,7 @@
     private final Map<String, Long> stayingPeers = new ConcurrentHashMap<>();
     private volatile boolean leaving;
     private long number;
-    private volatile PeerNews currentUpdate;
+    private volatile PeerUpdate currentUpdate;
 
     /** @param probe probes a server that a peer has seen fail */
     PeerUpdateHandler(
@@ -48,15 +48,15 @@
             FleetState fleet,
             SharedRetries sharedRetries,
             Consumer<BackendServer> probe) {
-        this.sender = new PeerNews.Sender(name, PeerLink.newLife(), dataCentre);
+        this.sender = new PeerUpdate.Sender(name, PeerUpdateService.newIncarnation(), dataCentre);
         this.fleet = fleet;
         this.sharedRetries = sharedRetries;
         this.probe = probe;
-        this.currentUpdate = PeerNews.of(sender, 0, false, Map.of(), 0, Map.of(), Set.of(), RetryLoanUpdate.NONE);
+        this.currentUpdate = PeerUpdate.of(sender, 0, false, Map.of(), 0, Map.of(), Set.of(), RetryLoanUpdate.NONE);
     }
 
     /** The update to send now; may be called by any thread. */
-    PeerNews currentUpdate() {
+    PeerUpdate currentUpdate() {
         return currentUpdate;
     }
 
@@ -83,12 +83,12 @@
         EngineLoads loads = fleet.loads();
         loads.removeExpiredSlowdowns(nowMillis);
         // Updates may have been waiting unread for as long as this process is late.
-        long silence = PeerTurns.silenceMillis(loads.peerCount()) + fleet.lagMillis();
+        long silence = PeerRotation.silenceMillis(loads.peerCount()) + fleet.lagMillis();
         loads.removeSilentPeers(silence, nowMillis);
         sharedRetries.setPeers(loads.peerCount(), nowMillis);
         stayingPeers.values().removeIf(at -> nowMillis - at > silence);
         failuresSeen.values().removeIf(at -> nowMillis - at > FAILURE_REPORT_MILLIS);
-        currentUpdate = PeerNews.of(
+        currentUpdate = PeerUpdate.of(
                 sender,
                 ++number,
                 leaving,
@@ -100,7 +100,7 @@
     }
 
     /** Applies a peer's update. */
-    void handleUpdate(PeerNews theirs, long nowMillis) {
+    void handleUpdate(PeerUpdate theirs, long nowMillis) {
         if (theirs.leaving()) {
             stayingPeers.remove(theirs.name());
         } else {
--- a/gateway/src/main/java/org/cornelramp/gateway/route/RetryDispatcher.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/RetryDispatcher.java
@@ -125,7 +125,7 @@
     private boolean mayAttemptAgain(ActiveRequest request, Attempt failed, long now) {
         boolean engines = failed.path().isPresent();
         boolean left = engines || request.possibleRunCount() < request.route().maxAttempts();
-        boolean inTime = now < request.exchange().call().deadlineMillis();
+        boolean inTime = now < request.exchange().request().deadlineMillis();
         return left && inTime && request.countedAttempts(seemsToCrash(request, now)) < MAX_ATTEMPTS;
     }
 
@@ -194,7 +194,7 @@
     private static RetryQueue.WaitState queueEntry(ActiveRequest request, long now) {
         return new RetryQueue.WaitState(
                 request.exchange().isCommitted(),
-                request.exchange().call().deadlineMillis(),
+                request.exchange().request().deadlineMillis(),
                 now + MAX_UNSTARTED_WAIT_MILLIS);
     }
 
--- a/gateway/src/main/java/org/cornelramp/gateway/route/Router.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Router.java
@@ -12,7 +12,7 @@
 import org.cornelramp.gateway.SteadyClock;
 import org.cornelramp.gateway.log.EventLog;
 import org.cornelramp.gateway.metrics.Meters;
-import org.cornelramp.gateway.peer.PeerNews;
+import org.cornelramp.gateway.peer.PeerUpdate;
 import org.cornelramp.gateway.request.Attempt;
 import org.cornelramp.gateway.request.AttemptEnd;
 import org.cornelramp.gateway.request.Exchange;
@@ -124,7 +124,7 @@
     }
 
     /** The update that this process sends to its peers. */
-    public PeerNews currentUpdate() {
+    public PeerUpdate currentUpdate() {
         return peerUpdateHandler.currentUpdate();
     }
 
@@ -139,7 +139,7 @@
     }
 
     /** Queues a peer's update for the router's thread; dropped if the ring buffer is full. */
-    public void receivePeerUpdate(PeerNews told) {
+    public void receivePeerUpdate(PeerUpdate told) {
         offer(new RouterEvent.PeerUpdateReceived(told));
     }
 
@@ -169,15 +169,15 @@
     }
 
     private void handleRequest(Exchange exchange, long now) {
-        Exchange.Call call = exchange.call();
+        Exchange.ClientRequest call = exchange.request();
         double draw = (call.id().hashCode() & 0x7fffffff) / (double) (1L << 31);
         ServiceName service = call.route().service(draw);
         ActiveRequest request = new ActiveRequest(exchange, service, expectedTokens(call.head()));
         activeRequests.put(exchange, request);
         activeRequestCount.incrementAndGet();
         sharedRetries.countRequest(service, now);
-        if (exchange.hasClientLeft(now)) {
-            abort(request, "client gone", request.exchange().clientSeen(), now); // while the request was held
+        if (exchange.hasClientDisconnected(now)) {
+            abort(request, "client gone", request.exchange().clientCloseReason(), now); // while the request was held
             return;
         }
         send(request, now);
@@ -191,7 +191,7 @@
 
     /** Sends a request, or ends it if no server can take it. */
     private void send(ActiveRequest request, long now) {
-        if (now >= request.exchange().call().deadlineMillis()) {
+        if (now >= request.exchange().request().deadlineMillis()) {
             giveUp(request, Refusal.NOT_RUN_IN_TIME, "deadline");
         } else if (!dispatcher.send(request, now)) {
             waitOrGiveUp(request, now);
@@ -204,7 +204,7 @@
      * of the process, while the servers are not known yet.
      */
     private void waitOrGiveUp(ActiveRequest request, long now) {
-        if (!fleet.isInitialised() && now - request.exchange().call().receivedMillis() < STARTUP_WAIT_MILLIS) {
+        if (!fleet.isInitialised() && now - request.exchange().request().receivedMillis() < STARTUP_WAIT_MILLIS) {
             return;
         }
         if (request.exchange().isCommitted()) {
@@ -223,7 +223,7 @@
 
     private void handleAttemptEnd(Attempt attempt, AttemptEnd end, long now) {
         ActiveRequest request = activeRequests.get(attempt.exchange());
-        meters.attemptEnded(end.kind().name());
+        meters.countAttempt(end.kind().name());
         boolean current = request != null && request.attempt() == attempt;
         failureDetector.recordOutcome(attempt, end, now);
         if (!current) {
@@ -262,7 +262,7 @@
             breakOff(request, "a retry was answered with status " + end.status(), now);
             return;
         }
-        request.exchange().answer(end.status(), end.fields(), end.body());
+        request.exchange().forwardResponse(end.status(), end.fields(), end.body());
         finish(request, "answered", end.status(), now);
     }
 
@@ -307,7 +307,7 @@
 
     /** @param seen how it was detected that the client has gone; empty if it has not */
     private void abort(ActiveRequest request, String why, String seen, long now) {
-        request.exchange().breakOff(why);
+        request.exchange().abort(why);
         routingLog.brokenOff(request, why, seen, sharedRetries.remaining(request.service(), now), now);
         finish(request, "broken", 0, now);
     }
@@ -360,14 +360,14 @@
             return;
         }
         request.setMoving(false);
-        meters.moved(moved.result().isRight());
+        meters.countMove(moved.result().isRight());
         log.line("route", moved.result().isRight() ? "moved" : "not moved")
-                .with("id", request.exchange().call().id())
+                .with("id", request.exchange().request().id())
                 .with("path", moved.path().text())
                 .with("detail", moved.result().fold(MoveFault::toString, any -> ""))
                 .write();
         if (moved.result().isRight()) {
-            moved.attempt().movedTo(moved.path());
+            moved.attempt().setPath(moved.path());
             dispatcher.addLoad(request, moved.path());
         } else {
             streamMonitor.handleMoveFailure(
@@ -418,15 +418,15 @@
 
     private void checkRequest(ActiveRequest request, long now) {
         Attempt attempt = request.attempt();
-        if (request.exchange().hasClientLeft(now)) {
+        if (request.exchange().hasClientDisconnected(now)) {
             if (attempt != null) {
                 request.endAttempt(false);
                 attempt.cancel("the client has gone");
             }
-            abort(request, "client gone", request.exchange().clientSeen(), now);
+            abort(request, "client gone", request.exchange().clientCloseReason(), now);
             return;
         }
-        if (now >= request.exchange().call().deadlineMillis()) {
+        if (now >= request.exchange().request().deadlineMillis()) {
             if (attempt != null) {
                 request.endAttempt(false);
                 attempt.cancel("the deadline has passed");
--- a/gateway/src/main/java/org/cornelramp/gateway/route/RouterEvent.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/RouterEvent.java
@@ -5,7 +5,7 @@
 import org.cornelramp.core.fleet.BackendServer;
 import org.cornelramp.core.fleet.ServerRegistry;
 import org.cornelramp.core.path.StagePath;
-import org.cornelramp.gateway.peer.PeerNews;
+import org.cornelramp.gateway.peer.PeerUpdate;
 import org.cornelramp.gateway.request.Attempt;
 import org.cornelramp.gateway.request.AttemptEnd;
 import org.cornelramp.gateway.request.Exchange;
@@ -37,7 +37,7 @@
     }
 
     /** An update from a peer has been received. */
-    record PeerUpdateReceived(PeerNews update) implements RouterEvent {}
+    record PeerUpdateReceived(PeerUpdate update) implements RouterEvent {}
 
     /** Whether the store answers. */
     record StoreStatus(boolean available) implements RouterEvent {}
--- a/gateway/src/main/java/org/cornelramp/gateway/route/RoutingLog.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/RoutingLog.java
@@ -20,7 +20,7 @@
 
     void attemptFailed(ActiveRequest request, Attempt attempt, AttemptEnd end, long nowMillis) {
         log.line("route", "attempt failed")
-                .with("id", request.exchange().call().id())
+                .with("id", request.exchange().request().id())
                 .with("server", attempt.server().id())
                 .with("kind", end.kind())
                 .with("detail", end.detail())
@@ -36,7 +36,7 @@
     void noRetryLeft(ActiveRequest request, long left, int peers, boolean waits) {
         boolean started = request.exchange().isCommitted();
         log.line("route", "no repeat left")
-                .with("id", request.exchange().call().id())
+                .with("id", request.exchange().request().id())
                 .with("begun", started)
                 .with("left", left)
                 .with("peers", peers)
@@ -54,9 +54,9 @@
     }
 
     void refused(ActiveRequest request, Refusal refusal, String why) {
-        meters.refused(refusal.name());
+        meters.countRefusal(refusal.name());
         log.line("request", "refused")
-                .with("id", request.exchange().call().id())
+                .with("id", request.exchange().request().id())
                 .with("as", refusal)
                 .with("why", why)
                 .with("attempts", request.attemptCount())
@@ -66,8 +66,8 @@
     /** No server is available now for the next attempt at a request. */
     void noPath(ActiveRequest request) {
         log.line("route", "no path")
-                .with("id", request.exchange().call().id())
-                .with("lastEvent", request.exchange().lastEvent().orElse(-1L))
+                .with("id", request.exchange().request().id())
+                .with("lastEvent", request.exchange().lastEventId().orElse(-1L))
                 .with("avoids", request.avoidedServers().size())
                 .with("begun", request.exchange().isCommitted())
                 .write();
@@ -76,7 +76,7 @@
     /** A failed attempt is not followed by another one, for a reason other than a lack of retries. */
     void notRetried(ActiveRequest request, String why) {
         log.line("route", "not repeated")
-                .with("id", request.exchange().call().id())
+                .with("id", request.exchange().request().id())
                 .with("why", why)
                 .with("attempts", request.attemptCount())
                 .with("mayHaveRun", request.possibleRunCount())
@@ -91,9 +91,9 @@
      */
     void brokenOff(ActiveRequest request, String why, String seen, long left, long nowMillis) {
         Exchange exchange = request.exchange();
-        long quietSince = Math.max(exchange.lastEventMillis(), exchange.call().receivedMillis());
+        long quietSince = Math.max(exchange.lastEventMillis(), exchange.request().receivedMillis());
         log.line("request", "broken off")
-                .with("id", exchange.call().id())
+                .with("id", exchange.request().id())
                 .with("why", why)
                 .with("seen", seen)
                 .with("begun", exchange.isCommitted())
@@ -108,8 +108,8 @@
 
     void ended(ActiveRequest request, String outcome, int status, long nowMillis) {
         Exchange exchange = request.exchange();
-        Exchange.Call call = exchange.call();
-        log.ordinary("request", "ended")
+        Exchange.ClientRequest call = exchange.request();
+        log.routine("request", "ended")
                 .with("id", call.id())
                 .with("route", call.route().name())
                 .with("outcome", outcome)
@@ -119,13 +119,13 @@
                 .with("promptTokens", call.head().promptTokens())
                 .with("guessedTokens", call.head().guessedOutputTokens())
                 .with("mostTokens", call.head().mostOutputTokens())
-                .with("firstEventMillis", exchange.firstEventAfterMillis())
+                .with("firstEventMillis", exchange.timeToFirstEventMillis())
                 .with("longestPauseMillis", exchange.longestPauseMillis())
                 .write();
-        meters.requestEnded(call.route().kind(), outcome, nowMillis - call.receivedMillis());
-        if (exchange.firstEventAfterMillis() >= 0) {
-            meters.firstEvent(exchange.firstEventAfterMillis());
-            meters.longestPause(exchange.longestPauseMillis());
+        meters.recordRequest(call.route().kind(), outcome, nowMillis - call.receivedMillis());
+        if (exchange.timeToFirstEventMillis() >= 0) {
+            meters.recordTimeToFirstEvent(exchange.timeToFirstEventMillis());
+            meters.recordLongestPause(exchange.longestPauseMillis());
         }
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/route/SharedRetries.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/SharedRetries.java
@@ -8,7 +8,7 @@
 import org.cornelramp.core.retry.RetryLoanUpdate;
 import org.cornelramp.core.retry.ServiceRetryBudget;
 import org.cornelramp.core.settings.GatewaySettings;
-import org.cornelramp.gateway.peer.PeerTurns;
+import org.cornelramp.gateway.peer.PeerRotation;
 
 /**
  * The retry budget of this process for each service, including what its peers have lent. Confined to the router's
@@ -94,7 +94,7 @@
      * left: loans arrive 100 to 200 ms after they are requested, and a stream that has lost its engine is late by then.
      */
     void requestLoans(Map<ServiceName, Integer> lacking, long nowMillis) {
-        int peersAsked = Math.max(1, Math.min(peers, PeerTurns.MOST_A_ROUND));
+        int peersAsked = Math.max(1, Math.min(peers, PeerRotation.MAX_PEERS_PER_ROUND));
         lacking.keySet().forEach(this::account);
         accounts.forEach((service, account) -> {
             int wanted = lacking.getOrDefault(service, 0) + account.shortage(reservePerProcess(), nowMillis);
--- a/gateway/src/main/java/org/cornelramp/gateway/route/StreamMonitor.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/StreamMonitor.java
@@ -136,7 +136,7 @@
                 engines(path),
                 Math.max(attempt.startMillis(), lastEvent),
                 lastEvent > attempt.startMillis(),
-                request.exchange().usualPauseMillis());
+                request.exchange().meanPauseMillis());
     }
 
     private void check(
@@ -171,7 +171,7 @@
     private boolean hasStalled(ActiveRequest request, Attempt attempt, StagePath path, long now) {
         return containsEngine(path, id -> fleet.isLost(id, now))
                 && !stream(request, attempt, path).isActive(now)
-                && !attempt.hasUnread();
+                && !attempt.hasUnreadBytes();
     }
 
     /**
@@ -233,7 +233,7 @@
         request.setMoving(engineControl.move(attempt, path, router));
         request.countMove();
         log.line("route", "moves")
-                .with("id", request.exchange().call().id())
+                .with("id", request.exchange().request().id())
                 .with("from", old.text())
                 .with("to", path.text())
                 .write();
@@ -251,7 +251,7 @@
             ActiveRequest request, StagePath old, Optional<RoutingConfig> config, long now) {
         Hop first = old.hops().get(0);
         List<BackendServer> usable = fleet.usableServers(request.service(), request.avoidedServers(), now);
-        int prompt = request.exchange().call().head().promptTokens();
+        int prompt = request.exchange().request().head().promptTokens();
         PathFinder.Demand demand =
                 new PathFinder.Demand(first.server().dataCentre(), prompt, request.expectedTokens(), Set.of());
         return config.flatMap(version -> version.service(request.service()))
--- a/gateway/src/test/java/org/cornelramp/gateway/SmallServer.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/FixedResponseServer.java
@@ -8,17 +8,17 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A server on loopback that gives each request the same answer, or none. Safe for use by any thread. */
-final class SmallServer implements AutoCloseable {
-    private static final byte[] ANSWER = "{}".getBytes(StandardCharsets.UTF_8);
+/** An HTTP server on loopback that sends each request the same response, or none. Safe for use by any thread. */
+final class FixedResponseServer implements AutoCloseable {
+    private static final byte[] RESPONSE = "{}".getBytes(StandardCharsets.UTF_8);
 
     private final HttpServer http = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 10);
     private final AtomicInteger requests = new AtomicInteger();
-    private final boolean answers;
+    private final boolean responds;
 
-    SmallServer(boolean answers) throws IOException {
-        this.answers = answers;
-        http.createContext("/", this::take);
+    FixedResponseServer(boolean responds) throws IOException {
+        this.responds = responds;
+        http.createContext("/", this::handle);
         http.start();
     }
 
@@ -26,16 +26,16 @@
         return http.getAddress().getPort();
     }
 
-    /** Requests so far. */
+    /** Number of requests received. */
     int requests() {
         return requests.get();
     }
 
-    private void take(HttpExchange exchange) throws IOException {
+    private void handle(HttpExchange exchange) throws IOException {
         requests.incrementAndGet();
-        if (answers) {
-            exchange.sendResponseHeaders(200, ANSWER.length);
-            exchange.getResponseBody().write(ANSWER);
+        if (responds) {
+            exchange.sendResponseHeaders(200, RESPONSE.length);
+            exchange.getResponseBody().write(RESPONSE);
             exchange.close();
         }
     }
--- a/gateway/src/test/java/org/cornelramp/gateway/FullServer.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/FullBacklogServer.java
@@ -7,20 +7,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A server whose accept queue is full, so that connects to it are not answered. Owned by one thread. */
-final class FullServer implements AutoCloseable {
-    /** More connections than a queue of one takes. */
-    private static final int WAITING = 8;
+/** A server whose accept queue is full, so that connects to it time out. Confined to one thread. */
+final class FullBacklogServer implements AutoCloseable {
+    /** More connections than an accept queue of length one holds. */
+    private static final int PENDING_CONNECTS = 8;
 
     private final ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-    private final List<SocketChannel> waiting = new ArrayList<>();
+    private final List<SocketChannel> pending = new ArrayList<>();
 
-    FullServer() throws IOException {
-        for (int i = 0; i < WAITING; i++) {
+    FullBacklogServer() throws IOException {
+        for (int i = 0; i < PENDING_CONNECTS; i++) {
             SocketChannel channel = SocketChannel.open();
             channel.configureBlocking(false);
             channel.connect(socket.getLocalSocketAddress());
-            waiting.add(channel);
+            pending.add(channel);
         }
     }
 
@@ -30,7 +30,7 @@
 
     @Override
     public void close() throws IOException {
-        for (SocketChannel channel : waiting) {
+        for (SocketChannel channel : pending) {
             channel.close();
         }
         socket.close();
--- a/gateway/src/test/java/org/cornelramp/gateway/WholePathTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/GatewayEndToEndTest.java
@@ -22,8 +22,8 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A gateway before stand-ins of the users' platform: what clients get and what backend servers see. */
-public class WholePathTest {
+/** A gateway in front of stand-ins of the users' platform: what clients get and what backend servers receive. */
+public class GatewayEndToEndTest {
     private static final String FIVE_EVENTS = IntStream.range(0, 5)
             .mapToObj(event -> "id: " + event + "\ndata: piece " + event + "\n\n")
             .collect(Collectors.joining());
@@ -40,7 +40,7 @@
         fixture.close();
     }
 
-    private void behave(Behaviour behaviour) {
+    private void setBehaviour(Behaviour behaviour) {
         for (StandInServer server :
                 new StandInServer[] {fixture.firstEngine, fixture.secondEngine, fixture.firstApp, fixture.secondApp}) {
             server.setBehaviour(behaviour);
@@ -48,24 +48,24 @@
     }
 
     @Test
-    public void passesAStreamOnWithItsHeadersAndKeepsTheKey() throws Exception {
+    public void forwardsAStreamWithItsHeadersButNotTheKey() throws Exception {
         HttpResponse<String> answer = fixture.client().send("/chat/a?b=%20c", "r1", "hello");
         assertEquals(answer.statusCode(), 200);
         assertEquals(answer.body(), FIVE_EVENTS);
         assertEquals(answer.headers().firstValue("x-attempt-id"), Optional.of("r1"));
-        StandInServer.Received seen = Stream.of(fixture.firstEngine, fixture.secondEngine)
+        StandInServer.Received forwarded = Stream.of(fixture.firstEngine, fixture.secondEngine)
                 .flatMap(engine -> engine.received().stream())
                 .filter(request -> request.body().equals("hello"))
                 .findFirst()
                 .orElseThrow();
-        assertEquals(seen.path(), "/chat/a?b=%20c");
-        assertEquals(seen.fields().get("X-Tenant"), "org");
-        assertFalse(seen.fields().toString().contains(GatewayFixture.KEY), "the key stays here");
+        assertEquals(forwarded.path(), "/chat/a?b=%20c");
+        assertEquals(forwarded.fields().get("X-Tenant"), "org");
+        assertFalse(forwarded.fields().toString().contains(GatewayFixture.KEY), "the key is not forwarded");
         assertFalse(fixture.log().contains(GatewayFixture.KEY), "no key is logged");
     }
 
     @Test
-    public void refusesWhatHasNoRouteOrNoKey() throws Exception {
+    public void refusesRequestsWithoutRouteOrKey() throws Exception {
         assertEquals(fixture.client().send("/nowhere/a", "r2", "x").statusCode(), 404);
         StandInClient stranger = new StandInClient(fixture.settings.requests(), "unknown");
         assertEquals(stranger.send("/chat/a", "r3", "x").statusCode(), 401);
@@ -74,32 +74,32 @@
     }
 
     /**
-     * The client reads a stream whose engine closes the connection in the middle of the third event. The gateway has
-     * passed two whole events on; it asks another engine for those after them, so the client gets each event once.
+     * Guards against lost or duplicate events when an engine closes the connection in the middle of an event. The
+     * gateway has forwarded two whole events and must request the following ones from another engine.
      */
     @Test
-    public void aStreamThatBreaksWithinAnEventGoesOnElsewhere() throws Exception {
-        behave(Behaviour.ordinary().withBreakAfter(2));
+    public void streamThatBreaksWithinAnEventResumesOnAnotherEngine() throws Exception {
+        setBehaviour(Behaviour.ordinary().withBreakAfter(2));
         HttpResponse<String> answer = fixture.client().send("/chat/a", "r5", "breaks");
         assertEquals(answer.body(), FIVE_EVENTS);
         assertTrue(fixture.received("breaks") >= 2);
     }
 
     /**
-     * A booking is sent, and its backend server closes the connection without an answer. Whether it has booked nobody
-     * knows, so no other server gets it, and the client is not told that it has not run.
+     * Guards against a booking that runs twice, and against a false report that it did not run: its backend server
+     * closes the connection without a response, so the outcome is unknown.
      */
     @Test
-    public void aBookingOfUnknownOutcomeIsSentOnceAndNotDenied() throws Exception {
-        behave(Behaviour.ordinary().withBreakAfter(0));
+    public void bookingOfUnknownOutcomeIsSentOnceAndNotReportedAsNotRun() throws Exception {
+        setBehaviour(Behaviour.ordinary().withBreakAfter(0));
         HttpResponse<String> answer = fixture.client().send("/book/a", "r6", "once");
         assertEquals(answer.statusCode(), 502);
         assertEquals(fixture.received("once"), 1);
     }
 
-    /** The first server says that it has not run the booking, as it is full; another one books it, once. */
+    /** The first server states that it did not run the booking because it is full; another server runs it, once. */
     @Test
-    public void aBookingThatDidNotRunGoesToAnotherServer() throws Exception {
+    public void bookingThatDidNotRunGoesToAnotherServer() throws Exception {
         fixture.firstApp.setBehaviour(Behaviour.refusing());
         for (int i = 0; i < 6; i++) {
             assertEquals(fixture.client().send("/book/a", "r7-" + i, "b" + i).statusCode(), 200);
@@ -107,31 +107,34 @@
         assertEquals(fixture.secondApp.received().size(), 6);
     }
 
-    /** Every server refuses; the client hears at once that nothing ran, and when to come back. */
+    /** All servers refuse; the client is told at once that the request did not run, and when to retry. */
     @Test
-    public void whatNobodyTakesIsRefusedWithATimeToComeBack() throws Exception {
-        behave(Behaviour.refusing());
+    public void requestThatAllServersRefuseIsRefusedWithRetryAfter() throws Exception {
+        setBehaviour(Behaviour.refusing());
         HttpResponse<String> answer = fixture.client().send("/book/a", "r8", "full");
         assertEquals(answer.statusCode(), 503);
         assertTrue(StandInClient.retryAfter(answer).orElseThrow() > 0);
     }
 
     /**
-     * A server answers with a failure of its own, and a second one, which a safe request may be sent to, does as well.
-     * The client gets just that answer with its body; it is no refusal of ours, and no third server is asked.
+     * A server responds with an error, and so does the second one that a safe request may be sent to. The client must
+     * get that response with its body instead of a refusal of the gateway, and there is no third attempt.
      */
     @Test
-    public void aServersOwnFailureIsPassedOnAsItIs() throws Exception {
-        behave(Behaviour.ordinary().withStatus(500));
+    public void serverErrorIsForwardedUnchanged() throws Exception {
+        setBehaviour(Behaviour.ordinary().withStatus(500));
         HttpResponse<String> answer = fixture.client().send("/look/a", "r9", "fails");
         assertEquals(answer.statusCode(), 500);
         assertTrue(answer.body().startsWith("answer of a"), answer.body());
         assertEquals(fixture.received("fails"), 2);
     }
 
-    /** A newer version takes the route away, and an older one is written after it. The route stays away. */
+    /**
+     * Guards against a return to an older configuration that is written after a newer one: the route that the newer one
+     * removed stays removed.
+     */
     @Test
-    public void aConfigurationNeverSlipsBack() throws Exception {
+    public void olderConfigurationIsIgnored() throws Exception {
         fixture.store.publishConfig(GatewayFixture.config(5, "/talk/"));
         GatewayFixture.await(() -> status("/talk/a") == 200, "version 5 is in force");
         assertEquals(status("/chat/a"), 404);
@@ -149,20 +152,22 @@
         }
     }
 
-    /** The store turns the gateway away; what it knows stays in force, and its clients notice nothing. */
+    /**
+     * The store refuses the gateway; the known configuration and servers stay in force, and clients are not affected.
+     */
     @Test
-    public void servesOnWhileTheStoreRefuses() throws Exception {
+    public void keepsServingWhileTheStoreRefuses() throws Exception {
         fixture.store.setRefuses(true);
         GatewayFixture.await(() -> fixture.log().contains("\"event\":\"lost\""), "the loss is noticed");
         assertEquals(fixture.client().send("/chat/a", "r10", "x").body(), FIVE_EVENTS);
         assertEquals(fixture.client().send("/book/a", "r11", "x").statusCode(), 200);
     }
 
-    /** A server says that it is leaving; when the time has passed in which it may get work, it gets none. */
+    /** A server announces that it leaves; once the time in which it may still get requests is over, it gets none. */
     @Test
-    public void aLeavingServerGetsNothingNew() throws Exception {
+    public void leavingServerGetsNoNewRequests() throws Exception {
         fixture.firstApp.register("draining");
-        Thread.sleep(1_500); // longer than a leaving server may still be given work
+        Thread.sleep(1_500); // longer than a leaving server may still get requests
         for (int i = 0; i < 6; i++) {
             assertEquals(
                     fixture.client().send("/look/a", "r12-" + i, "late" + i).statusCode(), 200);
@@ -172,12 +177,12 @@
     }
 
     /**
-     * A stop is planned while a stream runs. The gateway says that it is not ready, lets the stream end, and refuses
-     * what comes after the balancer has had time to notice.
+     * Guards against a planned shutdown that cuts a stream: the gateway reports that it is not ready and lets the
+     * stream finish.
      */
     @Test
-    public void aPlannedStopCutsNoStream() throws Exception {
-        behave(Behaviour.ordinary().withEvents(12).withPauseMillis(100));
+    public void plannedShutdownCutsNoStream() throws Exception {
+        setBehaviour(Behaviour.ordinary().withEvents(12).withPauseMillis(100));
         var running = CompletableFuture.supplyAsync(() -> {
             try {
                 return fixture.client().send("/chat/a", "r13", "long").body();
@@ -192,13 +197,13 @@
     }
 
     /**
-     * Clients go on sending streams of two seconds to a gateway that has been told to stop. Those that it takes must
-     * end whole within its grace time, so it takes none that could not; the others hear at once that nothing ran and
-     * when to come back. Before, each stream sent in the last seconds was cut in the middle.
+     * Guards against streams that are accepted late in a planned shutdown and then cut in the middle. Clients keep
+     * sending streams of two seconds; each must either complete within the grace time, or be refused at once with the
+     * information that it did not run and when to retry.
      */
     @Test
-    public void whatIsSentDuringAStopIsServedWholeOrRefused() throws Exception {
-        behave(Behaviour.ordinary().withEvents(20).withPauseMillis(100));
+    public void requestsDuringAShutdownAreServedCompletelyOrRefused() throws Exception {
+        setBehaviour(Behaviour.ordinary().withEvents(20).withPauseMillis(100));
         CompletableFuture<Void> stopped = CompletableFuture.runAsync(() -> {
             try {
                 fixture.gateway.beginStop();
@@ -227,12 +232,13 @@
     }
 
     /**
-     * A gateway that stops takes one more stream and closes its connection after it. The process is killed before the
-     * stream has ended, so the client sees the connection close. That must not look like the end of the answer.
+     * Guards against a cut stream that looks complete. A stopping gateway accepts one more stream on a connection that
+     * closes after the response, and the process is killed before the stream has ended; the client must be able to tell
+     * this close from the end of the response.
      */
     @Test
-    public void aStreamThatIsCutDuringAStopDoesNotLookWhole() throws Exception {
-        behave(Behaviour.ordinary().withEvents(100).withPauseMillis(50));
+    public void streamThatIsCutDuringAShutdownDoesNotLookComplete() throws Exception {
+        setBehaviour(Behaviour.ordinary().withEvents(100).withPauseMillis(50));
         fixture.gateway.beginStop();
         CompletableFuture<Void> stopping = CompletableFuture.runAsync(() -> {
             try {
@@ -244,42 +250,45 @@
         GatewayFixture.await(() -> fixture.log().contains("stop begins"), "the gateway stops");
         var answer = new StandInCaller().send(fixture.settings.requests(), "/chat/a", "cut", 9_000);
         GatewayFixture.await(() -> fixture.received("cut") == 1, "the stream runs");
-        Thread.sleep(500); // some events go out
+        Thread.sleep(500); // lets some events through
         fixture.gateway.close();
-        assertFalse(answer.get().whole(), "a part of the answer looks whole: " + answer.get());
+        assertFalse(answer.get().whole(), "a partial response looks complete: " + answer.get());
         stopping.handle((done, failure) -> null).get();
     }
 
     /**
-     * An engine resets every stream that it is sent, while its reports are good and it has nothing under way, so that it
-     * looks best. The first clients' streams are started anew on the other engine; soon new ones go there at once,
-     * before the repeats are used up.
+     * Guards against an engine that attracts streams because it resets all of them: its reports are good and it has no
+     * requests in progress, so it looks like the best choice. The first streams are retried on the other engine; new
+     * ones must soon go there at once, before the retries are used up.
      */
     @Test
-    public void anEngineThatBreaksOffWhatItIsSentIsLeftAlone() throws Exception {
+    public void engineThatResetsItsStreamsIsAvoided() throws Exception {
         fixture.firstEngine.setBehaviour(Behaviour.ordinary().withBreakAfter(0));
         for (int i = 0; i < 60; i++) {
             assertEquals(
                     fixture.client().send("/chat/a", "reset-" + i, "reset-" + i).body(), FIVE_EVENTS);
         }
-        long atFaulty = fixture.firstEngine.received().stream()
+        long sentToFaultyEngine = fixture.firstEngine.received().stream()
                 .filter(request -> request.body().startsWith("reset-"))
                 .count();
-        assertTrue(atFaulty < 15, atFaulty + " of 60 streams were sent to an engine that breaks every one off");
+        assertTrue(
+                sentToFaultyEngine < 15,
+                sentToFaultyEngine + " of 60 streams were sent to an engine that resets every one");
     }
 
     /**
-     * Both engines crash and start again under their ids, empty. A client's stream is refused or served, and never cut;
-     * the leader, which had given each of them orders, places the layers anew although their counts start at zero.
+     * Guards against engines that stay empty after a restart under the same id. Both engines crash and restart without
+     * layers, and their counts of orders start at zero although the leader has already sent orders to each. The leader
+     * must place the layers again; meanwhile a stream may be refused, but not cut.
      */
     @Test
-    public void enginesThatStartAgainUnderTheirIdsAreFilledAnew() throws Exception {
+    public void enginesRestartedUnderTheirIdsGetTheirLayersAgain() throws Exception {
         fixture.firstEngine.restart();
         fixture.secondEngine.restart();
         GatewayFixture.await(
                 () -> fixture.firstEngine.layers().equals("0-8")
                         && fixture.secondEngine.layers().equals("0-8"),
-                "the layers are placed in the new lives");
+                "the layers are placed on the restarted engines");
         HttpResponse<String> answer = null;
         for (int i = 0; answer == null || answer.statusCode() == 503; i++) {
             assertTrue(i < 50, "still refused");
@@ -290,11 +299,11 @@
     }
 
     /**
-     * Someone else writes registrations of another form, one of them at the address of an engine, and repeats them. The
-     * servers that are there hold, and an engine that registers after them is heard of.
+     * Guards against invalid registrations of another writer, one of them with the address of an engine and some
+     * written many times. The known servers must stay usable, and a later registration of an engine must still be read.
      */
     @Test
-    public void registrationsOfAnotherWriterDisturbNobody() throws Exception {
+    public void invalidRegistrationsOfAnotherWriterAreIgnored() throws Exception {
         for (int i = 0; i < 100; i++) {
             fixture.store.register("stranger", "{\"service\":7,\"state\":\"resting\"}");
             fixture.store.register("other", "not json");
--- a/gateway/src/test/java/org/cornelramp/gateway/GatewayFixture.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/GatewayFixture.java
@@ -17,17 +17,17 @@
 import org.cornelramp.platform.standin.StandInServer;
 import org.cornelramp.platform.standin.StandInStore;
 
-/** A gateway before engines and two plain services, all on loopback. */
+/** A gateway in front of engines and two servers of a plain service, all on loopback. */
 public final class GatewayFixture implements AutoCloseable {
-    /** The key that the configuration knows. */
+    /** The key that the configuration contains. */
     public static final String KEY = StandInConfig.KEY;
 
-    /** Settings of a gateway that may send nothing a second time. */
+    /** Settings of a gateway without retries. */
     public static final String NO_REPEATS = ",\"retries\":{\"ratio\":0,\"reserve\":0,\"windowSeconds\":2}";
 
-    private static final long PATIENCE_MILLIS = 20_000;
+    private static final long TIMEOUT_MILLIS = 20_000;
 
-    /** Memory of a card for four of the eight layers and some requests. */
+    /** Accelerator memory for four of the eight layers and some requests. */
     private static final int HALF_MODEL_MB = 45;
 
     public final StandInStore store = new StandInStore();
@@ -48,7 +48,7 @@
     /**
      * Two engines, each of which holds the whole model.
      *
-     * @param more more of the settings, each with a comma before it
+     * @param more further settings, each preceded by a comma
      */
     public GatewayFixture(String more) throws Exception {
         this(more, StandInConfig.small(1), List.of("0-8", "0-8"));
@@ -72,15 +72,15 @@
         log.start();
         gateway = new Gateway(settings, SteadyClock.system(), log);
         gateway.start();
-        await(() -> placed().equals(layers), "the layers are placed");
-        await(this::chats, "a chat is served");
+        await(() -> placedLayers().equals(layers), "the layers are placed");
+        await(this::servesChats, "a chat is served");
     }
 
     /**
-     * Engines of which each holds half of the model, so that a stream passes two of them.
+     * Engines that each hold half of the model, so that the path of a stream has two of them.
      *
-     * @param copies engines for each half
-     * @param more more of the settings, each with a comma before it
+     * @param copies number of engines for each half
+     * @param more further settings, each preceded by a comma
      */
     static GatewayFixture ofHalves(int copies, String more) throws Exception {
         List<String> layers = new ArrayList<>(Collections.nCopies(copies, "0-4"));
@@ -88,16 +88,16 @@
         return new GatewayFixture(more, ofHalvesConfig(1), layers);
     }
 
-    /** A version of the configuration for engines of which each holds half of the model. */
+    /** A version of the configuration for engines that each hold half of the model. */
     static StandInConfig ofHalvesConfig(int version) {
         return StandInConfig.small(version).withCardMb(HALF_MODEL_MB);
     }
 
-    private List<String> placed() {
+    private List<String> placedLayers() {
         return engines.stream().map(StandInServer::layers).sorted().toList();
     }
 
-    /** A configuration of that version whose streams are served below a prefix. */
+    /** A configuration of the given version that serves streams below a path prefix. */
     public static String config(int version, String chatPrefix) {
         return StandInConfig.small(version).withChatPrefix(chatPrefix).json();
     }
@@ -105,8 +105,8 @@
     /**
      * Settings of a gateway on loopback.
      *
-     * @param ports for requests, readiness, metrics and peers, and the store's
-     * @param more more of the settings, each with a comma before it
+     * @param ports ports for requests, readiness, metrics and peers, and the port of the store
+     * @param more further settings, each preceded by a comma
      */
     static String settingsText(List<Integer> ports, String more) {
         String address = "\"127.0.0.1:%d\"";
@@ -117,7 +117,7 @@
                 + more + "}";
     }
 
-    private boolean chats() {
+    private boolean servesChats() {
         try {
             return client().send("/chat/warm", "warm", "x").statusCode() == 200;
         } catch (Exception e) {
@@ -125,7 +125,7 @@
         }
     }
 
-    /** A client with the right key. */
+    /** A client with a valid key. */
     public StandInClient client() {
         return new StandInClient(settings.requests(), KEY);
     }
@@ -134,12 +134,12 @@
         return Stream.concat(engines.stream(), Stream.of(firstApp, secondApp)).toList();
     }
 
-    /** What the gateway has logged. */
+    /** The log of the gateway so far. */
     public String log() {
         return logged.toString(StandardCharsets.UTF_8);
     }
 
-    /** Requests of an id that servers have received. */
+    /** Number of requests with the given body that the servers have received. */
     public long received(String body) {
         return servers().stream()
                 .flatMap(server -> server.received().stream())
@@ -149,7 +149,7 @@
 
     /** Waits until a condition holds. */
     public static void await(BooleanSupplier condition, String what) throws Exception {
-        long until = System.nanoTime() + PATIENCE_MILLIS * 1_000_000L;
+        long until = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000L;
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > until) {
                 throw new AssertionError("not in time: " + what);
--- a/gateway/src/test/java/org/cornelramp/gateway/StartTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/GatewayStartTest.java
@@ -21,10 +21,10 @@
 import org.testng.annotations.Test;
 
 /**
- * All gateways lose power at once, and their clients come back in the moment in which the processes start. The load is
- * that of the first second: requests before anything is known.
+ * Requests that arrive while a gateway starts and has no configuration yet, as when all gateways restart at once and
+ * their clients reconnect immediately.
  */
-public class StartTest {
+public class GatewayStartTest {
     private final EventLog log = new EventLog(new ByteArrayOutputStream(), Clock.systemUTC(), "g1");
     private StandInStore store;
     private StandInServer app;
@@ -55,11 +55,11 @@
     }
 
     /**
-     * Clients connect while the process has only its address, and again while it has no configuration. Nobody is turned
-     * away: all are answered as soon as the configuration is read.
+     * Guards against refused clients during a start: one connects when only the address is bound, another one when the
+     * gateway accepts requests but has no configuration. Both must be served as soon as the configuration is read.
      */
     @Test
-    public void whatComesDuringAStartWaitsForTheConfiguration() throws Exception {
+    public void requestsDuringAStartWaitForTheConfiguration() throws Exception {
         CompletableFuture<HttpResponse<String>> first = send("before-start");
         Thread.sleep(100);
         gateway.start();
@@ -71,9 +71,12 @@
         assertEquals(second.get().statusCode(), 200);
     }
 
-    /** The store has no configuration for longer than a client waits: it is told to come again, and that nothing ran. */
+    /**
+     * The store has no configuration for longer than requests are delayed: the client gets a refusal with a time to
+     * retry.
+     */
     @Test
-    public void whatCannotBeServedSoonIsRefused() throws Exception {
+    public void requestIsRefusedWhenNoConfigurationArrives() throws Exception {
         gateway.start();
         HttpResponse<String> answer = send("no-configuration").get();
         assertEquals(answer.statusCode(), 503);
--- a/gateway/src/test/java/org/cornelramp/gateway/LateConnectTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/LateConnectTest.java
@@ -12,17 +12,17 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Connects of a process whose selector stands still. */
+/** Connects of a process whose selector is stalled. */
 public class LateConnectTest {
-    /** Longer than a connect's timeout. */
-    private static final long STILL_MILLIS = 1_200;
+    /** Longer than the connect timeout. */
+    private static final long STALL_MILLIS = 1_200;
 
     private final HttpClients clients = new HttpClients();
-    private SmallServer server;
+    private FixedResponseServer server;
 
     @BeforeMethod
     public void start() throws Exception {
-        server = new SmallServer(true);
+        server = new FixedResponseServer(true);
         clients.start();
     }
 
@@ -32,38 +32,43 @@
         server.close();
     }
 
-    /** Guards against streams that fail on "Connect Timeout" although the engine had taken the connection long before. */
+    /**
+     * Guards against streams that fail with "Connect Timeout" although the engine accepted the connection long before.
+     */
     @Test
-    public void aConnectionThatIsNoticedLateIsUsed() throws Exception {
-        HeldUpSelector.holdUp(clients.pooled(), STILL_MILLIS);
-        CompletableFuture<ContentResponse> answer =
+    public void connectionThatIsNoticedLateIsUsed() throws Exception {
+        SelectorStall.stall(clients.pooled(), STALL_MILLIS);
+        CompletableFuture<ContentResponse> response =
                 new CompletableResponseListener(clients.pooled().newRequest("127.0.0.1", server.port())).send();
-        assertEquals(answer.get().getStatus(), 200);
+        assertEquals(response.get().getStatus(), 200);
         assertEquals(server.requests(), 1);
         assertEquals(clients.lateConnects(), 1);
         assertEquals(clients.connectsUnderWay(), 0);
     }
 
-    /** Guards against memory that grows with each failed connect, and servers that count as silent for old ones. */
+    /**
+     * Guards against a memory leak per failed connect, and against servers that count as silent because of old
+     * connects.
+     */
     @Test
-    public void aConnectThatIsRefusedIsOver() throws Exception {
+    public void connectThatIsRefusedIsNotInProgress() throws Exception {
         int port = server.port();
         server.close();
         Throwable failure = new CompletableResponseListener(clients.pooled().newRequest("127.0.0.1", port))
                 .send()
-                .handle((answer, fault) -> fault)
+                .handle((response, fault) -> fault)
                 .get();
         assertTrue(failure instanceof ConnectException, String.valueOf(failure));
         assertEquals(clients.connectsUnderWay(), 0);
     }
 
-    /** The same for a connect that runs into its timeout. */
+    /** The same for a connect that times out. */
     @Test
-    public void aConnectThatIsNotTakenIsOver() throws Exception {
-        try (FullServer full = new FullServer()) {
+    public void connectThatFailsByTimeoutIsNotInProgress() throws Exception {
+        try (FullBacklogServer full = new FullBacklogServer()) {
             Throwable failure = new CompletableResponseListener(clients.pooled().newRequest("127.0.0.1", full.port()))
                     .send()
-                    .handle((answer, fault) -> fault)
+                    .handle((response, fault) -> fault)
                     .get();
             assertTrue(failure instanceof SocketTimeoutException, String.valueOf(failure));
             assertEquals(clients.connectsUnderWay(), 0);
--- a/gateway/src/test/java/org/cornelramp/gateway/LostAnswerTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/LostResponseTest.java
@@ -9,10 +9,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** An engine whose answers get lost while it is well. */
-public class LostAnswerTest {
-    /** Longer than the engine needs for the first event of a stream, so that later ones are seen to overtake. */
-    private static final long LATER_MILLIS = 300;
+/** A healthy engine whose responses get lost. */
+public class LostResponseTest {
+    /** Longer than the engine takes for the first event of a stream, so that later streams overtake the first one. */
+    private static final long OVERTAKE_MILLIS = 300;
 
     private GatewayFixture fixture;
 
@@ -27,24 +27,24 @@
     }
 
     /**
-     * A client sends a stream. Its engine takes the request and the answer never comes; the connection stays open, the
-     * engine answers questions, and streams that are sent to it later begin and end. The gateway asks for the first one
-     * again, and the client gets it whole. It used to wait in silence until the client left: on a day of lost answers all
-     * "broken off" lines said "client gone" after 2,000 ms, with one attempt and no first event.
+     * Guards against a stream that waits for a lost response until the client gives up, which shows as "broken off"
+     * lines with "client gone", one attempt and no first event after 2,000 ms. The engine accepts the request and never
+     * responds; the connection stays open, status requests are answered, and later streams to the engine begin and end.
+     * The gateway must send the first one again, so that the client gets all of it.
      */
     @Test
-    public void aStreamWhoseAnswerIsLostIsAskedForAgain() throws Exception {
+    public void streamWhoseResponseIsLostIsSentAgain() throws Exception {
         fixture.engines.forEach(engine -> engine.loseAnswers(1));
-        CompletableFuture<HttpResponse<String>> answer = fixture.client().sendLater("/chat/a", "lost", "lost");
+        CompletableFuture<HttpResponse<String>> response = fixture.client().sendLater("/chat/a", "lost", "lost");
         GatewayFixture.await(() -> fixture.received("lost") == 1, "the engine has the request");
         fixture.engines.forEach(engine -> engine.loseAnswers(0));
-        Thread.sleep(LATER_MILLIS);
+        Thread.sleep(OVERTAKE_MILLIS);
         for (int i = 0; i < 3; i++) {
             assertEquals(fixture.client().send("/chat/a", "later-" + i, "later").statusCode(), 200);
         }
         assertTrue(
-                answer.get().body().endsWith("id: 4\ndata: piece 4\n\n"),
-                answer.get().body());
+                response.get().body().endsWith("id: 4\ndata: piece 4\n\n"),
+                response.get().body());
         assertEquals(fixture.received("lost"), 2);
     }
 }
--- a/gateway/src/test/java/org/cornelramp/gateway/OverdueAnswerTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/OverdueResponseTest.java
@@ -7,9 +7,9 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.Test;
 
-/** Answers of plain services that come later than their target, but in time. */
-public class OverdueAnswerTest {
-    /** Twice the target of the route, and a fifth of the time that its clients wait. */
+/** Responses of plain services that arrive after the target latency but before the deadline. */
+public class OverdueResponseTest {
+    /** Twice the target latency of the route, and a fifth of the time that its clients wait. */
     private static final long LATE_MILLIS = 600;
 
     private GatewayFixture fixture;
@@ -19,44 +19,44 @@
         fixture.close();
     }
 
-    private void answerLate() {
+    private void respondLate() {
         for (StandInServer app : new StandInServer[] {fixture.firstApp, fixture.secondApp}) {
             app.setBehaviour(Behaviour.ordinary().withPauseMillis(LATE_MILLIS));
         }
     }
 
     /**
-     * A client asks for something that may be asked for twice, and the server takes twice the target. No repeat is left,
-     * so nobody else can be asked, and the client gets the answer late. The gateway used to cancel the run at 1.2 times
-     * the target; it then found no repeat and told the client that the outcome is unknown.
+     * Guards against an attempt that is cancelled at 1.2 times the target latency while no retry is left, so that the
+     * client gets "outcome unknown" instead of a late response. The server takes twice the target for a request that
+     * may be repeated.
      */
     @Test
-    public void aLateAnswerIsAwaitedWhenNoRepeatIsLeft() throws Exception {
+    public void lateResponseIsAwaitedWhenNoRetryIsLeft() throws Exception {
         fixture = new GatewayFixture(GatewayFixture.NO_REPEATS);
-        answerLate();
+        respondLate();
         assertEquals(fixture.client().send("/look/a", "late", "late").statusCode(), 200);
         assertEquals(fixture.received("late"), 1);
     }
 
-    /** Guards against requests that run twice because the gateway had not got round to reading their answers. */
+    /** Guards against requests that run twice because the gateway has not yet read a response that has arrived. */
     @Test
-    public void anAnswerThatIsThereUnreadIsNotOverdue() throws Exception {
+    public void unreadResponseIsNotOverdue() throws Exception {
         fixture = new GatewayFixture();
         for (int i = 0; i < 10; i++) {
-            fixture.client().send("/look/a", "warm", "warm"); // connections to both servers are there and kept
+            fixture.client().send("/look/a", "warm", "warm"); // opens pooled connections to both servers
         }
-        HeldUpSelector.holdUp(fixture.gateway.clients().pooled(), LATE_MILLIS);
+        SelectorStall.stall(fixture.gateway.clients().pooled(), LATE_MILLIS);
         assertEquals(fixture.client().send("/look/a", "unread", "unread").statusCode(), 200);
         assertEquals(fixture.received("unread"), 1);
     }
 
-    /** The same, with repeats left and only one server: nobody else can be asked either. */
+    /** The same with retries left but only one server, so that no other server can be tried. */
     @Test
-    public void aLateAnswerIsAwaitedWhenNoOtherServerIsThere() throws Exception {
+    public void lateResponseIsAwaitedWhenThereIsNoOtherServer() throws Exception {
         fixture = new GatewayFixture();
         fixture.store.unregister(fixture.secondApp.id());
         GatewayFixture.await(() -> fixture.log().contains("\"servers\":3"), "the second server is gone");
-        answerLate();
+        respondLate();
         assertEquals(fixture.client().send("/look/a", "only", "only").statusCode(), 200);
         assertEquals(fixture.received("only"), 1);
     }
--- a/gateway/src/test/java/org/cornelramp/gateway/ResetAwareConnectorTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/ResetAwareConnectorTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Answers without a length, which end with their connection. */
+/** Responses without a length, which end with their connection. */
 public class ResetAwareConnectorTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\n\r\n";
     private static final String PART = "the first part";
@@ -36,47 +36,47 @@
         server.close();
     }
 
-    /** Takes one request, answers without a length, and then closes or resets the connection. */
-    private void answerOnce(boolean reset, CountDownLatch partTaken) {
+    /** Accepts one request, responds without a length, and then closes or resets the connection. */
+    private void respondOnce(boolean reset, CountDownLatch partReceived) {
         Thread thread = new Thread(() -> {
             try (Socket socket = server.accept()) {
                 socket.getInputStream().read(new byte[4_096]);
                 socket.getOutputStream().write((HEAD + PART).getBytes(StandardCharsets.UTF_8));
-                partTaken.await();
+                partReceived.await();
                 if (reset) {
                     socket.setSoLinger(true, 0);
                 }
             } catch (IOException | InterruptedException e) {
-                throw new IllegalStateException(e); // the client's failure shows the rest
+                throw new IllegalStateException(e); // the client then fails as well
             }
         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    private CompletableFuture<ContentResponse> ask(CountDownLatch partTaken) {
+    private CompletableFuture<ContentResponse> send(CountDownLatch partReceived) {
         var request = clients.pooled().newRequest("127.0.0.1", server.getLocalPort());
-        request.onResponseContent((response, bytes) -> partTaken.countDown());
+        request.onResponseContent((response, bytes) -> partReceived.countDown());
         return new CompletableResponseListener(request).send();
     }
 
     /**
-     * A backend server crashes in the middle of an answer that has no length. Its kernel resets the connection. The
-     * client must not take the part that came for the whole answer, so the request has to fail.
+     * Guards against a partial response that passes as complete: a backend server crashes in the middle of a response
+     * without a length, and its kernel resets the connection. The request must fail.
      */
     @Test
-    public void aResetFailsAnAnswerWithoutLength() throws Exception {
-        CountDownLatch partTaken = new CountDownLatch(1);
-        answerOnce(true, partTaken);
-        Throwable failure = ask(partTaken).handle((answer, fault) -> fault).get();
-        assertTrue(failure instanceof IOException, "the answer looked whole: " + failure);
+    public void resetFailsAResponseWithoutLength() throws Exception {
+        CountDownLatch partReceived = new CountDownLatch(1);
+        respondOnce(true, partReceived);
+        Throwable failure = send(partReceived).handle((answer, fault) -> fault).get();
+        assertTrue(failure instanceof IOException, "the partial response passed as complete: " + failure);
     }
 
-    /** The server ends its answer as it should, and the answer is whole. */
+    /** An orderly close marks the end of a complete response. */
     @Test
-    public void aCloseEndsAnAnswerWithoutLength() throws Exception {
-        CountDownLatch partTaken = new CountDownLatch(1);
-        answerOnce(false, partTaken);
-        assertEquals(ask(partTaken).get().getContentAsString(), PART);
+    public void closeEndsAResponseWithoutLength() throws Exception {
+        CountDownLatch partReceived = new CountDownLatch(1);
+        respondOnce(false, partReceived);
+        assertEquals(send(partReceived).get().getContentAsString(), PART);
     }
 }
--- a/gateway/src/test/java/org/cornelramp/gateway/RestoredStoreTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/RestoredStoreTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The store comes back from a copy some seconds old while a gateway serves. */
+/** The store is restored from a backup that is some seconds old while a gateway is running. */
 public class RestoredStoreTest {
     private static final int REQUESTS = 20;
 
@@ -36,8 +36,8 @@
         assertEquals(fixture.client().send("/book/" + id, id, id).statusCode(), 200);
     }
 
-    /** Serves requests, none of which may reach the first server. */
-    private void bookWithoutTheFirst() throws Exception {
+    /** Sends bookings, none of which may reach the first server. */
+    private void assertFirstServerGetsNoBookings() throws Exception {
         long before = fixture.firstApp.received().size();
         for (int i = 0; i < REQUESTS; i++) {
             book("after-" + i);
@@ -46,28 +46,31 @@
     }
 
     private void awaitRestored() throws Exception {
-        GatewayFixture.await(() -> fixture.log().contains("\"event\":\"restored\""), "the copy is read");
+        GatewayFixture.await(() -> fixture.log().contains("\"event\":\"restored\""), "the restored store is read");
     }
 
-    private void leave() throws Exception {
+    private void announceLeaving() throws Exception {
         fixture.firstApp.register("draining");
-        GatewayFixture.await(() -> fixture.log().contains("\"leaving\":1"), "the leave is read");
+        GatewayFixture.await(() -> fixture.log().contains("\"leaving\":1"), "the notice is read");
     }
 
-    /** Puts version 2 in force, with which streams are served below another path, and restores the store from before it. */
+    /**
+     * Puts version 2 in force, which serves streams below another path, and restores the store from a backup without
+     * it.
+     */
     private void restoreFromBeforeVersion2() throws Exception {
         StandInStore.Copy copy = fixture.store.copy();
         fixture.store.publishConfig(GatewayFixture.config(2, "/talk/"));
-        GatewayFixture.await(() -> chats("/talk/"), "version 2 is in force");
+        GatewayFixture.await(() -> servesChats("/talk/"), "version 2 is in force");
         fixture.store.restore(copy);
     }
 
     /**
-     * Guards against work for a server that leaves: its offsets were given out again, so its leave came at an offset that
-     * the gateway had already read.
+     * Guards against requests to a leaving server: the restored store reuses offsets, so the server's notice that it
+     * leaves has an offset that the gateway has already read.
      */
     @Test
-    public void aLeaveAfterTheRestoreIsSeen() throws Exception {
+    public void noticeOfLeavingAfterTheRestoreIsRead() throws Exception {
         StandInStore.Copy copy = fixture.store.copy();
         for (int i = 0; i < 8; i++) {
             fixture.store.register("stranger-" + i, "{}");
@@ -75,35 +78,44 @@
         book("before");
         fixture.store.restore(copy);
         awaitRestored();
-        leave();
-        bookWithoutTheFirst();
+        announceLeaving();
+        assertFirstServerGetsNoBookings();
     }
 
-    /** Guards against work for a server that had left: the copy was made before it said so, and lists it as ready. */
+    /**
+     * Guards against requests to a server that has left: the backup is older than its notice and lists the server as
+     * ready.
+     */
     @Test
-    public void aServerThatHadLeftGetsNothing() throws Exception {
+    public void serverThatHadLeftGetsNoRequests() throws Exception {
         StandInStore.Copy copy = fixture.store.copy();
-        leave();
+        announceLeaving();
         fixture.store.restore(copy);
         awaitRestored();
-        bookWithoutTheFirst();
+        assertFirstServerGetsNoBookings();
     }
 
-    /** Guards against a configuration that slips back, and against one that is never read, as its offset is not new. */
+    /**
+     * Guards against a return to an older configuration, and against a newer one that is skipped because its offset is
+     * reused.
+     */
     @Test
-    public void aVersionInForceStaysAndTheNextOneIsRead() throws Exception {
+    public void versionInForceStaysAndTheNextOneIsRead() throws Exception {
         restoreFromBeforeVersion2();
-        GatewayFixture.await(() -> fixture.log().contains("older than the one in force"), "the older copy is read");
-        assertTrue(chats("/talk/"));
+        GatewayFixture.await(() -> fixture.log().contains("older than the one in force"), "the older version is read");
+        assertTrue(servesChats("/talk/"));
         fixture.store.publishConfig(GatewayFixture.config(3, "/say/"));
-        GatewayFixture.await(() -> chats("/say/"), "version 3 is in force");
+        GatewayFixture.await(() -> servesChats("/say/"), "version 3 is in force");
     }
 
-    /** Guards against an accepted change that callers of a starting gateway lose, as the copy still has the version before. */
+    /**
+     * Guards against a gateway that starts with an outdated configuration because the restored store lacks the newest
+     * version.
+     */
     @Test
-    public void aGatewayThatStartsTakesTheNewerVersionOfItsPeer() throws Exception {
+    public void startingGatewayTakesTheNewerVersionFromItsPeer() throws Exception {
         restoreFromBeforeVersion2();
-        // Gateways of a deployment ask each other on the same port, each at an address of its own.
+        // Gateways of a deployment contact each other on the same port, each at an address of its own.
         GatewaySettings first = fixture.settings;
         List<Integer> free = FreePorts.take(2);
         List<Integer> ports = List.of(
@@ -121,15 +133,15 @@
         try (Gateway started = new Gateway(settings, SteadyClock.system(), log)) {
             started.start();
             StandInClient client = new StandInClient(settings.requests(), GatewayFixture.KEY);
-            GatewayFixture.await(() -> chats(client, "/talk/"), "version 2 is in force at the one that started");
+            GatewayFixture.await(() -> servesChats(client, "/talk/"), "version 2 is in force at the started gateway");
         }
     }
 
-    private boolean chats(String prefix) {
-        return chats(fixture.client(), prefix);
+    private boolean servesChats(String prefix) {
+        return servesChats(fixture.client(), prefix);
     }
 
-    private static boolean chats(StandInClient client, String prefix) {
+    private static boolean servesChats(StandInClient client, String prefix) {
         try {
             return client.send(prefix + "x", "chat-" + prefix, "x").statusCode() == 200;
         } catch (Exception e) {
--- a/gateway/src/test/java/org/cornelramp/gateway/HeldUpSelector.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/SelectorStall.java
@@ -5,13 +5,13 @@
 import org.eclipse.jetty.client.transport.HttpClientTransportOverHTTP;
 import org.eclipse.jetty.io.ManagedSelector;
 
-/** Lets a client's selector stand still, as in a process that gets no processor time. Stateless. */
-final class HeldUpSelector {
-    private HeldUpSelector() {}
+/** Stalls the selector of an HTTP client, as in a process that gets no processor time. Stateless. */
+final class SelectorStall {
+    private SelectorStall() {}
 
-    /** Holds the selector up, and returns once it stands still. */
-    static void holdUp(HttpClient client, long millis) throws InterruptedException {
-        CountDownLatch still = new CountDownLatch(1);
+    /** Stalls the selector for some time; returns as soon as it is stalled. */
+    static void stall(HttpClient client, long millis) throws InterruptedException {
+        CountDownLatch stalled = new CountDownLatch(1);
         HttpClientTransportOverHTTP transport = (HttpClientTransportOverHTTP) client.getTransport();
         ManagedSelector selector = transport
                 .getClientConnector()
@@ -20,10 +20,10 @@
                 .iterator()
                 .next();
         selector.submit(any -> {
-            still.countDown();
+            stalled.countDown();
             sleep(millis);
         });
-        still.await();
+        stalled.await();
     }
 
     private static void sleep(long millis) {
--- a/gateway/src/test/java/org/cornelramp/gateway/StoreOutageTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/StoreOutageTest.java
@@ -5,25 +5,25 @@
 
 import org.testng.annotations.Test;
 
-/** The store turns everyone away for seconds, as it does to a whole fleet at once. */
+/** The store refuses all calls for some seconds, as it does to a whole fleet at once. */
 public class StoreOutageTest {
     private static final long OUTAGE_MILLIS = 3_000;
 
-    /** A long poll of each topic that was under way, and the faults after which the store counts as away. */
-    private static final long MOST_READS = 8;
+    /** One pending long poll per topic, plus the failures after which the store counts as unavailable. */
+    private static final long MAX_READS = 8;
 
     /**
-     * Guards against a fleet that pays for thousands of refused calls: each thread of each gateway asked on its own whether
-     * the store is back. What changed meanwhile is in force after its return all the same.
+     * Guards against the cost of thousands of refused calls, which arises if each thread of each gateway polls the
+     * store during an outage. Changes made meanwhile must still come into force afterwards.
      */
     @Test
-    public void onlyTheRenewalAsksWhetherTheStoreIsBack() throws Exception {
+    public void onlyTheLeaseRenewalCallsAnUnavailableStore() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture()) {
-            long before = fixture.store.reads();
+            long readsBefore = fixture.store.reads();
             fixture.store.setRefuses(true);
             Thread.sleep(OUTAGE_MILLIS);
-            long during = fixture.store.reads() - before;
-            assertTrue(during <= MOST_READS, "reads " + during);
+            long readsDuringOutage = fixture.store.reads() - readsBefore;
+            assertTrue(readsDuringOutage <= MAX_READS, "reads " + readsDuringOutage);
             fixture.store.publishConfig(GatewayFixture.config(2, "/talk/"));
             fixture.store.setRefuses(false);
             GatewayFixture.await(
