--- a/gateway/src/test/java/org/cornelramp/gateway/BegunStreamTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/StreamResumptionTest.java
@@ -17,8 +17,8 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Streams that have begun and lose their engines, while one repeat is left within two seconds or many are. */
-public class BegunStreamTest {
+/** Streams that lose their engines after the first events were sent, with one retry per two seconds or with many. */
+public class StreamResumptionTest {
     private static final String LAST_EVENT = "id: 4\ndata: piece 4\n\n";
 
     private GatewayFixture fixture;
@@ -40,31 +40,33 @@
     }
 
     /**
-     * Engines cut a stream after its first events, and again after the next ones. The first time it goes on with the only
-     * repeat. The second time none is left: the client's stream stands still until one is free again and then goes on,
-     * so that the client gets the whole answer. Closed at once, it would have lost it.
+     * Guards against a stream that is closed because no retry is left at the moment. Engines cut the stream twice; the
+     * first time it resumes with the only retry, the second time it must pause until a retry is available again and
+     * then resume, so that the client gets the whole response.
      */
     @Test
-    public void aBegunStreamWaitsForARepeat() throws Exception {
+    public void begunStreamWaitsForARetry() throws Exception {
         breakAfter(1);
-        CompletableFuture<HttpResponse<String>> answer = fixture.client().sendLater("/chat/a", "waits", "waits");
-        GatewayFixture.await(() -> fixture.log().contains("no repeat left"), "the repeats are used up");
+        CompletableFuture<HttpResponse<String>> response = fixture.client().sendLater("/chat/a", "waits", "waits");
+        GatewayFixture.await(() -> fixture.log().contains("no repeat left"), "the retries are used up");
         assertEquals(fixture.received("waits"), 2);
         breakAfter(-1);
-        assertWhole(answer.get().body());
+        assertWhole(response.get().body());
         assertEquals(fixture.received("waits"), 3);
     }
 
-    /** Sends a stream whose first run lasts long enough to be seen before an engine cuts it after two events. */
+    /**
+     * Sends a stream whose first attempt lasts long enough to be observed before an engine cuts it after two events.
+     */
     private CompletableFuture<HttpResponse<String>> begin(String id) throws Exception {
         Behaviour slow = Behaviour.ordinary().withPauseMillis(400).withBreakAfter(2);
         fixture.engines.forEach(engine -> engine.setBehaviour(slow));
-        CompletableFuture<HttpResponse<String>> answer = fixture.client().sendLater("/chat/a", id, id);
+        CompletableFuture<HttpResponse<String>> response = fixture.client().sendLater("/chat/a", id, id);
         GatewayFixture.await(() -> fixture.received(id) >= 1, "it runs");
-        return answer;
+        return response;
     }
 
-    private void startWithRepeats() throws Exception {
+    private void startWithManyRetries() throws Exception {
         fixture.close();
         fixture = new GatewayFixture(",\"retries\":{\"ratio\":0,\"reserve\":500,\"windowSeconds\":2}");
     }
@@ -73,65 +75,65 @@
         assertTrue(body.endsWith(LAST_EVENT), body);
     }
 
-    /** Guards against begun streams closed, or left without engines for good, because each engine refused them once. */
+    /** Guards against streams that are closed, or never resumed, because each engine has refused them once. */
     @Test
-    public void aBegunStreamGoesOnAfterAllEnginesHaveRefusedIt() throws Exception {
-        startWithRepeats();
-        CompletableFuture<HttpResponse<String>> answer = begin("refused");
+    public void begunStreamResumesAfterAllEnginesHaveRefusedIt() throws Exception {
+        startWithManyRetries();
+        CompletableFuture<HttpResponse<String>> response = begin("refused");
         fixture.engines.forEach(engine -> engine.setBehaviour(Behaviour.refusing()));
         GatewayFixture.await(() -> fixture.log().contains("\"no path\""), "all engines have refused it");
         breakAfter(-1);
-        assertWhole(answer.get().body());
+        assertWhole(response.get().body());
     }
 
-    /** Guards against begun streams closed after six runs although each brought events. */
+    /** Guards against streams that are closed after six attempts although each attempt delivered events. */
     @Test
-    public void aBegunStreamThatGetsOnIsCarriedOn() throws Exception {
-        startWithRepeats();
+    public void begunStreamThatMakesProgressIsAlwaysResumed() throws Exception {
+        startWithManyRetries();
         Behaviour cutting = Behaviour.ordinary().withEvents(10).withBreakAfter(1);
         fixture.engines.forEach(engine -> engine.setBehaviour(cutting));
         String body = fixture.client().send("/chat/a", "cut", "cut").body();
         assertTrue(body.endsWith("id: 9\ndata: piece 9\n\n"), body);
     }
 
-    /** Guards against streams that are run for ever although no run brings an event. */
+    /** Guards against streams that are retried forever although no attempt delivers an event. */
     @Test
-    public void aBegunStreamThatNeverGetsOnEnds() throws Exception {
-        startWithRepeats();
-        CompletableFuture<HttpResponse<String>> answer = begin("stuck");
+    public void begunStreamWithoutProgressIsAborted() throws Exception {
+        startWithManyRetries();
+        CompletableFuture<HttpResponse<String>> response = begin("stuck");
         breakAfter(0);
-        assertThrows(ExecutionException.class, answer::get);
+        assertThrows(ExecutionException.class, response::get);
         GatewayFixture.await(() -> fixture.log().contains("all attempts are made"), "the reason is logged");
     }
 
-    /** Guards against begun streams closed while no engine is there to carry them on. */
+    /** Guards against streams that are closed while no engine is available to resume them. */
     @Test
-    public void aBegunStreamWaitsForEnginesToComeBack() throws Exception {
-        startWithRepeats();
-        CompletableFuture<HttpResponse<String>> answer = begin("alone");
+    public void begunStreamWaitsForEnginesToReturn() throws Exception {
+        startWithManyRetries();
+        CompletableFuture<HttpResponse<String>> response = begin("alone");
         fixture.engines.forEach(engine -> engine.register("draining"));
         GatewayFixture.await(() -> fixture.log().contains("\"no path\""), "no engine is there");
         breakAfter(-1);
         fixture.engines.forEach(StandInServer::restart);
-        assertWhole(answer.get().body());
+        assertWhole(response.get().body());
     }
 
-    /** Guards against begun streams closed because their caller's key is taken away while they run and are carried on. */
+    /** Guards against streams that are closed because their caller's key is revoked before they are resumed. */
     @Test
-    public void aBegunStreamOutlivesTheRevocationOfItsKey() throws Exception {
-        startWithRepeats();
-        CompletableFuture<HttpResponse<String>> answer = begin("revoked");
+    public void begunStreamSurvivesTheRevocationOfItsKey() throws Exception {
+        startWithManyRetries();
+        CompletableFuture<HttpResponse<String>> response = begin("revoked");
         String withAnotherKey = GatewayFixture.config(2, "/chat/").replace(GatewayFixture.KEY, "another-key");
         fixture.store.publishConfig(withAnotherKey);
-        GatewayFixture.await(() -> fixture.log().contains("\"version\":2"), "the key is taken away");
-        assertWhole(answer.get().body());
+        GatewayFixture.await(() -> fixture.log().contains("\"version\":2"), "the key is revoked");
+        assertWhole(response.get().body());
         assertEquals(fixture.client().send("/chat/a", "later", "later").statusCode(), 401);
     }
 
-    /** Guards against begun streams closed because bytes of the client's next request are taken for its leaving. */
+    /** Guards against streams that are closed because bytes of a pipelined request are mistaken for a disconnect. */
     @Test
-    public void aBegunStreamGoesOnWhenItsClientSendsAhead() throws Exception {
-        startWithRepeats();
+    public void begunStreamContinuesWhenItsClientPipelinesARequest() throws Exception {
+        startWithManyRetries();
         fixture.engines.forEach(
                 engine -> engine.setBehaviour(Behaviour.ordinary().withPauseMillis(500)));
         HostPort gateway = fixture.settings.requests();
@@ -139,8 +141,9 @@
             client.getOutputStream().write(text("/chat/a", "begun"));
             GatewayFixture.await(() -> fixture.received("begun") == 1, "it runs");
             client.getOutputStream().write(text("/look/a", "ahead"));
-            GatewayFixture.await(() -> fixture.received("ahead") == 1, "the stream is over and the next request runs");
-            assertEquals(fixture.received("begun"), 1, "one run");
+            GatewayFixture.await(
+                    () -> fixture.received("ahead") == 1, "the stream has ended and the next request runs");
+            assertEquals(fixture.received("begun"), 1, "one attempt");
             assertFalse(fixture.log().contains("client gone"), fixture.log());
         }
     }
@@ -150,12 +153,12 @@
     }
 
     /**
-     * An engine cuts a stream after two events, and the engine that the gateway asks to carry it on answers with status
-     * 400. The client of a begun stream can be given no status any more, so it is asked for elsewhere again, and the
-     * client gets the whole stream. The gateway used to close the connection with "a repeat was answered with status 400".
+     * Guards against a stream that is closed because the attempt to resume it is answered with status 400. A status can
+     * no longer be sent to the client of a stream that has begun, so the gateway must try another engine. The engines
+     * cut the stream after two events and reject one attempt to resume it.
      */
     @Test
-    public void aBegunStreamGoesOnAfterARepeatThatIsAnsweredWithAnError() throws Exception {
+    public void begunStreamResumesAfterARetryIsAnsweredWithAnError() throws Exception {
         fixture.close();
         fixture = new GatewayFixture();
         breakAfter(2);
--- a/gateway/src/test/java/org/cornelramp/gateway/TestEngines.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/TestEngines.java
@@ -8,7 +8,7 @@
 import org.cornelramp.core.model.ServiceName;
 import org.cornelramp.core.settings.HostPort;
 
-/** Engines for tests that need no more of them than an id and an address. Stateless. */
+/** Creates engines for tests that need only their id and address. Stateless. */
 public final class TestEngines {
     private TestEngines() {}
 
--- a/gateway/src/test/java/org/cornelramp/gateway/log/EventLogTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/log/EventLogTest.java
@@ -11,29 +11,32 @@
 import java.util.concurrent.CountDownLatch;
 import org.testng.annotations.Test;
 
-/** The bound on the log's volume, and that nobody waits for it. */
+/** The limit on the volume of the log, and that logging does not block. */
 public class EventLogTest {
 
     @Test
-    public void keepsEveryFailureAndSamplesOrdinaryLines() {
+    public void keepsEveryFailureAndSamplesRoutineLines() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         EventLog log = new EventLog(out, Clock.systemUTC(), "g");
         for (int i = 0; i < 1_000; i++) {
             log.line("part", "failure").with("number", i).write();
-            log.ordinary("part", "success").write();
+            log.routine("part", "success").write();
         }
         log.start();
         log.stop();
         String text = out.toString(StandardCharsets.UTF_8);
         assertEquals(text.lines().filter(line -> line.contains("failure")).count(), 1_000);
-        long ordinary = text.lines().filter(line -> line.contains("success")).count();
-        assertTrue(ordinary <= 2L * EventLog.ORDINARY_PER_SECOND, "kept " + ordinary);
-        assertEquals(log.skipped(), 1_000 - ordinary);
+        long routine = text.lines().filter(line -> line.contains("success")).count();
+        assertTrue(routine <= 2L * EventLog.ROUTINE_PER_SECOND, "kept " + routine);
+        assertEquals(log.skipped(), 1_000 - routine);
     }
 
-    /** Nobody reads standard output, so the writing thread hangs. Callers go on; what does not fit is counted. */
+    /**
+     * Guards against callers that block when nobody reads standard output: lines that do not fit are dropped and
+     * counted.
+     */
     @Test
-    public void aBlockedOutputHoldsNobodyUp() {
+    public void blockedOutputDoesNotBlockCallers() {
         CountDownLatch never = new CountDownLatch(1);
         OutputStream blocked = new OutputStream() {
             @Override
@@ -54,7 +57,7 @@
     }
 
     @Test
-    public void escapesWhatClientsSend() {
+    public void escapesTextOfClients() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         EventLog log = new EventLog(out, Clock.systemUTC(), "g");
         log.line("part", "event").with("path", "a\"\n{b").write();
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/LentRepeatTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/LentRetryTest.java
@@ -24,14 +24,14 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A gateway without a repeat of its own, beside a peer that has some. */
-public class LentRepeatTest {
+/** A gateway without retries of its own, and a peer that may lend some. */
+public class LentRetryTest {
     private static final String PEER = "g2";
 
     private GatewayFixture fixture;
     private DatagramSocket socket;
     private Thread peer;
-    private final AtomicInteger told = new AtomicInteger();
+    private final AtomicInteger updatesReceived = new AtomicInteger();
     private volatile boolean lends;
     private volatile boolean running = true;
     private volatile Optional<RetryLoanUpdate.LoanRequest> asked = Optional.empty();
@@ -42,11 +42,11 @@
         socket = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         socket.setSoTimeout(20);
         running = true;
-        told.set(0);
+        updatesReceived.set(0);
         asked = Optional.empty();
-        peer = new Thread(this::talk, PEER);
+        peer = new Thread(this::runPeer, PEER);
         peer.start();
-        GatewayFixture.await(() -> told.get() > 1, "the gateway has heard the peer and tells it");
+        GatewayFixture.await(() -> updatesReceived.get() > 1, "the gateway knows the peer and sends it updates");
     }
 
     @AfterMethod(alwaysRun = true)
@@ -57,33 +57,33 @@
         fixture.close();
     }
 
-    /** Tells news every 20 ms, and lends on each ask if it is to. */
-    private void talk() {
+    /** Sends an update every 20 ms, and lends a retry for each request if {@link #lends} is set. */
+    private void runPeer() {
         byte[] buffer = new byte[8_192];
         for (long number = 1; running; number++) {
             try {
-                tell(number);
+                sendUpdate(number);
                 DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
                 socket.receive(packet);
-                told.incrementAndGet();
-                PeerNewsCodec.read(buffer, packet.getLength())
-                        .forEach(news ->
-                                news.repeats().loanRequests().values().forEach(ask -> asked = Optional.of(ask)));
+                updatesReceived.incrementAndGet();
+                PeerUpdateCodec.read(buffer, packet.getLength())
+                        .forEach(update ->
+                                update.repeats().loanRequests().values().forEach(ask -> asked = Optional.of(ask)));
             } catch (SocketTimeoutException e) {
-                // the gateway tells only in its own rounds
+                // the gateway sends only in its own rounds
             } catch (Exception e) {
-                throw new IllegalStateException("The peer's socket fails", e);
+                throw new IllegalStateException("The peer's socket failed", e);
             }
         }
     }
 
-    private void tell(long number) throws Exception {
+    private void sendUpdate(long number) throws Exception {
         Map<ServiceName, List<RetryLoanUpdate.Loan>> loans = asked.filter(any -> lends)
                 .map(ask -> Map.of(
                         new ServiceName(StandInConfig.ENGINES), List.of(new RetryLoanUpdate.Loan("g1", ask.id(), 1))))
                 .orElse(Map.of());
-        PeerNews news = PeerNews.of(
-                new PeerNews.Sender(PEER, 1, fixture.settings.dataCentre()),
+        PeerUpdate update = PeerUpdate.of(
+                new PeerUpdate.Sender(PEER, 1, fixture.settings.dataCentre()),
                 number,
                 false,
                 Map.of(),
@@ -91,59 +91,60 @@
                 Map.of(),
                 Set.of(),
                 new RetryLoanUpdate(Map.of(), loans));
-        byte[] bytes = PeerNewsCodec.write(news);
+        byte[] bytes = PeerUpdateCodec.write(update);
         HostPort to = fixture.settings.peers();
         socket.send(new DatagramPacket(bytes, bytes.length, InetAddress.getLoopbackAddress(), to.port()));
     }
 
-    private HttpResponse<String> sendOnceBroken(String id) throws Exception {
+    private HttpResponse<String> sendWithBrokenFirstAttempt(String id) throws Exception {
         fixture.engines.forEach(
                 engine -> engine.setBehaviour(Behaviour.ordinary().withBreakAfter(0)));
         var answer = fixture.client().sendLater("/chat/a", id, id);
-        GatewayFixture.await(() -> fixture.received(id) == 1, "the first run");
+        GatewayFixture.await(() -> fixture.received(id) == 1, "the first attempt");
         fixture.engines.forEach(engine -> engine.setBehaviour(Behaviour.ordinary()));
         return answer.get();
     }
 
     /**
-     * An engine resets a stream before its first event, as one that dies does with all that it has, and the gateway has
-     * used up its repeats. Its peers hardly use theirs. It asks, one lends, and the client gets the whole stream. The
-     * gateway used to answer 502 within milliseconds, with seconds of the client's time left.
+     * Guards against a 502 within milliseconds for a request that could still be served: a failing engine resets the
+     * stream before its first event, and the gateway has no retries left while its peers hardly use theirs. The gateway
+     * must borrow one while the client still waits, which it does for seconds.
      */
     @Test
-    public void aStreamThatHasNotBegunWaitsForARepeatThatAPeerLends() throws Exception {
+    public void streamThatHasNotBegunWaitsForALentRetry() throws Exception {
         lends = true;
-        HttpResponse<String> answer = sendOnceBroken("lent");
+        HttpResponse<String> answer = sendWithBrokenFirstAttempt("lent");
         assertEquals(answer.statusCode(), 200, fixture.log());
         assertTrue(answer.body().endsWith("id: 4\ndata: piece 4\n\n"), answer.body());
-        assertEquals(fixture.received("lent"), 2, "one repeat");
+        assertEquals(fixture.received("lent"), 2, "one retry");
     }
 
     /**
-     * The same, but nobody has a repeat to lend. The client is told after a moment that the outcome is unknown, while it
-     * still has the time to come again itself, and the stream is sent no second time.
+     * The same, but no peer lends a retry. The client gets a 502 (outcome unknown) after a short wait, early enough to
+     * retry by itself, and the stream is not sent a second time.
      */
     @Test
-    public void aStreamWaitsForNoRepeatThatNobodyLends() throws Exception {
+    public void streamFailsWhenNoPeerLendsARetry() throws Exception {
         lends = false;
-        HttpResponse<String> answer = sendOnceBroken("alone");
+        HttpResponse<String> answer = sendWithBrokenFirstAttempt("alone");
         assertEquals(answer.statusCode(), 502, fixture.log());
-        assertTrue(asked.isPresent(), "it asked its peer");
-        assertEquals(fixture.received("alone"), 1, "no repeat");
+        assertTrue(asked.isPresent(), "it asked its peer for a retry");
+        assertEquals(fixture.received("alone"), 1, "no retry");
     }
 
     /**
-     * A server answers a safe request with a signed 500, and no repeat is left for another try. The client gets that answer
-     * at once. Held for a repeat that nobody lends, it would be told 502 half a second later instead of what the server said.
+     * A server responds to a safe request with a signed 500, and no retry is left. The client must get that response at
+     * once. If the gateway waited for a retry that no peer lends, the client would get a 502 half a second later
+     * instead.
      */
     @Test
-    public void aFailedAnswerIsPassedOnWhereNoRepeatIsLeft() throws Exception {
+    public void serverErrorIsForwardedWhenNoRetryIsLeft() throws Exception {
         lends = false;
         fixture.firstApp.setBehaviour(Behaviour.ordinary().withStatus(500));
         fixture.secondApp.setBehaviour(Behaviour.ordinary().withStatus(500));
         HttpResponse<String> answer = fixture.client().send("/look/a", "failed", "failed");
         assertEquals(answer.statusCode(), 500, fixture.log());
         assertTrue(answer.body().startsWith("answer of a"), answer.body());
-        assertEquals(fixture.received("failed"), 1, "no repeat");
+        assertEquals(fixture.received("failed"), 1, "no retry");
     }
 }
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/PeerNewsCodecTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/PeerUpdateCodecTest.java
@@ -17,13 +17,13 @@
 import org.cornelramp.gateway.follow.ReadCoordinator;
 import org.testng.annotations.Test;
 
-/** News between gateways, whole and damaged. */
-public class PeerNewsCodecTest {
+/** Encoding and decoding of updates between gateways, intact and damaged. */
+public class PeerUpdateCodecTest {
     private static final BackendServerId ID = new BackendServerId("i-1");
     private static final ServiceName SERVICE = new ServiceName("llm");
     private static final HostPort ADDRESS = new HostPort("10.0.0.1", 7_000);
-    private static final PeerNews NEWS = new PeerNews(
-            new PeerNews.Sender("g1", 7, new DataCentre("dc1")),
+    private static final PeerUpdate UPDATE = new PeerUpdate(
+            new PeerUpdate.Sender("g1", 7, new DataCentre("dc1")),
             9,
             true,
             Optional.of(Map.of(ID, new EngineLoads.Load(3, 1, 50_000, 772))),
@@ -39,24 +39,25 @@
 
     @Test
     public void readsWhatWasWritten() {
-        byte[] bytes = PeerNewsCodec.write(NEWS);
-        assertEquals(PeerNewsCodec.read(bytes, bytes.length).get(), NEWS);
-        byte[] brief = PeerNewsCodec.write(NEWS.withoutLoads());
-        assertEquals(PeerNewsCodec.read(brief, brief.length).get(), NEWS.withoutLoads());
+        byte[] bytes = PeerUpdateCodec.write(UPDATE);
+        assertEquals(PeerUpdateCodec.read(bytes, bytes.length).get(), UPDATE);
+        byte[] withoutLoads = PeerUpdateCodec.write(UPDATE.withoutLoads());
+        assertEquals(PeerUpdateCodec.read(withoutLoads, withoutLoads.length).get(), UPDATE.withoutLoads());
     }
 
     @Test
-    public void anyCutIsAFaultAndNoException() {
-        byte[] bytes = PeerNewsCodec.write(NEWS);
+    public void truncatedUpdateIsReportedWithoutAnException() {
+        byte[] bytes = PeerUpdateCodec.write(UPDATE);
         for (int length = 0; length < bytes.length; length++) {
-            assertTrue(PeerNewsCodec.read(Arrays.copyOf(bytes, length), length).isLeft());
+            assertTrue(
+                    PeerUpdateCodec.read(Arrays.copyOf(bytes, length), length).isLeft());
         }
     }
 
     @Test
-    public void anotherFormatIsAFault() {
-        byte[] bytes = PeerNewsCodec.write(NEWS);
+    public void unknownFormatIsReported() {
+        byte[] bytes = PeerUpdateCodec.write(UPDATE);
         bytes[0] = 1;
-        assertTrue(PeerNewsCodec.read(bytes, bytes.length).isLeft());
+        assertTrue(PeerUpdateCodec.read(bytes, bytes.length).isLeft());
     }
 }
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/PeerLinkTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/PeerUpdateServiceTest.java
@@ -20,8 +20,8 @@
 import org.cornelramp.gateway.log.EventLog;
 import org.testng.annotations.Test;
 
-/** Who is told whose news. */
-public class PeerLinkTest {
+/** Which gateways get each other's updates. */
+public class PeerUpdateServiceTest {
     private static final DataCentre HOME = new DataCentre("dc1");
 
     private static HostPort freeAddress() throws Exception {
@@ -30,14 +30,14 @@
         }
     }
 
-    private static PeerLink link(String name, HostPort address, Queue<PeerNews> heard) {
+    private static PeerUpdateService link(String name, HostPort address, Queue<PeerUpdate> received) {
         AtomicLong number = new AtomicLong();
         EventLog log = new EventLog(new ByteArrayOutputStream(), Clock.systemUTC(), name);
-        return new PeerLink(
+        return new PeerUpdateService(
                 address,
                 HOME,
-                () -> PeerNews.of(
-                        new PeerNews.Sender(name, 1, HOME),
+                () -> PeerUpdate.of(
+                        new PeerUpdate.Sender(name, 1, HOME),
                         number.incrementAndGet(),
                         false,
                         Map.of(),
@@ -45,7 +45,7 @@
                         Map.of(),
                         Set.of(),
                         RetryLoanUpdate.NONE),
-                heard::add,
+                received::add,
                 new ReadCoordinator(address),
                 new PeerConfigVersions(() -> PeerConfigVersions.NONE),
                 () -> false,
@@ -54,46 +54,47 @@
     }
 
     /**
-     * The store turns one gateway away for seconds. It drops out of the members that the others read, but still knows
-     * them and tells them its news; they tell it theirs, so it goes on choosing by what all have under way.
+     * Guards against a gateway that routes without the others' loads: the store refuses it for seconds, so it drops out
+     * of the members that the others read. It still knows them and sends them updates, and they must send it theirs.
      */
     @Test
-    public void aGatewayThatTheStoreDoesNotListIsToldWhatItsPeersHaveUnderWay() throws Exception {
+    public void gatewayThatTheStoreDoesNotListGetsUpdates() throws Exception {
         HostPort listed = freeAddress();
-        HostPort turnedAway = freeAddress();
-        Queue<PeerNews> heardThere = new ConcurrentLinkedQueue<>();
-        PeerLink one = link("listed", listed, new ConcurrentLinkedQueue<>());
-        PeerLink other = link("turned away", turnedAway, heardThere);
+        HostPort refused = freeAddress();
+        Queue<PeerUpdate> receivedByOther = new ConcurrentLinkedQueue<>();
+        PeerUpdateService one = link("listed", listed, new ConcurrentLinkedQueue<>());
+        PeerUpdateService other = link("refused", refused, receivedByOther);
         one.setPeers(List.of());
         other.setPeers(List.of(listed));
         one.start();
         other.start();
         GatewayFixture.await(
-                () -> heardThere.stream().anyMatch(news -> news.name().equals("listed")), "news come back");
+                () -> receivedByOther.stream().anyMatch(update -> update.name().equals("listed")), "updates come back");
         one.stop();
         other.stop();
     }
 
     /**
-     * There are more gateways than the store's topic has partitions, so it lists two of them to nobody. Both tell their
-     * news to one that is listed; it introduces them to each other, and each hears what the other has under way.
+     * Guards against gateways that never learn of each other: there are more gateways than the store's topic has
+     * partitions, so the store does not list two of them. Both send updates to one that is listed; it must introduce
+     * them to each other, so that they exchange their loads.
      */
     @Test
-    public void gatewaysThatTheStoreDoesNotListAreIntroducedToEachOther() throws Exception {
+    public void gatewaysThatTheStoreDoesNotListAreIntroduced() throws Exception {
         HostPort listed = freeAddress();
-        Queue<PeerNews> heardByFirst = new ConcurrentLinkedQueue<>();
-        PeerLink between = link("listed", listed, new ConcurrentLinkedQueue<>());
-        PeerLink first = link("first", freeAddress(), heardByFirst);
-        PeerLink second = link("second", freeAddress(), new ConcurrentLinkedQueue<>());
+        Queue<PeerUpdate> receivedByFirst = new ConcurrentLinkedQueue<>();
+        PeerUpdateService introducer = link("listed", listed, new ConcurrentLinkedQueue<>());
+        PeerUpdateService first = link("first", freeAddress(), receivedByFirst);
+        PeerUpdateService second = link("second", freeAddress(), new ConcurrentLinkedQueue<>());
         first.setPeers(List.of(listed));
         second.setPeers(List.of(listed));
-        for (PeerLink link : List.of(between, first, second)) {
+        for (PeerUpdateService link : List.of(introducer, first, second)) {
             link.start();
         }
         GatewayFixture.await(
-                () -> heardByFirst.stream().anyMatch(news -> news.name().equals("second")),
-                "the first hears the second");
-        for (PeerLink link : List.of(between, first, second)) {
+                () -> receivedByFirst.stream().anyMatch(update -> update.name().equals("second")),
+                "the first gets an update of the second");
+        for (PeerUpdateService link : List.of(introducer, first, second)) {
             link.stop();
         }
     }
--- /dev/null
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/UpdateUrgencyTest.java
@@ -0,0 +1,44 @@
+package org.cornelramp.gateway.peer;
+
+import static org.testng.Assert.assertEquals;
+
+import java.util.Map;
+import java.util.Set;
+import org.cornelramp.core.model.BackendServerId;
+import org.cornelramp.core.model.DataCentre;
+import org.cornelramp.core.model.ServiceName;
+import org.cornelramp.core.retry.RetryLoanUpdate;
+import org.testng.annotations.Test;
+
+/** Which updates go to all peers at once. */
+public class UpdateUrgencyTest {
+    private static final ServiceName SERVICE = new ServiceName("llm");
+
+    private static PeerUpdate update(Set<BackendServerId> suspects, Map<ServiceName, RetryLoanUpdate.LoanRequest> asks) {
+        PeerUpdate.Sender sender = new PeerUpdate.Sender("g1", 1, new DataCentre("dc1"));
+        return PeerUpdate.of(sender, 1, false, Map.of(), 0, Map.of(), suspects, new RetryLoanUpdate(asks, Map.of()));
+    }
+
+    /**
+     * Guards against streams that stall until peers get their turn: forty streams lose an engine at a gateway with ten
+     * retries, and most of the peers, which have retries to lend, would get its request only after half a second.
+     */
+    @Test
+    public void requestForRetriesIsUrgentOnce() {
+        UpdateUrgency urgency = new UpdateUrgency();
+        Map<ServiceName, RetryLoanUpdate.LoanRequest> first = Map.of(SERVICE, new RetryLoanUpdate.LoanRequest(1, 30));
+        assertEquals(urgency.isUrgent(update(Set.of(), Map.of())), false);
+        assertEquals(urgency.isUrgent(update(Set.of(), first)), true);
+        assertEquals(urgency.isUrgent(update(Set.of(), first)), false);
+        assertEquals(urgency.isUrgent(update(Set.of(), Map.of(SERVICE, new RetryLoanUpdate.LoanRequest(2, 5)))), true);
+    }
+
+    /** Guards against peers that send requests to a dead server until their turn comes. */
+    @Test
+    public void newSuspectIsUrgentOnce() {
+        UpdateUrgency urgency = new UpdateUrgency();
+        Set<BackendServerId> suspects = Set.of(new BackendServerId("i-1"));
+        assertEquals(urgency.isUrgent(update(suspects, Map.of())), true);
+        assertEquals(urgency.isUrgent(update(suspects, Map.of())), false);
+    }
+}
--- a/gateway/src/test/java/org/cornelramp/gateway/request/AttemptTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/request/AttemptTest.java
@@ -29,7 +29,9 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What one attempt passes on when its end comes between the read of some events and their write. */
+/**
+ * What an attempt forwards when its stream is malformed, or when it ends between the read of events and their write.
+ */
 public class AttemptTest {
     private static final String ID = "r1";
     private static final ServiceName SERVICE = new ServiceName("llm");
@@ -39,7 +41,7 @@
     private final List<AttemptEnd> ends = new ArrayList<>();
 
     @BeforeMethod
-    public void forget() {
+    public void reset() {
         written.clear();
         ends.clear();
     }
@@ -49,12 +51,12 @@
         List<WeightedService> split = List.of(new WeightedService(SERVICE, 1));
         Route route =
                 new Route("chat", "host", "/chat/", RouteKind.STREAMING, 9_000, 500, 200, 1, 2, false, true, split);
-        Exchange.Call call = new Exchange.Call(
+        Exchange.ClientRequest call = new Exchange.ClientRequest(
                 CallHead.decode(fields), "POST", "/chat/a", fields, new byte[0], route, Optional.empty(), 1, 0, 9_000);
         return new Exchange(call, clientResponse(), Callback.NOOP, () -> false, null);
     }
 
-    /** Takes what is written to the client; answers nothing else that an attempt asks for. */
+    /** Records what is written to the client; supports no other calls than those of an attempt. */
     private org.eclipse.jetty.server.Response clientResponse() {
         return fake(org.eclipse.jetty.server.Response.class, (name, args) -> {
             if (name.equals("write")) {
@@ -90,15 +92,15 @@
         return TestEngines.empty("e1", new HostPort("127.0.0.1", 1));
     }
 
-    /** One chunk; what is given runs when the reader has taken its bytes. */
-    private static Content.Chunk chunk(String text, Runnable taken) {
+    /** A chunk that runs an action when the reader releases it. */
+    private static Content.Chunk chunk(String text, Runnable onRelease) {
         ByteBuffer bytes = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
-        return Content.Chunk.from(bytes, false, ignored -> taken.run());
+        return Content.Chunk.from(bytes, false, ignored -> onRelease.run());
     }
 
-    /** Guards against begun streams that fall silent for good because an engine's bytes never make an event. */
+    /** Guards against streams that stall for good because an engine sends bytes that never complete an event. */
     @Test
-    public void bytesWithoutAnEventEndTheAttemptAndNotTheExchange() {
+    public void oversizedEventEndsTheAttemptButNotTheExchange() {
         Exchange exchange = exchange();
         Attempt attempt = attempt(exchange);
         Response response = engineResponse();
@@ -109,28 +111,27 @@
         assertEquals(ends.size(), 1);
         assertNotEquals(ends.get(0).kind(), AttemptEnd.Kind.CLIENT_GONE);
         assertEquals(written, List.of("id: 0\ndata: x\n\n"));
-        assertEquals(exchange.lastEvent(), Optional.of(0L), "another attempt goes on after it");
+        assertEquals(exchange.lastEventId(), Optional.of(0L), "another attempt resumes after it");
         assertFalse(exchange.isEnded());
     }
 
     /**
-     * An engine sends an event. Just when it has been read, the router cancels the attempt, because the engine is held to
-     * be lost, and is told that it is over; a repeat will go on after the last event that the client has. The event in
-     * between must stay out: passed on, the client would get it twice, or its write would meet the repeat's on the same
-     * connection and both would fail, which the gateway took for a client that has left, and closed the connection. Read
-     * from the code; no run has shown it.
+     * Guards against events that are forwarded after the attempt has ended: the router cancels the attempt between the
+     * read of an event and its write, and a retry resumes after the last event that the client has. The client would
+     * get the event twice, or the write would overlap with the retry's on the same connection; both would fail, and the
+     * gateway would take this for a disconnected client and close the connection.
      */
     @Test
-    public void eventsThatAreReadWhenTheAttemptEndsAreNotPassedOn() {
+    public void eventsReadBeforeTheEndOfTheAttemptAreNotWrittenAfterIt() {
         Exchange exchange = exchange();
         Attempt attempt = attempt(exchange);
         Response response = engineResponse();
         Result failed = new Result(null, null, response, new IllegalStateException("cancelled"));
         Content.Chunk event = chunk("id: 0\ndata: x\n\n", () -> attempt.onComplete(failed));
         attempt.onContent(response, source(event));
-        assertEquals(ends.size(), 1, "the end is told");
+        assertEquals(ends.size(), 1, "the end is reported");
         assertEquals(written, List.of());
-        assertEquals(exchange.lastEvent(), Optional.empty());
+        assertEquals(exchange.lastEventId(), Optional.empty());
     }
 
     private Attempt attempt(Exchange exchange) {
@@ -139,7 +140,7 @@
         return new Attempt(null, exchange, engine(), head, () -> 1, (any, end) -> ends.add(end));
     }
 
-    /** Gives these chunks, and no more. */
+    /** A source of exactly these chunks. */
     private static Content.Source source(Content.Chunk... given) {
         List<Content.Chunk> chunks = new ArrayList<>(List.of(given));
         return new Content.Source() {
@@ -150,12 +151,12 @@
 
             @Override
             public void demand(Runnable callback) {
-                // nothing more comes
+                // there are no more chunks
             }
 
             @Override
             public void fail(Throwable failure) {
-                // the end is told by the test
+                // the test reports the end itself
             }
         };
     }
--- a/gateway/src/test/java/org/cornelramp/gateway/request/ClientProbeTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/request/ClientDisconnectProbeTest.java
@@ -15,9 +15,12 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Clients that leave, and clients that send ahead, while a request of theirs is under way. */
-public class ClientProbeTest {
-    /** Longer than the test waits for anything, so no event can show the gateway that a client has left. */
+/** Clients that disconnect, and clients that pipeline a request, while a request of theirs is in progress. */
+public class ClientDisconnectProbeTest {
+    /**
+     * Longer than any wait of the test, so that no failed write of an event can reveal that the client has
+     * disconnected.
+     */
     private static final long NO_EVENT_MILLIS = 30_000;
 
     private GatewayFixture fixture;
@@ -43,12 +46,12 @@
     }
 
     /**
-     * A client sends a prompt and closes its connection before the first event, while the engine is still reading. The
-     * gateway has nothing to write, so no failed write tells it. It must notice by itself and close its connection to
-     * the engine, or the engine works on for nobody until the deadline.
+     * Guards against an engine that works for a disconnected client until the deadline: the client closes its
+     * connection before the first event, and the gateway has nothing to write, so no failed write reveals it. The
+     * gateway must detect the close and close its connection to the engine.
      */
     @Test
-    public void aClientThatLeavesBeforeTheFirstEventFreesItsEngine() throws Exception {
+    public void disconnectBeforeTheFirstEventReleasesTheEngine() throws Exception {
         for (StandInServer engine : new StandInServer[] {fixture.firstEngine, fixture.secondEngine}) {
             engine.setBehaviour(Behaviour.ordinary().withPauseMillis(NO_EVENT_MILLIS));
         }
@@ -58,33 +61,33 @@
         }
         GatewayFixture.await(
                 () -> fixture.log().lines().anyMatch(line -> line.contains("leaves") && line.contains("client gone")),
-                "the gateway breaks the request off");
+                "the gateway aborts the request");
     }
 
     /**
-     * A client sends its next request while the answer to the first is under way. The probe reads those bytes; they
-     * are the start of a request, so both requests get their answers, in order.
+     * Guards against the loss of a pipelined request: the probe reads the first bytes of the client's next request
+     * while the first one is in progress. Both requests must be answered, in order.
      */
     @Test
-    public void aRequestThatIsSentAheadIsAnsweredNext() throws Exception {
+    public void pipelinedRequestIsAnsweredNext() throws Exception {
         for (StandInServer app : new StandInServer[] {fixture.firstApp, fixture.secondApp}) {
-            app.setBehaviour(Behaviour.ordinary().withPauseMillis(3 * ClientProbe.INTERVAL_MILLIS));
+            app.setBehaviour(Behaviour.ordinary().withPauseMillis(3 * ClientDisconnectProbe.INTERVAL_MILLIS));
         }
         try (Socket client = connect()) {
             send(client, "/look/a", "first");
             GatewayFixture.await(() -> fixture.received("first") == 1, "the first request runs");
             send(client, "/look/a", "second");
-            BufferedReader answers =
+            BufferedReader responses =
                     new BufferedReader(new InputStreamReader(client.getInputStream(), StandardCharsets.UTF_8));
-            assertEquals(nextAnswered(answers), "first");
-            assertEquals(nextAnswered(answers), "second");
+            assertEquals(nextResponseId(responses), "first");
+            assertEquals(nextResponseId(responses), "second");
         }
     }
 
-    private static String nextAnswered(BufferedReader answers) throws IOException {
-        String line = answers.readLine();
+    private static String nextResponseId(BufferedReader responses) throws IOException {
+        String line = responses.readLine();
         while (line != null && !line.toLowerCase(Locale.ROOT).startsWith("x-attempt-id: ")) {
-            line = answers.readLine();
+            line = responses.readLine();
         }
         return line == null ? "none" : line.substring("x-attempt-id: ".length());
     }
--- a/gateway/src/test/java/org/cornelramp/gateway/request/EventSplitterProperties.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/request/EventSplitterProperties.java
@@ -9,11 +9,14 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** However the bytes of a stream arrive, whole events leave, in order, and the last id is that of the last of them. */
+/**
+ * However a stream is cut into chunks, the splitter returns whole events in order, and the last id is that of the last
+ * event.
+ */
 class EventSplitterProperties {
 
     @Property(tries = 300, seed = "3")
-    void givesWholeEventsOnly(
+    void returnsWholeEventsOnly(
             @ForAll @IntRange(max = 20) int events,
             @ForAll @Size(max = 60) List<@IntRange(min = 1, max = 30) Integer> cuts) {
         StringBuilder whole = new StringBuilder();
@@ -32,7 +35,7 @@
         for (int cut : cuts) {
             int to = Math.min(bytes.length, at + cut);
             String part = StandardCharsets.UTF_8
-                    .decode(splitter.take(ByteBuffer.wrap(bytes, at, to - at)))
+                    .decode(splitter.consume(ByteBuffer.wrap(bytes, at, to - at)))
                     .toString();
             out.append(part);
             at = to;
@@ -50,16 +53,16 @@
         }
     }
 
-    /** A faulty server sends bytes without the end of an event; they are not kept for ever, and the stream is not whole. */
+    /** Guards against unbounded buffering when a faulty server sends bytes that never complete an event. */
     @Example
-    void keepsNoEventWithoutAnEnd() {
+    void limitsTheSizeOfAnUnfinishedEvent() {
         EventSplitter splitter = new EventSplitter();
         byte[] part = new byte[1 << 16];
         for (int i = 0; i <= 1 << 4; i++) {
-            splitter.take(ByteBuffer.wrap(part));
+            splitter.consume(ByteBuffer.wrap(part));
         }
         if (!splitter.hasOverflowed() || splitter.isWhole()) {
-            throw new AssertionError("an event without an end is kept");
+            throw new AssertionError("an unfinished event is buffered without limit");
         }
     }
 }
--- a/gateway/src/test/java/org/cornelramp/gateway/route/PeerUpdateHandlerTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/route/PeerUpdateHandlerTest.java
@@ -10,8 +10,8 @@
 import org.cornelramp.core.model.DataCentre;
 import org.cornelramp.core.retry.RetryLoanUpdate;
 import org.cornelramp.core.settings.GatewaySettings;
-import org.cornelramp.gateway.peer.PeerNews;
-import org.cornelramp.gateway.peer.PeerTurns;
+import org.cornelramp.gateway.peer.PeerUpdate;
+import org.cornelramp.gateway.peer.PeerRotation;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
@@ -21,7 +21,7 @@
     private static final long RECEIVED_MILLIS = 10_000;
 
     /** Longer than a peer may be silent. */
-    private static final long SILENCE_MILLIS = PeerTurns.silenceMillis(1) + 500;
+    private static final long SILENCE_MILLIS = PeerRotation.silenceMillis(1) + 500;
 
     private FleetState fleet;
     private SharedRetries sharedRetries;
@@ -35,9 +35,9 @@
     }
 
     private void receiveUpdate(long now) {
-        PeerNews.Sender peer = new PeerNews.Sender("g2", 1, HERE);
+        PeerUpdate.Sender peer = new PeerUpdate.Sender("g2", 1, HERE);
         peerUpdateHandler.handleUpdate(
-                PeerNews.of(peer, 1, false, Map.of(), 0, Map.of(), Set.of(), RetryLoanUpdate.NONE), now);
+                PeerUpdate.of(peer, 1, false, Map.of(), 0, Map.of(), Set.of(), RetryLoanUpdate.NONE), now);
         peerUpdateHandler.refreshUpdate(now);
         assertEquals(sharedRetries.peers(), 1);
     }
