--- a/core/src/main/java/org/cornelramp/core/member/Membership.java
+++ b/core/src/main/java/org/cornelramp/core/member/Membership.java
@@ -90,7 +90,8 @@
     }
 
     /** Records a heartbeat. */
-    public void recordHeartbeat(Incarnation incarnation, AgentState state, AgentLoad load, Optional<Offer> offer, Instant now) {
+    public void recordHeartbeat(
+            Incarnation incarnation, AgentState state, AgentLoad load, Optional<Offer> offer, Instant now) {
         members.computeIfPresent(
                 incarnation.server(),
                 (server, member) -> member.incarnation().equals(incarnation)
--- a/core/src/main/java/org/cornelramp/core/route/CompletionTimeEstimator.java
+++ b/core/src/main/java/org/cornelramp/core/route/CompletionTimeEstimator.java
@@ -136,7 +136,8 @@
      */
     private static double requestCount(Candidate c) {
         double reported = c.load().running() + c.load().waiting();
-        return Math.max(reported, c.outstandingCalls() * (double) Math.max(1, c.load().linkedEntries()));
+        return Math.max(
+                reported, c.outstandingCalls() * (double) Math.max(1, c.load().linkedEntries()));
     }
 
     private double callSeconds(Candidate c, boolean includeWaiting) {
--- a/core/src/main/java/org/cornelramp/core/table/SnapshotPosition.java
+++ b/core/src/main/java/org/cornelramp/core/table/SnapshotPosition.java
@@ -10,6 +10,8 @@
 
     /** Whether this snapshot is preferable: it covers more records, or the same number and is retained for longer. */
     boolean isBetterThan(SnapshotPosition other) {
-        return coveredOffset != other.coveredOffset ? coveredOffset > other.coveredOffset : appendedAtMillis > other.appendedAtMillis;
+        return coveredOffset != other.coveredOffset
+                ? coveredOffset > other.coveredOffset
+                : appendedAtMillis > other.appendedAtMillis;
     }
 }
--- a/core/src/main/java/org/cornelramp/core/table/SnapshotSchedule.java
+++ b/core/src/main/java/org/cornelramp/core/table/SnapshotSchedule.java
@@ -63,7 +63,8 @@
         boolean mayRetry =
                 lastAttempt.isEmpty() || !now.isBefore(lastAttempt.get().plus(RETRY_DELAY));
         boolean write = delayPassed && mayRetry;
-        return new Decision(new SnapshotSchedule(Optional.of(newDueSince), write ? Optional.of(now) : lastAttempt), write);
+        return new Decision(
+                new SnapshotSchedule(Optional.of(newDueSince), write ? Optional.of(now) : lastAttempt), write);
     }
 
     /** Only a process that has read to the end of the log knows the newest snapshot. */
@@ -75,7 +76,9 @@
         long coveredOffset = newest.map(SnapshotPosition::coveredOffset).orElse(0L);
         boolean isUnusable = coveredOffset < state.bounds().oldest();
         boolean isFarBehind = state.table().offset() - coveredOffset > MAX_RECORDS_BEHIND;
-        long newestMillis = newest.map(SnapshotPosition::appendedAtMillis).or(state::firstRecordMillis).orElse(now.toEpochMilli());
+        long newestMillis = newest.map(SnapshotPosition::appendedAtMillis)
+                .or(state::firstRecordMillis)
+                .orElse(now.toEpochMilli());
         boolean isOld = now.toEpochMilli() - newestMillis > maxAge.toMillis();
         return isUnusable || isFarBehind || isOld;
     }
--- a/core/src/main/java/org/cornelramp/core/table/TableFold.java
+++ b/core/src/main/java/org/cornelramp/core/table/TableFold.java
@@ -30,7 +30,9 @@
         Optional<TableEdit> edit = TableRecords.readEdit(record);
         if (edit.isEmpty()) {
             return new FoldResult(
-                    next, new RecordOutcome(RecordOutcome.Kind.IGNORED, FoldedTable.NO_VERSION, "The record is not an edit."));
+                    next,
+                    new RecordOutcome(
+                            RecordOutcome.Kind.IGNORED, FoldedTable.NO_VERSION, "The record is not an edit."));
         }
         return findRejection(table, edit.get())
                 .map(rejection -> new FoldResult(next, rejection))
@@ -44,7 +46,8 @@
     public static Optional<RecordOutcome> findRejection(FoldedTable table, TableEdit edit) {
         long version = table.version(edit.key());
         if (edit.baseVersion() != version) {
-            return Optional.of(new RecordOutcome(RecordOutcome.Kind.LOST_RACE, version, lostRaceDetail(table, edit, version)));
+            return Optional.of(
+                    new RecordOutcome(RecordOutcome.Kind.LOST_RACE, version, lostRaceDetail(table, edit, version)));
         }
         List<ColumnFault> faults = edit.values().map(RowChecks::validate).orElse(List.of());
         if (!faults.isEmpty()) {
@@ -88,6 +91,8 @@
                 : new FoldResult(
                         next,
                         new RecordOutcome(
-                                RecordOutcome.Kind.IGNORED, table.version(edit.key()), "The row to delete does not exist."));
+                                RecordOutcome.Kind.IGNORED,
+                                table.version(edit.key()),
+                                "The row to delete does not exist."));
     }
 }
--- a/core/src/main/java/org/cornelramp/core/table/TableReadState.java
+++ b/core/src/main/java/org/cornelramp/core/table/TableReadState.java
@@ -144,7 +144,8 @@
         if (phase != Phase.STUCK || peer.offset() <= table.offset()) {
             return this;
         }
-        return new TableReadState(Phase.TAIL, peer, bounds, 0, 0, peer, newestSnapshot, firstRecordMillis, divergentSnapshots);
+        return new TableReadState(
+                Phase.TAIL, peer, bounds, 0, 0, peer, newestSnapshot, firstRecordMillis, divergentSnapshots);
     }
 
     private TableReadState fold(LogBounds newBounds, List<LoggedRecord> records) {
@@ -226,14 +227,16 @@
 
     private static FoldedTable newerSnapshot(FoldedTable bestFound, LoggedRecord record, LogBounds newBounds) {
         return snapshotOf(record)
-                .filter(snapshot -> snapshot.coveredOffset() > bestFound.offset() && snapshot.coveredOffset() >= newBounds.oldest())
+                .filter(snapshot ->
+                        snapshot.coveredOffset() > bestFound.offset() && snapshot.coveredOffset() >= newBounds.oldest())
                 .flatMap(TableReadState::decodeSnapshot)
                 .orElse(bestFound);
     }
 
     /** Drops a snapshot that claims to cover its own record or later ones: it cannot be a fold of earlier records. */
     private static Optional<TableRecords.SnapshotRecord> snapshotOf(LoggedRecord record) {
-        return TableRecords.readSnapshot(record.value()).filter(snapshot -> snapshot.coveredOffset() <= record.offset());
+        return TableRecords.readSnapshot(record.value())
+                .filter(snapshot -> snapshot.coveredOffset() <= record.offset());
     }
 
     private static Optional<FoldedTable> decodeSnapshot(TableRecords.SnapshotRecord snapshot) {
@@ -251,7 +254,8 @@
     }
 
     private static Optional<SnapshotPosition> positionOf(LoggedRecord record) {
-        return snapshotOf(record).map(snapshot -> new SnapshotPosition(snapshot.coveredOffset(), record.appendedAtMillis()));
+        return snapshotOf(record)
+                .map(snapshot -> new SnapshotPosition(snapshot.coveredOffset(), record.appendedAtMillis()));
     }
 
     private static Optional<SnapshotPosition> newerPosition(
--- a/core/src/test/java/org/cornelramp/core/call/PlainCallProperties.java
+++ b/core/src/test/java/org/cornelramp/core/call/PlainCallProperties.java
@@ -138,7 +138,8 @@
             sends++;
             messages.add(() -> {
                 if (cancelled) {
-                    apply(call.replyReceived(AgentReply.of(Problem.notRun(ProblemKind.BACKEND_FAILED, "cancelled")), now));
+                    apply(call.replyReceived(
+                            AgentReply.of(Problem.notRun(ProblemKind.BACKEND_FAILED, "cancelled")), now));
                     return;
                 }
                 ran = true;
--- a/core/src/test/java/org/cornelramp/core/call/UnboundCallRefusalProperties.java
+++ b/core/src/test/java/org/cornelramp/core/call/UnboundCallRefusalProperties.java
@@ -63,7 +63,8 @@
             }
             passTime(random.nextInt(300));
             Instant askedAt = now;
-            UnboundCallRefusal refusal = new UnboundCallRefusal(Problem.notRun(ProblemKind.LOG_UNAVAILABLE, "out"), askedAt.plusMillis(500));
+            UnboundCallRefusal refusal =
+                    new UnboundCallRefusal(Problem.notRun(ProblemKind.LOG_UNAVAILABLE, "out"), askedAt.plusMillis(500));
             if (random.nextInt(8) > 0) {
                 read(now);
             }
--- a/core/src/test/java/org/cornelramp/core/key/KeyIndexProperties.java
+++ b/core/src/test/java/org/cornelramp/core/key/KeyIndexProperties.java
@@ -69,7 +69,8 @@
                     Instant.ofEpochMilli(offset),
                     Optional.of(new KeyRecord.Settled(agent, part, parts, results)));
             boolean complete = partsRead.size() == parts;
-            if (index.isSettled(agent) != complete || index.settledReply(agent, "k0").isPresent() != complete) {
+            if (index.isSettled(agent) != complete
+                    || index.settledReply(agent, "k0").isPresent() != complete) {
                 return false;
             }
         }
@@ -79,7 +80,8 @@
     private static boolean isCorrect(KeyIndex index, Incarnation agent, int parts) {
         boolean listed = true;
         for (int part = 0; part < parts; part++) {
-            listed &= index.settledReply(agent, "k" + part).orElseThrow().result().isPresent();
+            listed &=
+                    index.settledReply(agent, "k" + part).orElseThrow().result().isPresent();
         }
         AgentReply unlisted = index.settledReply(agent, "other").orElseThrow();
         return listed && unlisted.problem().orElseThrow().outcome() == Outcome.NOT_RUN;
--- a/core/src/test/java/org/cornelramp/core/member/MembershipProperties.java
+++ b/core/src/test/java/org/cornelramp/core/member/MembershipProperties.java
@@ -58,7 +58,8 @@
                 }
                 case 3 -> membership.linkLost(present);
                 default ->
-                    membership.recordHeartbeat(incarnation(random.nextInt(6)), AgentState.STARTING, AgentLoad.IDLE, OFFER, now);
+                    membership.recordHeartbeat(
+                            incarnation(random.nextInt(6)), AgentState.STARTING, AgentLoad.IDLE, OFFER, now);
             }
             Member member = membership.members().get(0);
             boolean mustNotTakeWork = listedLeaving
--- a/core/src/test/java/org/cornelramp/core/route/ChooserProperties.java
+++ b/core/src/test/java/org/cornelramp/core/route/ChooserProperties.java
@@ -35,7 +35,8 @@
     void excludedAgentIsNeverChosen(@ForAll long seed, @ForAll ChoicePolicy policy) {
         List<Candidate> fleet = TestFleets.randomFleet(new Random(seed), 30, 4);
         Candidate avoided = fleet.get(7);
-        RoutingRequest request = new RoutingRequest(TestFleets.MODEL, 10, 10, WORK.deadline(), "", java.util.Set.of(avoided.incarnation()));
+        RoutingRequest request = new RoutingRequest(
+                TestFleets.MODEL, 10, 10, WORK.deadline(), "", java.util.Set.of(avoided.incarnation()));
         choose(policy, fleet, request, seed).peek(c -> assertTrue(!c.stages().contains(avoided)));
     }
 
@@ -53,7 +54,8 @@
         });
     }
 
-    private static Either<Problem, Choice> choose(ChoicePolicy policy, List<Candidate> fleet, RoutingRequest request, long seed) {
+    private static Either<Problem, Choice> choose(
+            ChoicePolicy policy, List<Candidate> fleet, RoutingRequest request, long seed) {
         Chooser chooser = policy.newChooser(PrefixHints.NONE);
         return chooser.choose(
                 fleet, request, TestFleets.HERE, StaticLinkCosts.DEFAULTS, TestFleets.NOW, new Random(seed));
--- a/core/src/test/java/org/cornelramp/core/route/ExpectedCompletionChooserTest.java
+++ b/core/src/test/java/org/cornelramp/core/route/ExpectedCompletionChooserTest.java
@@ -46,7 +46,8 @@
         Candidate uncached = TestFleets.stage("cold", 0, 4, 4, TestFleets.load(0, 1_000));
         Candidate cached = TestFleets.stage("warm", 0, 4, 4, TestFleets.load(300, 1_000));
         PrefixHints hints = PrefixHints.NONE.withCached("p", cached.incarnation(), TestFleets.NOW);
-        RoutingRequest request = new RoutingRequest(TestFleets.MODEL, 1_000, 1, TestFleets.NOW.plus(LONG), "p", Set.of());
+        RoutingRequest request =
+                new RoutingRequest(TestFleets.MODEL, 1_000, 1, TestFleets.NOW.plus(LONG), "p", Set.of());
         Chooser chooser = new ExpectedCompletionChooser(hints);
         assertEquals(mostOftenChosen(chooser, List.of(uncached, cached), request), cached);
     }
--- a/core/src/test/java/org/cornelramp/core/table/RowHistoryProperties.java
+++ b/core/src/test/java/org/cornelramp/core/table/RowHistoryProperties.java
@@ -47,7 +47,8 @@
         for (LoggedRecord record : retained) {
             RowKey key = TableRecords.readEdit(record.value()).orElseThrow().key();
             RowHistory history = RowHistory.of(log.table(), key, retained);
-            RecordOutcome outcome = TableFold.apply(log.tables.get((int) record.offset()), record.offset(), record.value())
+            RecordOutcome outcome = TableFold.apply(
+                            log.tables.get((int) record.offset()), record.offset(), record.value())
                     .outcome();
             assertEquals(history.isAccepted(record.offset()), outcome.isAccepted());
         }
--- a/core/src/test/java/org/cornelramp/core/table/SnapshotScheduleTest.java
+++ b/core/src/test/java/org/cornelramp/core/table/SnapshotScheduleTest.java
@@ -64,7 +64,8 @@
                 TableRecords.writeSnapshot(
                         new TableRecords.SnapshotRecord(1, TableSnapshotCodec.write(log.table())), "e1"),
                 START.toEpochMilli());
-        SnapshotSchedule.Decision decision = SnapshotSchedule.start().evaluate(readAll(log), MAX_AGE, "e2", START.plusSeconds(60));
+        SnapshotSchedule.Decision decision =
+                SnapshotSchedule.start().evaluate(readAll(log), MAX_AGE, "e2", START.plusSeconds(60));
         assertFalse(decision.write());
         assertTrue(decision.schedule().dueSince().isEmpty());
     }
@@ -77,8 +78,9 @@
                         new TableRecords.SnapshotRecord(1, TableSnapshotCodec.write(log.table())), "e1"),
                 START.toEpochMilli());
         Instant late = START.plus(MAX_AGE).plusMillis(1);
-        SnapshotSchedule schedule =
-                SnapshotSchedule.start().evaluate(readAll(log), MAX_AGE, "e2", late).schedule();
+        SnapshotSchedule schedule = SnapshotSchedule.start()
+                .evaluate(readAll(log), MAX_AGE, "e2", late)
+                .schedule();
         assertTrue(schedule.evaluate(readAll(log), MAX_AGE, "e2", late.plus(SnapshotSchedule.MAX_DELAY))
                 .write());
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/OutputSender.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/OutputSender.java
@@ -96,9 +96,7 @@
     }
 
     private boolean send(Stage stage, OutputBatch send, Moment now) {
-        return stage.session.spec().isLast()
-                ? sendTokens(stage, send, now)
-                : sendStep(stage, toStep(stage, send), now);
+        return stage.session.spec().isLast() ? sendTokens(stage, send, now) : sendStep(stage, toStep(stage, send), now);
     }
 
     private static Step toStep(Stage stage, OutputBatch send) {
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/AgentRegistry.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/AgentRegistry.java
@@ -68,7 +68,8 @@
         }
         history.seen(agent, peer.offer().map(Offer::service), now);
         healthTracker.agentSeen(agent, peer.offer(), now);
-        Optional<Incarnation> ended = membership.linkOpened(agent, peer.dataCentre(), peer.address(), peer.offer(), now);
+        Optional<Incarnation> ended =
+                membership.linkOpened(agent, peer.dataCentre(), peer.address(), peer.offer(), now);
         ended.ifPresent(healthTracker::removeAgent);
         ended.ifPresent(pendingCloses::remove);
         sendPendingCloses(agent, now);
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/CallRun.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/CallRun.java
@@ -156,7 +156,8 @@
             pendingActions.addAll(state.notChosen(Refusals.overloaded("The organisation's retries are used up.")));
             return;
         }
-        RoutingRequest work = new RoutingRequest(row.service(), 0, 0, call.request().deadline(), "", state.failed());
+        RoutingRequest work =
+                new RoutingRequest(row.service(), 0, 0, call.request().deadline(), "", state.failed());
         Either<Problem, Choice> choice = context.selection().chooseRepeatable(work, now);
         if (choice.isLeft()) {
             pendingActions.addAll(state.notChosen(choice.getLeft()));
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/ChatQueue.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/ChatQueue.java
@@ -12,8 +12,8 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import org.cornelramp.core.admission.FairQueue;
-import org.cornelramp.core.admission.Refusal;
 import org.cornelramp.core.admission.QueuedRequest;
+import org.cornelramp.core.admission.Refusal;
 import org.cornelramp.core.model.LayerRange;
 import org.cornelramp.core.model.Problem;
 import org.cornelramp.core.model.ServiceName;
@@ -68,7 +68,12 @@
      * @param refuser receives other requests that are refused to make room
      */
     Optional<Problem> offer(
-            long id, CallerRequest request, RoutingRequest work, Consumer<Instant> start, RefusalHandler refuser, Instant now) {
+            long id,
+            CallerRequest request,
+            RoutingRequest work,
+            Consumer<Instant> start,
+            RefusalHandler refuser,
+            Instant now) {
         Either<Problem, Choice> idle = selection.chooseAsIfIdle(work, now);
         if (idle.isLeft()) {
             return Optional.of(idle.getLeft());
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/ChatRun.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/ChatRun.java
@@ -169,7 +169,8 @@
 
     private RoutingRequest work() {
         int remainingTokens = Math.max(1, chat.maxTokens() - state.generatedTokens());
-        return new RoutingRequest(chat.model(), promptTokens, remainingTokens, request.deadline(), "", state.failedAgents());
+        return new RoutingRequest(
+                chat.model(), promptTokens, remainingTokens, request.deadline(), "", state.failedAgents());
     }
 
     /** Performs actions from a queue rather than by recursion, because a failed send adds further actions. */
@@ -193,7 +194,8 @@
             emit(emit.tokens(), now);
         } else if (action instanceof SessionAction.SelectStages rechoose) {
             lostAt = lostAt.or(() -> Optional.of(now));
-            tracker.recordDecision(request, now, "rebuild", "why=" + rechoose.reason() + " failed=" + state.failedAgents());
+            tracker.recordDecision(
+                    request, now, "rebuild", "why=" + rechoose.reason() + " failed=" + state.failedAgents());
             rechooseOrDelay(now);
         } else if (action instanceof SessionAction.Close close) {
             agents.closeStage(close.agent(), new CloseStage(session, close.epoch()), request.deadline());
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/DenialRun.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/DenialRun.java
@@ -46,8 +46,8 @@
         Instant arrived = call.request().arrived();
         if (state.isWaiting() && agents.history().isListReadSince(arrived)) {
             apply(
-                    state.ask(
-                            agents.history().possibleHolders(call.request().row().key().service(), call.keyMadeAt(), arrived)),
+                    state.ask(agents.history()
+                            .possibleHolders(call.request().row().key().service(), call.keyMadeAt(), arrived)),
                     now);
         }
         apply(state.tick(now), now);
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/EntryPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/EntryPlugin.java
@@ -119,7 +119,8 @@
         Admission admission = new Admission(
                 settings.bounds().inProgress(), settings.timing().heartbeatMillis(), poisonTracker, random);
         AgentHealthTracker healthTracker = new AgentHealthTracker();
-        AgentRegistry agents = new AgentRegistry(new IncarnationHistory(keyWindow, IdempotencyKey.CLOCK_SKEW), healthTracker);
+        AgentRegistry agents =
+                new AgentRegistry(new IncarnationHistory(keyWindow, IdempotencyKey.CLOCK_SKEW), healthTracker);
         Chooser chooser = settings.choice().newChooser(PrefixHints.NONE);
         Selection selection = new Selection(agents, chooser, settings.dataCentre(), StaticLinkCosts.DEFAULTS, random);
         RequestTracker tracker = new RequestTracker(registry.need(RequestRecorder.class), registry.meters(), admission);
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/EditEndpoint.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/EditEndpoint.java
@@ -20,11 +20,11 @@
 import org.cornelramp.core.operate.OperatorJson;
 import org.cornelramp.core.table.ColumnFault;
 import org.cornelramp.core.table.FoldedTable;
+import org.cornelramp.core.table.RecordOutcome;
 import org.cornelramp.core.table.RowChecks;
 import org.cornelramp.core.table.RowKey;
 import org.cornelramp.core.table.TableEdit;
 import org.cornelramp.core.table.TableFold;
-import org.cornelramp.core.table.RecordOutcome;
 import org.cornelramp.daemon.table.TableKeeper;
 
 /**
--- a/daemon/src/main/java/org/cornelramp/daemon/table/TableFollower.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/table/TableFollower.java
@@ -101,8 +101,8 @@
         node.put("reading", current.phase().name().toLowerCase(java.util.Locale.ROOT));
         node.put("offset", current.table().offset());
         node.put("oldest", current.bounds().oldest());
-        current.newestSnapshot()
-                .ifPresent(mark -> node.put("snapshotCovers", mark.coveredOffset()).put("snapshotAt", mark.appendedAtMillis()));
+        current.newestSnapshot().ifPresent(mark -> node.put("snapshotCovers", mark.coveredOffset())
+                .put("snapshotAt", mark.appendedAtMillis()));
         node.put("divergences", current.divergentSnapshots());
         return node;
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerUpdate.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerUpdate.java
@@ -88,19 +88,49 @@
     /** The same update with addresses of peers. */
     PeerUpdate withRecentPeers(List<HostPort> addresses) {
         return new PeerUpdate(
-                sender, sequenceNumber, leaving, loads, crossings, paces, suspects, repeats, addresses, reading, configVersion);
+                sender,
+                sequenceNumber,
+                leaving,
+                loads,
+                crossings,
+                paces,
+                suspects,
+                repeats,
+                addresses,
+                reading,
+                configVersion);
     }
 
     /** The same update with how far this gateway has read the store for all. */
     PeerUpdate withReading(Optional<ReadCoordinator.ReadPosition> progress) {
         return new PeerUpdate(
-                sender, sequenceNumber, leaving, loads, crossings, paces, suspects, repeats, recentPeers, progress, configVersion);
+                sender,
+                sequenceNumber,
+                leaving,
+                loads,
+                crossings,
+                paces,
+                suspects,
+                repeats,
+                recentPeers,
+                progress,
+                configVersion);
     }
 
     /** The same update with the configuration version that this gateway has in force. */
     PeerUpdate withConfigVersion(long version) {
         return new PeerUpdate(
-                sender, sequenceNumber, leaving, loads, crossings, paces, suspects, repeats, recentPeers, reading, version);
+                sender,
+                sequenceNumber,
+                leaving,
+                loads,
+                crossings,
+                paces,
+                suspects,
+                repeats,
+                recentPeers,
+                reading,
+                version);
     }
 
     /** The same update without the loads, which make up most of its bytes. */
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerUpdateService.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerUpdateService.java
@@ -155,8 +155,8 @@
     }
 
     private void sendRound(DatagramSocket socket) {
-        Set<InetSocketAddress> known =
-                directory.recipients(peers.stream().map(PeerUpdateService::socketAddress).toList(), clock.millis());
+        Set<InetSocketAddress> known = directory.recipients(
+                peers.stream().map(PeerUpdateService::socketAddress).toList(), clock.millis());
         recipients = known.stream().map(PeerUpdateService::hostPort).toList();
         if (known.isEmpty()) {
             return;
@@ -235,7 +235,9 @@
                 .filter(peer -> !peer.equals(address))
                 .forEach(peer -> directory.addIntroduced(socketAddress(peer), clock.millis()));
         long[] previous = latestReceived.get(update.name());
-        boolean outdated = previous != null && previous[0] == update.sender().incarnation() && previous[1] >= update.sequenceNumber();
+        boolean outdated = previous != null
+                && previous[0] == update.sender().incarnation()
+                && previous[1] >= update.sequenceNumber();
         if (!outdated) {
             latestReceived.put(update.name(), new long[] {update.sender().incarnation(), update.sequenceNumber()});
             update.reading().ifPresent(reading -> share.receivePosition(reading, clock.millis()));
--- a/gateway/src/main/java/org/cornelramp/gateway/request/Exchange.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/Exchange.java
@@ -71,7 +71,12 @@
         }
     }
 
-    Exchange(ClientRequest call, Response response, Callback callback, BooleanSupplier closing, ClientDisconnectProbe probe) {
+    Exchange(
+            ClientRequest call,
+            Response response,
+            Callback callback,
+            BooleanSupplier closing,
+            ClientDisconnectProbe probe) {
         this.probe = probe;
         this.request = call;
         this.response = response;
--- a/gateway/src/main/java/org/cornelramp/gateway/route/OverdueAttempts.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/OverdueAttempts.java
@@ -45,7 +45,8 @@
     Optional<String> cancelReason(ActiveRequest request, Attempt attempt, long now) {
         return overdueReason(request, attempt, now)
                 .filter(why -> canRetry(request, attempt, now))
-                .filter(why -> !attempt.hasUnreadBytes()); // the answer has arrived, but this process has not read it yet
+                .filter(why ->
+                        !attempt.hasUnreadBytes()); // the answer has arrived, but this process has not read it yet
     }
 
     private Optional<String> overdueReason(ActiveRequest request, Attempt attempt, long now) {
--- a/gateway/src/main/java/org/cornelramp/gateway/route/PeerUpdateHandler.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/PeerUpdateHandler.java
@@ -10,9 +10,9 @@
 import org.cornelramp.core.model.DataCentre;
 import org.cornelramp.core.path.EngineLoads;
 import org.cornelramp.core.retry.RetryLoanUpdate;
-import org.cornelramp.gateway.peer.PeerUpdateService;
-import org.cornelramp.gateway.peer.PeerUpdate;
 import org.cornelramp.gateway.peer.PeerRotation;
+import org.cornelramp.gateway.peer.PeerUpdate;
+import org.cornelramp.gateway.peer.PeerUpdateService;
 
 /**
  * Prepares the updates that this gateway sends to its peers, and applies the updates of its peers. Confined to the
--- a/gateway/src/main/java/org/cornelramp/gateway/route/RoutingLog.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/RoutingLog.java
@@ -91,7 +91,8 @@
      */
     void brokenOff(ActiveRequest request, String why, String seen, long left, long nowMillis) {
         Exchange exchange = request.exchange();
-        long quietSince = Math.max(exchange.lastEventMillis(), exchange.request().receivedMillis());
+        long quietSince =
+                Math.max(exchange.lastEventMillis(), exchange.request().receivedMillis());
         log.line("request", "broken off")
                 .with("id", exchange.request().id())
                 .with("why", why)
--- a/gateway/src/test/java/org/cornelramp/gateway/follow/ReadCoordinatorTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/follow/ReadCoordinatorTest.java
@@ -29,7 +29,8 @@
      */
     @Test
     public void leaderReadsForAll() {
-        ReadPosition position = leaderThatReadBoth(4, 70).ownPosition(true, NOW + 100).orElseThrow();
+        ReadPosition position =
+                leaderThatReadBoth(4, 70).ownPosition(true, NOW + 100).orElseThrow();
         ReadCoordinator other = new ReadCoordinator(OTHER);
         other.receivePosition(position, NOW + 150);
         assertEquals(other.source(Topic.SERVERS, ERA, 69, false, NOW + 200), Source.READER);
@@ -60,7 +61,9 @@
         ReadCoordinator refused = leaderThatReadBoth(4, 70);
         refused.recordFailure(Topic.SERVERS);
         assertEquals(refused.ownPosition(true, NOW + 1), Optional.empty());
-        assertEquals(leaderThatReadBoth(4, 70).ownPosition(true, NOW + ReadCoordinator.ANSWER_VALID_MILLIS + 1), Optional.empty());
+        assertEquals(
+                leaderThatReadBoth(4, 70).ownPosition(true, NOW + ReadCoordinator.ANSWER_VALID_MILLIS + 1),
+                Optional.empty());
     }
 
     /**
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/UpdateUrgencyTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/UpdateUrgencyTest.java
@@ -14,7 +14,8 @@
 public class UpdateUrgencyTest {
     private static final ServiceName SERVICE = new ServiceName("llm");
 
-    private static PeerUpdate update(Set<BackendServerId> suspects, Map<ServiceName, RetryLoanUpdate.LoanRequest> asks) {
+    private static PeerUpdate update(
+            Set<BackendServerId> suspects, Map<ServiceName, RetryLoanUpdate.LoanRequest> asks) {
         PeerUpdate.Sender sender = new PeerUpdate.Sender("g1", 1, new DataCentre("dc1"));
         return PeerUpdate.of(sender, 1, false, Map.of(), 0, Map.of(), suspects, new RetryLoanUpdate(asks, Map.of()));
     }
--- a/gateway/src/test/java/org/cornelramp/gateway/route/PeerUpdateHandlerTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/route/PeerUpdateHandlerTest.java
@@ -10,8 +10,8 @@
 import org.cornelramp.core.model.DataCentre;
 import org.cornelramp.core.retry.RetryLoanUpdate;
 import org.cornelramp.core.settings.GatewaySettings;
-import org.cornelramp.gateway.peer.PeerUpdate;
 import org.cornelramp.gateway.peer.PeerRotation;
+import org.cornelramp.gateway.peer.PeerUpdate;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
