--- a/bench/src/main/java/org/cornelramp/bench/gateway/Call.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/Call.java
@@ -35,6 +35,6 @@
 
     /** Whether the answer ended as an answer should. */
     boolean isWhole() {
-        return answer.map(StandInCaller.Answer::whole).orElse(false);
+        return answer.map(StandInCaller.Answer::complete).orElse(false);
     }
 }
--- a/bench/src/main/java/org/cornelramp/bench/gateway/GatewayChecks.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/GatewayChecks.java
@@ -13,7 +13,7 @@
 import java.util.stream.Collectors;
 import org.cornelramp.bench.gateway.Disturbances.Target;
 import org.cornelramp.bench.soak.Violations;
-import org.cornelramp.platform.standin.Arrival;
+import org.cornelramp.platform.standin.ObservedRequest;
 import org.cornelramp.platform.standin.StandInConfig;
 import org.cornelramp.platform.standin.StandInHop;
 
@@ -46,18 +46,18 @@
     private static final Set<Target> NO_STOP = EnumSet.complementOf(EnumSet.of(Target.STOP));
 
     private final List<Call> calls;
-    private final List<Arrival> arrivals;
+    private final List<ObservedRequest> arrivals;
     private final Disturbances disturbances;
     private final Violations violations;
-    private final Map<String, List<Arrival>> byRequest;
+    private final Map<String, List<ObservedRequest>> byRequest;
     private final Map<String, Call> byId;
 
-    GatewayChecks(List<Call> calls, List<Arrival> arrivals, Disturbances disturbances, Violations violations) {
+    GatewayChecks(List<Call> calls, List<ObservedRequest> arrivals, Disturbances disturbances, Violations violations) {
         this.calls = calls;
         this.arrivals = arrivals;
         this.disturbances = disturbances;
         this.violations = violations;
-        this.byRequest = arrivals.stream().collect(Collectors.groupingBy(Arrival::requestId));
+        this.byRequest = arrivals.stream().collect(Collectors.groupingBy(ObservedRequest::requestId));
         this.byId = calls.stream().collect(Collectors.toMap(Call::id, call -> call));
     }
 
@@ -105,7 +105,7 @@
 
     private void checkRuns(Call call) {
         long runs = byRequest.getOrDefault(call.id(), List.of()).stream()
-                .filter(Arrival::hasRun)
+                .filter(ObservedRequest::hasRun)
                 .count();
         if (call.kind() == CallKind.BOOK && runs > 1) {
             violations.add("twice", call.id() + " ran " + runs + " times");
@@ -128,8 +128,8 @@
 
     private void checkLeft(Call call) {
         long limit = call.hasLeft() ? call.leftMillis() + LEFT_MILLIS : Long.MAX_VALUE;
-        for (Arrival arrival : byRequest.getOrDefault(call.id(), List.of())) {
-            boolean late = arrival.endMillis() > limit || arrival.millis() > limit;
+        for (ObservedRequest arrival : byRequest.getOrDefault(call.id(), List.of())) {
+            boolean late = arrival.endMillis() > limit || arrival.arrivalMillis() > limit;
             Set<Target> any = EnumSet.allOf(Target.class);
             if (late && !disturbances.struck(any, call.gateway(), call.startMillis() - STABLE_MILLIS, limit)) {
                 violations.add("left", arrival.server() + " works on " + call.id() + " though its client has left");
@@ -150,13 +150,13 @@
         }
     }
 
-    private void checkArrival(Arrival arrival) {
+    private void checkArrival(ObservedRequest arrival) {
         String what = arrival.requestId() + " at " + arrival.server();
-        if (arrival.isKeyShown() || !arrival.organisation().equals(StandInConfig.ORGANISATION)) {
+        if (arrival.isKeyLeaked() || !arrival.organisation().equals(StandInConfig.ORGANISATION)) {
             violations.add("organisation", what + " came with a key or for " + arrival.organisation());
         }
         boolean engine = arrival.service().equals(StandInConfig.ENGINES);
-        if (engine && arrival.hasRun() && !StandInHop.coverOnce(arrival.hops(), GatewayWorld.LAYERS)) {
+        if (engine && arrival.hasRun() && !StandInHop.coverAllLayersOnce(arrival.hops(), GatewayWorld.LAYERS)) {
             violations.add("layers", what + " passed " + arrival.hops());
         }
         Call call = byId.get(arrival.requestId());
@@ -165,13 +165,13 @@
         }
     }
 
-    private void checkDrain(Call call, Arrival arrival) {
+    private void checkDrain(Call call, ObservedRequest arrival) {
         long since = arrival.leavingSinceMillis();
-        boolean late = since != Long.MAX_VALUE && arrival.millis() - since > GatewayWorld.DRAIN_MILLIS;
-        if (late && !disturbances.struck(NO_BACKEND, call.gateway(), since - STABLE_MILLIS, arrival.millis())) {
+        boolean late = since != Long.MAX_VALUE && arrival.arrivalMillis() - since > GatewayWorld.DRAIN_MILLIS;
+        if (late && !disturbances.struck(NO_BACKEND, call.gateway(), since - STABLE_MILLIS, arrival.arrivalMillis())) {
             violations.add(
                     "drain",
-                    call.id() + " reached " + arrival.server() + " " + (arrival.millis() - since)
+                    call.id() + " reached " + arrival.server() + " " + (arrival.arrivalMillis() - since)
                             + " ms after that was registered as leaving");
         }
     }
@@ -183,14 +183,14 @@
                 .map(Call::startMillis)
                 .sorted()
                 .toList();
-        Deque<Arrival> window = new ArrayDeque<>();
+        Deque<ObservedRequest> window = new ArrayDeque<>();
         Set<String> seen = new HashSet<>();
-        Map<Arrival, Boolean> repeats = new HashMap<>();
-        List<Arrival> ordered = new ArrayList<>(arrivals);
-        ordered.sort(Comparator.comparingLong(Arrival::millis));
+        Map<ObservedRequest, Boolean> repeats = new HashMap<>();
+        List<ObservedRequest> ordered = new ArrayList<>(arrivals);
+        ordered.sort(Comparator.comparingLong(ObservedRequest::arrivalMillis));
         int inWindow = 0;
         int worst = 0;
-        for (Arrival arrival : ordered) {
+        for (ObservedRequest arrival : ordered) {
             if (!arrival.service().equals(service) || !arrival.requestId().startsWith("r")) {
                 continue;
             }
@@ -198,10 +198,10 @@
             repeats.put(arrival, repeat);
             window.add(arrival);
             inWindow += repeat ? 1 : 0;
-            while (window.peek().millis() <= arrival.millis() - RETRY_WINDOW_MILLIS) {
+            while (window.peek().arrivalMillis() <= arrival.arrivalMillis() - RETRY_WINDOW_MILLIS) {
                 inWindow -= repeats.get(window.remove()) ? 1 : 0;
             }
-            double allowed = RETRY_RATIO * requestsBefore(requests, arrival.millis()) + RETRY_RESERVE;
+            double allowed = RETRY_RATIO * requestsBefore(requests, arrival.arrivalMillis()) + RETRY_RESERVE;
             worst = inWindow > allowed ? Math.max(worst, inWindow) : worst;
         }
         if (worst > 0) {
--- a/bench/src/main/java/org/cornelramp/bench/gateway/GatewayFault.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/GatewayFault.java
@@ -117,9 +117,9 @@
 
         @Override
         void strike(Struck at) throws InterruptedException {
-            at.world().store().setRefuses(true);
+            at.world().store().setUnavailable(true);
             at.last();
-            at.world().store().setRefuses(false);
+            at.world().store().setUnavailable(false);
         }
     },
     STORE_SLOW(Target.STORE) {
@@ -143,9 +143,9 @@
 
         @Override
         void strike(Struck at) throws InterruptedException {
-            at.world().store().setLosesAnswers(true);
+            at.world().store().setDropsAnswers(true);
             at.last();
-            at.world().store().setLosesAnswers(false);
+            at.world().store().setDropsAnswers(false);
         }
     },
     CONFIG_STORM(Target.BACKEND) {
@@ -163,13 +163,13 @@
             synchronized (at.backend()) {
                 StandInBackend server = at.backend().server();
                 at.backend().relay().refuse(true);
-                server.die();
+                server.crash();
                 at.backend().relay().cut();
                 Thread.sleep(LAPSE_MILLIS);
                 server.unregister();
                 at.last();
                 at.backend().relay().refuse(false);
-                server.begin();
+                server.startIncarnation();
             }
         }
     },
@@ -187,38 +187,38 @@
         void strike(Struck at) throws InterruptedException {
             synchronized (at.backend()) {
                 StandInBackend server = at.backend().server();
-                server.leave();
+                server.registerLeaving();
                 Thread.sleep(GatewayWorld.DRAIN_MILLIS + at.draw(LAPSE_MILLIS));
                 server.unregister();
                 Thread.sleep(at.draw(LAPSE_MILLIS));
-                server.die();
+                server.crash();
                 at.backend().relay().cut();
-                server.begin();
+                server.startIncarnation();
             }
         }
     },
     BACKEND_SLOW(Target.BACKEND) {
         @Override
         void strike(Struck at) throws InterruptedException {
-            at.backend().server().setPace(2 + at.draw(4));
+            at.backend().server().setSlowdown(2 + at.draw(4));
             at.last();
-            at.backend().server().setPace(1);
+            at.backend().server().setSlowdown(1);
         }
     },
     BACKEND_FAILS(Target.BACKEND) {
         @Override
         void strike(Struck at) throws InterruptedException {
-            at.backend().server().setFailing(0.5);
+            at.backend().server().setFailureRate(0.5);
             at.last();
-            at.backend().server().setFailing(0);
+            at.backend().server().setFailureRate(0);
         }
     },
     BACKEND_LOSES_ANSWERS(Target.BACKEND) {
         @Override
         void strike(Struck at) throws InterruptedException {
-            at.backend().server().setLosing(0.3);
+            at.backend().server().setAnswerLossRate(0.3);
             at.last();
-            at.backend().server().setLosing(0);
+            at.backend().server().setAnswerLossRate(0);
         }
     },
     BACKEND_SILENCED(Target.BACKEND) {
--- a/bench/src/main/java/org/cornelramp/bench/gateway/GatewaySoakCommand.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/GatewaySoakCommand.java
@@ -67,7 +67,7 @@
             faults = new GatewayFaults(world, violations, seed, seconds * 1_000L);
             underLoad(world, faults, calls, violations, seed, seconds * 1_000L);
             heal(world, violations);
-            new GatewayChecks(calls.all(), world.fleet().arrivals(), world.disturbances(), violations).run();
+            new GatewayChecks(calls.all(), world.fleet().observedRequests(), world.disturbances(), violations).run();
         }
         report(seed, folder, faults, calls.all(), violations);
         return violations;
--- a/bench/src/main/java/org/cornelramp/bench/gateway/GatewayWorld.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/GatewayWorld.java
@@ -74,7 +74,7 @@
 
     /** Starts all processes and waits until each gateway serves a stream. */
     void start() throws InterruptedException, IOException {
-        backends.forEach(backend -> backend.server().begin());
+        backends.forEach(backend -> backend.server().startIncarnation());
         gateways.forEach(SoakGateway::launch);
         awaitServing(START);
     }
@@ -101,7 +101,7 @@
     private boolean serves(SoakGateway gateway, CallKind kind) {
         String id = "check-" + StandInFleet.nowMillis() + "-" + gateway.name();
         return caller.send(gateway.direct(), kind.path() + "check", id, kind.deadlineMillis())
-                .thenApply(answer -> answer.status() == 200 && answer.whole())
+                .thenApply(answer -> answer.status() == 200 && answer.complete())
                 .join();
     }
 
--- a/daemon/src/main/java/org/cornelramp/daemon/Main.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/Main.java
@@ -96,7 +96,7 @@
     }
 
     private static String readyLine(DaemonSettings settings, Registry registry) {
-        HostPort http = registry.need(HttpServer.class).address();
+        HostPort http = registry.require(HttpServer.class).address();
         String links = settings.links().map(address -> " links=" + address).orElse("");
         return "ready role=" + settings.role().name().toLowerCase(java.util.Locale.ROOT) + " name=" + settings.name()
                 + " http=" + http + links;
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/Agent.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/Agent.java
@@ -237,7 +237,7 @@
     }
 
     private void applyTable(TableUpdate update) {
-        if (tables.takeSnapshot(update.offset(), update.snapshot())) {
+        if (tables.applySnapshot(update.offset(), update.snapshot())) {
             sendHeartbeat.run();
         }
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/AgentComponent.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/AgentComponent.java
@@ -18,7 +18,7 @@
 import org.cornelramp.core.settings.DaemonSettings;
 import org.cornelramp.core.settings.HostPort;
 import org.cornelramp.daemon.kernel.Component;
-import org.cornelramp.daemon.kernel.Duty;
+import org.cornelramp.daemon.kernel.EventLoop;
 import org.cornelramp.wire.link.Link;
 import org.cornelramp.wire.link.LinkCounters;
 import org.cornelramp.wire.link.LinkListener;
@@ -47,7 +47,7 @@
 
     private final AgentServices services;
     private final LinkLoop links;
-    private final Duty<AgentEvent> duty;
+    private final EventLoop<AgentEvent> duty;
     private final Agent agent;
     private volatile HostPort address;
     private volatile boolean drained;
@@ -58,9 +58,9 @@
         this.address = settings.links().orElseThrow();
         LinkOptions options = LinkOptions.of(
                         settings.timing().heartbeatMillis(), settings.bounds().frameBytes())
-                .withOutBytes(settings.bounds().frameBytes() + OUTBOUND_MARGIN_BYTES);
+                .withMaxUnsentBytes(settings.bounds().frameBytes() + OUTBOUND_MARGIN_BYTES);
         this.links = new LinkLoop("agent-links", options, this::hello, this::heartbeat, this);
-        this.duty = new Duty<>("agent", settings.bounds().ringSlots(), this::handle, this::tick, TICK_MILLIS);
+        this.duty = new EventLoop<>("agent", settings.bounds().ringSlots(), this::handle, this::tick, TICK_MILLIS);
         this.agent = buildAgent();
     }
 
@@ -73,12 +73,12 @@
                 new OutputSender.NeighbourLinks() {
                     @Override
                     public void keep(HostPort neighbour) {
-                        links.keep(neighbour);
+                        links.keepConnected(neighbour);
                     }
 
                     @Override
                     public void forget(HostPort neighbour) {
-                        links.forget(neighbour);
+                        links.disconnect(neighbour);
                     }
                 },
                 settings.timing().heartbeatMillis());
@@ -94,7 +94,7 @@
                 sender,
                 services.tables(),
                 isEngine ? services.engine()::offer : services.service()::offer,
-                links::beatNow,
+                links::sendHeartbeatsNow,
                 suspects,
                 services.stopSwitch(),
                 new SettlementWriter(services.incarnation(), services.log(), completions),
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/AgentPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/AgentPlugin.java
@@ -12,7 +12,7 @@
 import org.cornelramp.daemon.kernel.Registry;
 import org.cornelramp.daemon.kernel.StopSwitch;
 import org.cornelramp.daemon.report.LinkMeters;
-import org.cornelramp.daemon.report.StatusBoard;
+import org.cornelramp.daemon.report.StatusSections;
 import org.cornelramp.daemon.table.TableSource;
 import org.cornelramp.ports.EngineClient;
 import org.cornelramp.ports.LogClient;
@@ -47,15 +47,15 @@
                 settings,
                 registry.clock(),
                 incarnation,
-                isEngine ? registry.need(EngineClient.class) : new RefusingEngineClient(),
-                isEngine ? new RefusingServiceClient() : registry.need(ServiceClient.class),
-                registry.need(TableSource.class),
-                registry.need(LogClient.class),
-                registry.need(StopSwitch.class),
+                isEngine ? registry.require(EngineClient.class) : new RefusingEngineClient(),
+                isEngine ? new RefusingServiceClient() : registry.require(ServiceClient.class),
+                registry.require(TableSource.class),
+                registry.require(LogClient.class),
+                registry.require(StopSwitch.class),
                 IdempotencyKey::madeAt));
         registry.add(agent);
-        registry.need(StatusBoard.class).add("agent", agent::status);
-        registry.need(Readiness.class).add("agent", agent::notReadyReason);
+        registry.require(StatusSections.class).add("agent", agent::status);
+        registry.require(Readiness.class).add("agent", agent::notReadyReason);
         AgentMeters.register(registry.meters(), agent);
         new LinkMeters(agent.linkCounters()).bindTo(registry.meters());
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/OutputSender.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/OutputSender.java
@@ -72,7 +72,7 @@
 
     /** Records a link to a neighbour; all outputs that the present epochs sent on an earlier link are sent again. */
     void linkOpened(Link link, Iterable<Stage> stages, Moment now) {
-        Optional<HostPort> address = link.kept();
+        Optional<HostPort> address = link.dialledAddress();
         if (address.isEmpty() || !userCounts.containsKey(address.get())) {
             return;
         }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/EntryLinkListener.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/EntryLinkListener.java
@@ -38,7 +38,7 @@
         if (message instanceof TableRequest request) {
             answerTableRequest(link, request);
         } else if (message instanceof TableUpdate update) {
-            table.takeSnapshot(update.offset(), update.snapshot());
+            table.applySnapshot(update.offset(), update.snapshot());
         } else {
             if (message instanceof Heartbeat heartbeat) {
                 heartbeatReceived(link, heartbeat);
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/EntryPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/EntryPlugin.java
@@ -59,10 +59,10 @@
     public void register(Registry registry) {
         DaemonSettings settings = registry.settings();
         Clock clock = registry.clock();
-        TableSource table = registry.need(TableSource.class);
+        TableSource table = registry.require(TableSource.class);
         RandomGenerator random = new SplittableRandom();
         Router router = new Router(clock, settings.bounds().ringSlots(), random);
-        LogClient log = registry.need(LogClient.class);
+        LogClient log = registry.require(LogClient.class);
         Duration keyWindow = Duration.ofMillis(settings.timing().keyWindowMillis());
         KeyStream stream = new KeyStream(log, new KeyIndex(keyWindow), router);
         PoisonTracker poisonTracker = new PoisonTracker(log, router, random);
@@ -93,7 +93,7 @@
         Duration interval = Duration.ofMillis(settings.timing().vmListMillis());
         new LinkMeters(loop.counters()).bindTo(registry.meters());
         VmListReader reader =
-                new VmListReader(registry.need(VmListClient.class), interval, router, context.agents(), loop);
+                new VmListReader(registry.require(VmListClient.class), interval, router, context.agents(), loop);
         router.connect(context, reader::readSoon);
         router.addTickAction(reader::tick);
         router.addTickAction(stream::tick);
@@ -107,7 +107,7 @@
         registry.add(new LinkComponent(loop));
         registry.add(state);
         addRoutes(
-                registry.need(Routes.class),
+                registry.require(Routes.class),
                 entryContext(registry, intake, table, context.tracker(), state, openAnswers));
         registry.meters().gauge("cornelramp.entry.in.progress", router, Router::inProgress);
     }
@@ -123,7 +123,8 @@
                 new AgentRegistry(new IncarnationHistory(keyWindow, IdempotencyKey.CLOCK_SKEW), healthTracker);
         Chooser chooser = settings.choice().newChooser(PrefixHints.NONE);
         Selection selection = new Selection(agents, chooser, settings.dataCentre(), StaticLinkCosts.DEFAULTS, random);
-        RequestTracker tracker = new RequestTracker(registry.need(RequestRecorder.class), registry.meters(), admission);
+        RequestTracker tracker =
+                new RequestTracker(registry.require(RequestRecorder.class), registry.meters(), admission);
         ChatQueue chatQueue = new ChatQueue(agents, selection, settings.bounds().inProgress(), random);
         return new RouterContext(agents, selection, admission, healthTracker, chatQueue, stream, tracker);
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/FleetPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/FleetPlugin.java
@@ -13,8 +13,8 @@
 import org.cornelramp.core.settings.Role;
 import org.cornelramp.daemon.kernel.Plugin;
 import org.cornelramp.daemon.kernel.Registry;
-import org.cornelramp.daemon.operator.AgentBoard;
-import org.cornelramp.daemon.report.StatusBoard;
+import org.cornelramp.daemon.operator.OperatorAgentAccess;
+import org.cornelramp.daemon.report.StatusSections;
 
 /** Shows operators the agents that this entry knows, and forwards drain requests to agents. Stateless. */
 public final class FleetPlugin implements Plugin {
@@ -37,10 +37,10 @@
 
     @Override
     public void register(Registry registry) {
-        LinkedAgents linkedAgents = registry.need(LinkedAgents.class);
-        FleetView view = registry.need(FleetView.class);
-        registry.need(AgentBoard.class).connect(linkedAgents::tableOffsets, linkedAgents::drain);
-        registry.need(StatusBoard.class)
+        LinkedAgents linkedAgents = registry.require(LinkedAgents.class);
+        FleetView view = registry.require(FleetView.class);
+        registry.require(OperatorAgentAccess.class).connect(linkedAgents::tableOffsets, linkedAgents::drain);
+        registry.require(StatusSections.class)
                 .add(
                         "agents",
                         () -> agents(
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/Router.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/Router.java
@@ -16,7 +16,7 @@
 import org.cornelramp.core.call.AgentReply;
 import org.cornelramp.core.model.Incarnation;
 import org.cornelramp.core.model.Problem;
-import org.cornelramp.daemon.kernel.Duty;
+import org.cornelramp.daemon.kernel.EventLoop;
 import org.cornelramp.wire.link.Link;
 import org.cornelramp.wire.message.Heartbeat;
 import org.cornelramp.wire.message.InvokeResult;
@@ -38,7 +38,7 @@
 
     private final Clock clock;
     private final RandomGenerator random;
-    private final Duty<Runnable> duty;
+    private final EventLoop<Runnable> duty;
     private final Map<Long, ChatRun> chats = new HashMap<>();
     private final Map<Long, CallRun> calls = new HashMap<>();
     private final Map<Long, DenialRun> denials = new HashMap<>();
@@ -51,7 +51,7 @@
     Router(Clock clock, int ringSlots, RandomGenerator random) {
         this.clock = clock;
         this.random = random;
-        this.duty = new Duty<>("router", ringSlots, Runnable::run, this::tick, TICK_MILLIS);
+        this.duty = new EventLoop<>("router", ringSlots, Runnable::run, this::tick, TICK_MILLIS);
     }
 
     /** Sets the collaborators that need the router to be constructed. Called before the start. */
@@ -66,7 +66,7 @@
     }
 
     /** Returns the thread that the kernel starts and stops. */
-    Duty<Runnable> duty() {
+    EventLoop<Runnable> duty() {
         return duty;
     }
 
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/VmListReader.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/VmListReader.java
@@ -72,8 +72,8 @@
         Set<BackendServerId> names = agents.stream().map(ListedAgent::server).collect(Collectors.toSet());
         knownAgents.history().updateList(requestedAt, names, readAt);
         Membership.LinkChange change = knownAgents.membership().updateList(agents);
-        change.forget().forEach(address -> links.forget(HostPort.parse(address)));
-        change.keep().forEach(address -> links.keep(HostPort.parse(address)));
+        change.forget().forEach(address -> links.disconnect(HostPort.parse(address)));
+        change.keep().forEach(address -> links.keepConnected(HostPort.parse(address)));
     }
 
     private static ListedAgent listed(VmList.Vm vm) {
--- a/daemon/src/main/java/org/cornelramp/daemon/kernel/Duty.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/kernel/EventLoop.java
@@ -14,8 +14,8 @@
  *
  * @param <E> type of the events
  */
-public final class Duty<E> implements Component {
-    private static final System.Logger LOG = System.getLogger(Duty.class.getName());
+public final class EventLoop<E> implements Component {
+    private static final System.Logger LOG = System.getLogger(EventLoop.class.getName());
     private static final int SPIN_LIMIT = 64;
 
     private final String name;
@@ -34,7 +34,7 @@
      * @param tick called about every {@code tickMillis}, on the thread of this loop
      * @param tickMillis interval of the tick, in milliseconds
      */
-    public Duty(String name, int slots, Consumer<E> handler, Runnable tick, long tickMillis) {
+    public EventLoop(String name, int slots, Consumer<E> handler, Runnable tick, long tickMillis) {
         this.name = name;
         this.ring = new MpscArrayQueue<>(slots);
         this.handler = handler;
@@ -55,7 +55,7 @@
     }
 
     /** Returns the number of queued events. */
-    public int waiting() {
+    public int queueSize() {
         return ring.size();
     }
 
--- a/daemon/src/main/java/org/cornelramp/daemon/kernel/Registry.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/kernel/Registry.java
@@ -53,7 +53,7 @@
     }
 
     /** Returns the object of this type that an earlier plug-in shared. */
-    public <T> T need(Class<T> type) {
+    public <T> T require(Class<T> type) {
         Object object = shared.get(type);
         if (object == null) {
             throw new IllegalStateException(
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/DrainEndpoint.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/DrainEndpoint.java
@@ -16,11 +16,11 @@
     private static final System.Logger LOG = System.getLogger(DrainEndpoint.class.getName());
 
     private final String processName;
-    private final AgentBoard agents;
+    private final OperatorAgentAccess agents;
     private final EntryList entries;
     private final StopSwitch stop;
 
-    DrainEndpoint(String processName, AgentBoard agents, EntryList entries, StopSwitch stop) {
+    DrainEndpoint(String processName, OperatorAgentAccess agents, EntryList entries, StopSwitch stop) {
         this.processName = processName;
         this.agents = agents;
         this.entries = entries;
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/AgentBoard.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/OperatorAgentAccess.java
@@ -8,7 +8,7 @@
  * Gives the operators' interface access to the agents that are linked to this entry. The plug-in that owns the links
  * calls {@link #connect} while it registers; until then no agent is known. Safe for use by any thread.
  */
-public final class AgentBoard {
+public final class OperatorAgentAccess {
     private volatile Supplier<Map<String, Long>> offsets = Map::of;
     private volatile BiPredicate<String, String> drain = (agent, by) -> false;
 
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/OperatorHandler.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/OperatorHandler.java
@@ -14,7 +14,7 @@
 import org.cornelramp.core.model.ProblemKind;
 import org.cornelramp.core.operate.OperatorJson;
 import org.cornelramp.daemon.http.ProblemWriter;
-import org.cornelramp.daemon.kernel.Duty;
+import org.cornelramp.daemon.kernel.EventLoop;
 import org.eclipse.jetty.http.HttpException;
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.io.Content;
@@ -26,7 +26,7 @@
 import org.eclipse.jetty.util.Promise;
 
 /**
- * Checks an operator's key, enqueues the call to the {@link Duty} that may block, and writes the answer. A call is
+ * Checks an operator's key, enqueues the call to the {@link EventLoop} that may block, and writes the answer. A call is
  * refused if the queue is full. Safe for use by any thread.
  */
 final class OperatorHandler extends Handler.Abstract {
@@ -35,10 +35,10 @@
 
     private final String path;
     private final OperatorAccess access;
-    private final Duty<Runnable> eventLoop;
+    private final EventLoop<Runnable> eventLoop;
     private final Endpoint endpoint;
 
-    OperatorHandler(String path, OperatorAccess access, Duty<Runnable> eventLoop, Endpoint endpoint) {
+    OperatorHandler(String path, OperatorAccess access, EventLoop<Runnable> eventLoop, Endpoint endpoint) {
         this.path = path;
         this.access = access;
         this.eventLoop = eventLoop;
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/OperatorPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/OperatorPlugin.java
@@ -14,22 +14,22 @@
 import org.cornelramp.core.settings.Role;
 import org.cornelramp.daemon.http.Readiness;
 import org.cornelramp.daemon.http.Routes;
-import org.cornelramp.daemon.kernel.Duty;
+import org.cornelramp.daemon.kernel.EventLoop;
 import org.cornelramp.daemon.kernel.Plugin;
 import org.cornelramp.daemon.kernel.Registry;
 import org.cornelramp.daemon.kernel.StopSwitch;
 import org.cornelramp.daemon.report.BurnCounters;
 import org.cornelramp.daemon.report.RequestDecisionLog;
-import org.cornelramp.daemon.report.StatusBoard;
+import org.cornelramp.daemon.report.StatusSections;
 import org.cornelramp.daemon.table.TableKeeper;
 import org.cornelramp.ports.LogClient;
 import org.cornelramp.ports.VmListClient;
 
 /**
- * Serves the operators' interface of an entry, and shares the {@link AgentBoard} that connects it to the agents.
+ * Serves the operators' interface of an entry, and shares the {@link OperatorAgentAccess} that connects it to the agents.
  * Stateless.
  *
- * <p>Calls run on two threads, each a {@link Duty}: one for edits, which may wait for the log for seconds, and one for
+ * <p>Calls run on two threads, each a {@link EventLoop}: one for edits, which may wait for the log for seconds, and one for
  * all other calls, which must not wait behind edits.
  */
 public final class OperatorPlugin implements Plugin {
@@ -54,18 +54,18 @@
 
     @Override
     public void register(Registry registry) {
-        AgentBoard agents = new AgentBoard();
-        registry.share(AgentBoard.class, agents);
-        Duty<Runnable> edits = eventLoop("operator-edits");
-        Duty<Runnable> reads = eventLoop("operator");
+        OperatorAgentAccess agents = new OperatorAgentAccess();
+        registry.share(OperatorAgentAccess.class, agents);
+        EventLoop<Runnable> edits = eventLoop("operator-edits");
+        EventLoop<Runnable> reads = eventLoop("operator");
         registry.add(edits);
         registry.add(reads);
-        TableKeeper keeper = registry.need(TableKeeper.class);
-        LogClient log = registry.need(LogClient.class);
-        EntryList entries = new EntryList(registry.need(VmListClient.class));
+        TableKeeper keeper = registry.require(TableKeeper.class);
+        LogClient log = registry.require(LogClient.class);
+        EntryList entries = new EntryList(registry.require(VmListClient.class));
         String processName = registry.settings().name();
         RouteRegistrar registrar = new RouteRegistrar(
-                registry.need(Routes.class),
+                registry.require(Routes.class),
                 new OperatorAccess(registry.settings().operators()));
         EditService service = new EditService(log, keeper, registry.clock(), EditLimits.DEFAULTS);
         registrar.add("POST", "edits", edits, new EditEndpoint(keeper, service));
@@ -80,16 +80,16 @@
                 "POST",
                 "drain",
                 reads,
-                new DrainEndpoint(processName, agents, entries, registry.need(StopSwitch.class)));
+                new DrainEndpoint(processName, agents, entries, registry.require(StopSwitch.class)));
     }
 
-    private static Duty<Runnable> eventLoop(String name) {
-        return new Duty<>(name, RING_SLOTS, Runnable::run, () -> {}, TICK_MILLIS);
+    private static EventLoop<Runnable> eventLoop(String name) {
+        return new EventLoop<>(name, RING_SLOTS, Runnable::run, () -> {}, TICK_MILLIS);
     }
 
     private static Endpoint status(Registry registry, String processName, EntryList entries) {
-        Readiness readiness = registry.need(Readiness.class);
-        StatusBoard statusSections = registry.need(StatusBoard.class);
+        Readiness readiness = registry.require(Readiness.class);
+        StatusSections statusSections = registry.require(StatusSections.class);
         return call -> {
             List<String> faults = readiness.faults();
             SortedMap<String, JsonNode> sections = statusSections.read();
@@ -98,13 +98,14 @@
         };
     }
 
-    private static Endpoint applied(String processName, TableKeeper keeper, AgentBoard agents, EntryList entries) {
+    private static Endpoint applied(
+            String processName, TableKeeper keeper, OperatorAgentAccess agents, EntryList entries) {
         return call -> Either.right(
                 new AppliedDocument(processName, keeper.folded().offset(), agents.tableOffsets(), entries.live()));
     }
 
     private static Endpoint explain(Registry registry, String processName) {
-        RequestDecisionLog decisions = registry.need(RequestDecisionLog.class);
+        RequestDecisionLog decisions = registry.require(RequestDecisionLog.class);
         return call -> {
             String id = String.join("/", call.pathSegments());
             List<ExplainDocument.Step> steps = decisions.steps(id);
@@ -117,7 +118,7 @@
     }
 
     private static Endpoint burn(Registry registry, String processName, TableKeeper keeper) {
-        BurnCounters counters = registry.need(BurnCounters.class);
+        BurnCounters counters = registry.require(BurnCounters.class);
         Clock clock = registry.clock();
         long since = clock.millis();
         return call -> Either.right(new BurnDocument(
@@ -126,7 +127,7 @@
 
     /** Registers routes that check the operator's key. */
     private record RouteRegistrar(Routes routes, OperatorAccess access) {
-        void add(String method, String path, Duty<Runnable> eventLoop, Endpoint endpoint) {
+        void add(String method, String path, EventLoop<Runnable> eventLoop, Endpoint endpoint) {
             routes.add(method, BASE + path, new OperatorHandler(BASE + path, access, eventLoop, endpoint));
         }
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/report/Recorder.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/report/MeteringRequestRecorder.java
@@ -11,14 +11,14 @@
 import org.cornelramp.core.table.RowKey;
 
 /** Records requests in the decision log, the burn counters and the meters. Safe for use by any thread. */
-final class Recorder implements RequestRecorder {
+final class MeteringRequestRecorder implements RequestRecorder {
     private final RequestDecisionLog decisions;
     private final BurnCounters burnCounters;
     private final Map<Outcome, Counter> outcomes = new EnumMap<>(Outcome.class);
     private final Counter late;
     private final Timer latency;
 
-    Recorder(RequestDecisionLog decisions, BurnCounters burnCounters, MeterRegistry meters) {
+    MeteringRequestRecorder(RequestDecisionLog decisions, BurnCounters burnCounters, MeterRegistry meters) {
         this.decisions = decisions;
         this.burnCounters = burnCounters;
         for (Outcome outcome : Outcome.values()) {
--- a/daemon/src/main/java/org/cornelramp/daemon/report/ReportPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/report/ReportPlugin.java
@@ -4,7 +4,7 @@
 import org.cornelramp.daemon.kernel.Plugin;
 import org.cornelramp.daemon.kernel.Registry;
 
-/** Creates and shares the recorder of requests, its counters, and the {@link StatusBoard}. Stateless. */
+/** Creates and shares the recorder of requests, its counters, and the {@link StatusSections}. Stateless. */
 public final class ReportPlugin implements Plugin {
 
     @Override
@@ -26,9 +26,9 @@
     public void register(Registry registry) {
         RequestDecisionLog decisions = new RequestDecisionLog();
         BurnCounters burnCounters = new BurnCounters();
-        registry.share(RequestRecorder.class, new Recorder(decisions, burnCounters, registry.meters()));
+        registry.share(RequestRecorder.class, new MeteringRequestRecorder(decisions, burnCounters, registry.meters()));
         registry.share(RequestDecisionLog.class, decisions);
         registry.share(BurnCounters.class, burnCounters);
-        registry.share(StatusBoard.class, new StatusBoard());
+        registry.share(StatusSections.class, new StatusSections());
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/report/StatusBoard.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/report/StatusSections.java
@@ -11,7 +11,7 @@
  * The sections of the status document for operators, to which each part of the daemon adds its own. Safe for use by any
  * thread.
  */
-public final class StatusBoard {
+public final class StatusSections {
     private final Map<String, Supplier<JsonNode>> sections = new ConcurrentHashMap<>();
 
     /**
--- a/daemon/src/main/java/org/cornelramp/daemon/table/TableFollower.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/table/TableFollower.java
@@ -133,7 +133,7 @@
         reportDivergence(before, after);
         // States from before the end of the log, as read during the start, are no longer in force.
         if (after.isAtEnd() || keeper.isReady()) {
-            keeper.take(after.table());
+            keeper.replaceIfNewer(after.table());
         }
         SnapshotSchedule.Decision step = plan.evaluate(after, snapshotAge, processName, clock.instant());
         plan = step.schedule();
--- a/daemon/src/main/java/org/cornelramp/daemon/table/TableKeeper.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/table/TableKeeper.java
@@ -37,7 +37,7 @@
      * Replaces the table in force if the new offset is higher, or at the same offset if no table was known yet; returns
      * false if the table was not replaced.
      */
-    public synchronized boolean take(FoldedTable newer) {
+    public synchronized boolean replaceIfNewer(FoldedTable newer) {
         if (newer.offset() < table.offset() || (ready && newer.offset() == table.offset())) {
             return false;
         }
@@ -94,7 +94,7 @@
     }
 
     @Override
-    public boolean takeSnapshot(long offset, byte[] snapshot) {
+    public boolean applySnapshot(long offset, byte[] snapshot) {
         if (ready && offset <= table.offset()) {
             return false;
         }
@@ -105,7 +105,7 @@
                     "table: a peer's table could not be decoded and is ignored; why=" + read.getLeft());
             return false;
         }
-        return take(read.get());
+        return replaceIfNewer(read.get());
     }
 
     @Override
--- a/daemon/src/main/java/org/cornelramp/daemon/table/TablePlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/table/TablePlugin.java
@@ -7,7 +7,7 @@
 import org.cornelramp.daemon.http.Readiness;
 import org.cornelramp.daemon.kernel.Plugin;
 import org.cornelramp.daemon.kernel.Registry;
-import org.cornelramp.daemon.report.StatusBoard;
+import org.cornelramp.daemon.report.StatusSections;
 import org.cornelramp.ports.LogClient;
 
 /** Shares the table in force: an entry reads it from the log, an agent receives it from entries. Stateless. */
@@ -37,18 +37,19 @@
         Supplier<String> logFault = registry.settings().role() == Role.ENTRY
                 ? follow(registry, keeper, meters)
                 : () -> "no entry has sent one yet";
-        registry.need(Readiness.class).add("table", () -> keeper.isReady() ? Optional.empty() : fault(logFault.get()));
+        registry.require(Readiness.class)
+                .add("table", () -> keeper.isReady() ? Optional.empty() : fault(logFault.get()));
     }
 
     private static Supplier<String> follow(Registry registry, TableKeeper keeper, TableMeters meters) {
         TableFollower follower = new TableFollower(
-                registry.need(LogClient.class),
+                registry.require(LogClient.class),
                 keeper,
                 meters,
                 registry.clock(),
                 registry.settings().name(),
                 Duration.ofMillis(registry.settings().timing().snapshotMillis()));
-        registry.need(StatusBoard.class).add("log", follower::status);
+        registry.require(StatusSections.class).add("log", follower::status);
         registry.add(follower);
         return follower::logFault;
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/table/TableSource.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/table/TableSource.java
@@ -15,11 +15,11 @@
     /** Whether a table is known, so that requests can be checked against it. */
     boolean isReady();
 
-    /** Returns the whole table in force, encoded for {@link #takeSnapshot} of a peer. */
+    /** Returns the whole table in force, encoded for {@link #applySnapshot} of a peer. */
     byte[] snapshot();
 
     /**
-     * Returns the changes at and above an offset, encoded for {@link #takeSnapshot} of a peer that applies the table of
+     * Returns the changes at and above an offset, encoded for {@link #applySnapshot} of a peer that applies the table of
      * that offset or a later one. It is small compared with {@link #snapshot}, which is the whole table; offset 0 gives
      * the whole table.
      */
@@ -29,7 +29,7 @@
      * Replaces the table in force by a peer's if that has a higher offset or no table is known yet; returns false if it
      * was not replaced.
      */
-    boolean takeSnapshot(long offset, byte[] snapshot);
+    boolean applySnapshot(long offset, byte[] snapshot);
 
     /** Adds a listener that is called after each change, on the thread that made the change; it must not block. */
     void onChange(Consumer<Table> listener);
--- a/daemon/src/test/java/org/cornelramp/daemon/SecondSignalTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/SecondSignalTest.java
@@ -92,7 +92,7 @@
 
         @Override
         public void register(Registry registry) {
-            registry.add(registry.need(Component.class));
+            registry.add(registry.require(Component.class));
         }
     }
 
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/FakeLink.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/FakeLink.java
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public Optional<HostPort> kept() {
+    public Optional<HostPort> dialledAddress() {
         return Optional.empty();
     }
 
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/FakeTables.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/FakeTables.java
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public synchronized boolean takeSnapshot(long newOffset, byte[] snapshot) {
+    public synchronized boolean applySnapshot(long newOffset, byte[] snapshot) {
         if (newOffset <= offset) {
             return false;
         }
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/TestEntry.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/TestEntry.java
@@ -47,7 +47,7 @@
 
     /** Connects to an agent and waits until the agent accepts work. */
     Link link(TestAgent agent) throws InterruptedException {
-        loop.keep(agent.address());
+        loop.keepConnected(agent.address());
         String name = agent.incarnation.server().value();
         await(() -> heartbeats.containsKey(name) && heartbeats.get(name).state() == AgentState.ACTIVE);
         return links.get(name);
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/EntryFixture.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/EntryFixture.java
@@ -133,7 +133,7 @@
 
     /** Returns the number of agents that the entry sends new work to. */
     long candidates() {
-        return registry.need(FleetView.class).members().stream()
+        return registry.require(FleetView.class).members().stream()
                 .filter(Member::takesWork)
                 .count();
     }
@@ -144,12 +144,12 @@
     }
 
     private boolean isCandidate(FakeAgent agent) {
-        return registry.need(FleetView.class).members().stream()
+        return registry.require(FleetView.class).members().stream()
                 .anyMatch(member -> member.incarnation().equals(agent.incarnation) && member.takesWork());
     }
 
     int port() {
-        return registry.need(HttpServer.class).address().port();
+        return registry.require(HttpServer.class).address().port();
     }
 
     HttpRequest.Builder request(String path) {
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/FakeAgent.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/FakeAgent.java
@@ -65,12 +65,12 @@
     /** Reports a crash of the backend server in a heartbeat at once. */
     void reportCrash(CrashReport report) {
         crashReports.add(report.toString());
-        loop.beatNow();
+        loop.sendHeartbeatsNow();
     }
 
     void changeState(AgentState newState) {
         state = newState;
-        loop.beatNow();
+        loop.sendHeartbeatsNow();
     }
 
     @Override
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/FakeTable.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/FakeTable.java
@@ -42,7 +42,7 @@
     }
 
     @Override
-    public boolean takeSnapshot(long offset, byte[] snapshot) {
+    public boolean applySnapshot(long offset, byte[] snapshot) {
         return false;
     }
 
--- a/daemon/src/test/java/org/cornelramp/daemon/table/LogOutageTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/table/LogOutageTest.java
@@ -29,7 +29,7 @@
             newEntry.start();
             newEntry.awaitLogFault();
             assertFalse(newEntry.keeper.isReady());
-            assertTrue(newEntry.keeper.takeSnapshot(before.offset(), old.keeper.snapshotAbove(0)));
+            assertTrue(newEntry.keeper.applySnapshot(before.offset(), old.keeper.snapshotAbove(0)));
             assertTrue(newEntry.keeper.isReady());
             assertEquals(newEntry.keeper.folded(), before);
             assertEquals(old.keeper.folded(), before);
@@ -59,16 +59,16 @@
             log.append(LogStream.TABLE, List.of(TableRecords.writeEdit(TestEntry.edit("b", 0, 8))))
                     .get();
             entry.tableAt(2);
-            assertFalse(entry.keeper.takeSnapshot(1, older));
+            assertFalse(entry.keeper.applySnapshot(1, older));
             // A peer that announces a higher offset than its snapshot has must not restore an older state either.
-            assertFalse(entry.keeper.takeSnapshot(9, older));
+            assertFalse(entry.keeper.applySnapshot(9, older));
             assertEquals(entry.keeper.folded().offset(), 2);
         }
     }
 
     private static byte[] peerTable(FoldedTable table) {
         TableKeeper peer = new TableKeeper();
-        peer.take(table);
+        peer.replaceIfNewer(table);
         return peer.snapshot();
     }
 }
--- a/wire/src/main/java/org/cornelramp/wire/codec/FrameReader.java
+++ b/wire/src/main/java/org/cornelramp/wire/codec/FrameReader.java
@@ -97,7 +97,7 @@
                 .orElseThrow(() ->
                         new FrameException(FrameException.Kind.UNKNOWN_TYPE, "Message type " + number + " is unknown"));
         try {
-            Message message = FrameMapper.MAPPER.readValue(buffered.array(), body, bodyBytes, type.form());
+            Message message = FrameMapper.MAPPER.readValue(buffered.array(), body, bodyBytes, type.messageClass());
             if (message == null) {
                 throw new FrameException(FrameException.Kind.MALFORMED_BODY, "A " + type + " frame has a null body");
             }
--- a/wire/src/main/java/org/cornelramp/wire/codec/MessageType.java
+++ b/wire/src/main/java/org/cornelramp/wire/codec/MessageType.java
@@ -61,16 +61,16 @@
     static {
         for (MessageType type : values()) {
             BY_NUMBER.put(type.number, type);
-            BY_CLASS.put(type.form, type);
+            BY_CLASS.put(type.messageClass, type);
         }
     }
 
     private final int number;
-    private final Class<? extends Message> form;
+    private final Class<? extends Message> messageClass;
 
     MessageType(int number, Class<? extends Message> form) {
         this.number = number;
-        this.form = form;
+        this.messageClass = form;
     }
 
     /** The type byte in the frame, 1 to 127. */
@@ -79,8 +79,8 @@
     }
 
     /** The message class. */
-    public Class<? extends Message> form() {
-        return form;
+    public Class<? extends Message> messageClass() {
+        return messageClass;
     }
 
     /** The type with this byte; empty if this version knows none. */
--- a/wire/src/main/java/org/cornelramp/wire/link/Link.java
+++ b/wire/src/main/java/org/cornelramp/wire/link/Link.java
@@ -12,8 +12,8 @@
     /** The peer's hello message, received when the link opened. */
     Hello peer();
 
-    /** The address that this process {@link LinkLoop#keep connects} to; empty if the peer connected. */
-    Optional<HostPort> kept();
+    /** The address that this process {@link LinkLoop#keepConnected connects} to; empty if the peer connected. */
+    Optional<HostPort> dialledAddress();
 
     /**
      * Queues a message; false if the link is closed, its buffer is full or the message is too large, and nothing is
--- a/wire/src/main/java/org/cornelramp/wire/link/LinkCounters.java
+++ b/wire/src/main/java/org/cornelramp/wire/link/LinkCounters.java
@@ -5,8 +5,8 @@
 /** Counters of all links of a process, since its start. Safe for use by any thread. */
 public final class LinkCounters {
     final LongAdder opened = new LongAdder();
-    final LongAdder silent = new LongAdder();
-    final LongAdder garbage = new LongAdder();
+    final LongAdder unresponsive = new LongAdder();
+    final LongAdder invalid = new LongAdder();
     final LongAdder skipped = new LongAdder();
     final LongAdder refusedSends = new LongAdder();
     final LongAdder framesIn = new LongAdder();
@@ -20,13 +20,13 @@
     }
 
     /** Links closed because the peer sent nothing or read nothing. */
-    public long silent() {
-        return silent.sum();
+    public long unresponsive() {
+        return unresponsive.sum();
     }
 
     /** Links closed because of invalid frames, or a first message that is not a hello. */
-    public long garbage() {
-        return garbage.sum();
+    public long invalid() {
+        return invalid.sum();
     }
 
     /** Messages skipped because this version does not know their type. */
--- a/wire/src/main/java/org/cornelramp/wire/link/LinkLoop.java
+++ b/wire/src/main/java/org/cornelramp/wire/link/LinkLoop.java
@@ -29,7 +29,7 @@
  * Runs all links of one process on one network thread: it listens, connects and reconnects, sends hello messages and
  * heartbeats, and closes links that are silent, stalled or send invalid data.
  *
- * <p>{@link #listen}, {@link #keep}, {@link #forget} and {@link #beatNow} are safe for use by any thread; the rest
+ * <p>{@link #listen}, {@link #keepConnected}, {@link #disconnect} and {@link #sendHeartbeatsNow} are safe for use by any thread; the rest
  * of the state is confined to the network thread, which also calls the suppliers and the listener. They must not
  * block. Invariant: for each link the first call of the listener is {@code opened} and the last is {@code closed}, each
  * once; a connection whose peer never sends a hello is not reported.
@@ -103,15 +103,15 @@
         return new HostPort(address.host(), ((InetSocketAddress) server.getLocalAddress()).getPort());
     }
 
-    /** Connects to an address, and reconnects whenever the link is lost, until {@link #forget}. */
-    public void keep(HostPort address) {
+    /** Connects to an address, and reconnects whenever the link is lost, until {@link #disconnect}. */
+    public void keepConnected(HostPort address) {
         if (diallers.putIfAbsent(address, new Dialler(address, options)) == null) {
             selector.wakeup();
         }
     }
 
     /** Closes the link to an address and does not reconnect. */
-    public void forget(HostPort address) {
+    public void disconnect(HostPort address) {
         Dialler dialler = diallers.remove(address);
         if (dialler != null) {
             dialler.stop();
@@ -120,7 +120,7 @@
     }
 
     /** Sends a heartbeat on all links immediately; called when its contents have changed. */
-    public void beatNow() {
+    public void sendHeartbeatsNow() {
         heartbeatRequested = true;
         selector.wakeup();
     }
@@ -286,7 +286,7 @@
 
     private void handleInvalidFrame(TcpLink link, FrameException e) {
         if (e.kind().isFatal()) {
-            counters.garbage.increment();
+            counters.invalid.increment();
             close(link, e.getMessage());
         } else {
             counters.skipped.increment();
@@ -300,13 +300,13 @@
             return;
         }
         if (!(message instanceof Hello peerHello)) {
-            counters.garbage.increment();
+            counters.invalid.increment();
             close(link, "the first message is not a hello");
             return;
         }
         link.setPeer(peerHello);
         counters.opened.increment();
-        link.kept().map(diallers::get).ifPresent(Dialler::recordSuccess);
+        link.dialledAddress().map(diallers::get).ifPresent(Dialler::recordSuccess);
         LOG.log(System.Logger.Level.DEBUG, "link: opened; peer=" + link);
         callListener(link, () -> listener.opened(link));
     }
@@ -381,13 +381,14 @@
         boolean sendToAll = heartbeatRequested;
         heartbeatRequested = false;
         for (TcpLink link : new ArrayList<>(links)) {
-            if (link.kept().isPresent() && !diallers.containsKey(link.kept().get())) {
+            if (link.dialledAddress().isPresent()
+                    && !diallers.containsKey(link.dialledAddress().get())) {
                 close(link, "no longer needed");
             } else if (link.silenceDetector.isSilent(now)) {
-                counters.silent.increment();
+                counters.unresponsive.increment();
                 close(link, "silent for " + SilenceDetector.MAX_SILENT_INTERVALS + " heartbeats");
             } else if (link.hasUnsent() && link.silenceDetector.isStalled(now)) {
-                counters.silent.increment();
+                counters.unresponsive.increment();
                 close(link, "read nothing for " + SilenceDetector.MAX_SILENT_INTERVALS + " heartbeats");
             } else if ((link.silenceDetector.pollHeartbeatDue(now) || sendToAll) && link.channel.isConnected()) {
                 link.sendHeartbeat(heartbeat.get());
@@ -401,7 +402,7 @@
             return;
         }
         closeQuietly(link.channel);
-        link.kept()
+        link.dialledAddress()
                 .map(diallers::get)
                 .filter(dialler -> dialler.link == link)
                 .ifPresent(dialler -> dialler.recordFailure(System.nanoTime()));
--- a/wire/src/main/java/org/cornelramp/wire/link/LinkOptions.java
+++ b/wire/src/main/java/org/cornelramp/wire/link/LinkOptions.java
@@ -5,12 +5,12 @@
  *
  * @param heartbeatMillis interval of heartbeats; a link is dead after three intervals without a frame
  * @param frameBytes largest frame in bytes
- * @param outBytes largest number of unsent bytes on one link; a send that would exceed it is refused
+ * @param maxUnsentBytes largest number of unsent bytes on one link; a send that would exceed it is refused
  * @param backoffBaseMillis first delay before reconnecting
  * @param backoffCapMillis longest delay before reconnecting
  */
 public record LinkOptions(
-        long heartbeatMillis, int frameBytes, long outBytes, long backoffBaseMillis, long backoffCapMillis) {
+        long heartbeatMillis, int frameBytes, long maxUnsentBytes, long backoffBaseMillis, long backoffCapMillis) {
     private static final long BACKOFF_BASE_MILLIS = 20;
     private static final long BACKOFF_CAP_MILLIS = 1_000;
 
@@ -20,7 +20,7 @@
     }
 
     /** A copy with another bound on the unsent bytes of one link. */
-    public LinkOptions withOutBytes(long bytes) {
+    public LinkOptions withMaxUnsentBytes(long bytes) {
         return new LinkOptions(heartbeatMillis, frameBytes, bytes, backoffBaseMillis, backoffCapMillis);
     }
 }
--- a/wire/src/main/java/org/cornelramp/wire/link/TcpLink.java
+++ b/wire/src/main/java/org/cornelramp/wire/link/TcpLink.java
@@ -52,7 +52,7 @@
         this.silenceDetector = new SilenceDetector(options.heartbeatMillis() * 1_000_000L, now);
         this.reader = new FrameReader(options.frameBytes());
         this.writer = new FrameWriter(options.frameBytes());
-        this.maxUnsentBytes = options.outBytes();
+        this.maxUnsentBytes = options.maxUnsentBytes();
     }
 
     @Override
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public Optional<HostPort> kept() {
+    public Optional<HostPort> dialledAddress() {
         return kept;
     }
 
--- a/wire/src/test/java/org/cornelramp/wire/link/BadPeerTest.java
+++ b/wire/src/test/java/org/cornelramp/wire/link/BadPeerTest.java
@@ -23,7 +23,7 @@
             try (RawPeer silent = new RawPeer(at)) {
                 assertTrue(silent.awaitClose());
             }
-            assertEquals(a.loop.counters().silent(), 1);
+            assertEquals(a.loop.counters().unresponsive(), 1);
             assertEquals(a.loop.counters().opened(), 0);
         }
     }
@@ -38,7 +38,7 @@
                 assertTrue(a.closed.tryAcquire(10, TimeUnit.SECONDS));
                 assertTrue(peer.awaitClose());
             }
-            assertEquals(a.loop.counters().silent(), 1);
+            assertEquals(a.loop.counters().unresponsive(), 1);
         }
     }
 
@@ -47,7 +47,7 @@
         try (Peer a = new Peer("a");
                 Peer b = new Peer("b")) {
             HostPort at = a.loop.listen(new HostPort("127.0.0.1", 0));
-            b.loop.keep(at);
+            b.loop.keepConnected(at);
             Link validLink = b.opened();
             for (ByteBuffer garbage : new ByteBuffer[] {
                 ByteBuffer.allocate(64).putInt(0, Integer.MAX_VALUE),
@@ -60,7 +60,7 @@
                     assertTrue(peer.awaitClose());
                 }
             }
-            assertEquals(a.loop.counters().garbage(), 4);
+            assertEquals(a.loop.counters().invalid(), 4);
             assertTrue(validLink.send(new TableRequest(5)));
             assertEquals(a.received(), new TableRequest(5));
         }
@@ -85,7 +85,7 @@
      */
     @Test
     public void sendsToAPeerThatDoesNotReadAreRefusedAndItsLinkClosed() throws Exception {
-        LinkOptions small = LinkOptions.of(400, 1 << 16).withOutBytes(100_000);
+        LinkOptions small = LinkOptions.of(400, 1 << 16).withMaxUnsentBytes(100_000);
         try (Peer a = new Peer("a", small)) {
             HostPort at = a.loop.listen(new HostPort("127.0.0.1", 0));
             try (RawPeer peer = new RawPeer(at)) {
@@ -100,7 +100,7 @@
                 }
                 assertTrue(refused);
                 assertTrue(a.closed.tryAcquire(10, TimeUnit.SECONDS));
-                assertEquals(a.loop.counters().silent(), 1);
+                assertEquals(a.loop.counters().unresponsive(), 1);
             }
         }
     }
--- a/wire/src/test/java/org/cornelramp/wire/link/IdleLinkBytesTest.java
+++ b/wire/src/test/java/org/cornelramp/wire/link/IdleLinkBytesTest.java
@@ -21,7 +21,7 @@
     public void anUnchangedHeartbeatTakesFewBytesAndIsReported() throws Exception {
         try (Peer a = new Peer("a", FREQUENT_HEARTBEATS);
                 Peer b = new Peer("b", FREQUENT_HEARTBEATS)) {
-            b.loop.keep(a.loop.listen(new HostPort("127.0.0.1", 0)));
+            b.loop.keepConnected(a.loop.listen(new HostPort("127.0.0.1", 0)));
             assertTrue(b.heartbeats.tryAcquire(FEW, 10, TimeUnit.SECONDS));
             long frames = b.loop.counters().framesIn();
             long bytes = b.loop.counters().bytesIn();
--- a/wire/src/test/java/org/cornelramp/wire/link/LinkLoopTest.java
+++ b/wire/src/test/java/org/cornelramp/wire/link/LinkLoopTest.java
@@ -17,7 +17,7 @@
         try (Peer a = new Peer("a");
                 Peer b = new Peer("b")) {
             HostPort at = a.loop.listen(new HostPort("127.0.0.1", 0));
-            b.loop.keep(at);
+            b.loop.keepConnected(at);
             Link toA = b.opened();
             Link toB = a.opened();
             assertEquals(toA.peer().process(), "a");
--- a/wire/src/test/java/org/cornelramp/wire/link/ReboundPortTest.java
+++ b/wire/src/test/java/org/cornelramp/wire/link/ReboundPortTest.java
@@ -18,14 +18,14 @@
         try (Peer first = new Peer("first")) {
             at = first.loop.listen(new HostPort("127.0.0.1", 0));
             try (Peer caller = new Peer("caller")) {
-                caller.loop.keep(at);
+                caller.loop.keepConnected(at);
                 assertNotNull(caller.opened());
             }
         }
         try (Peer second = new Peer("second");
                 Peer caller = new Peer("caller")) {
             assertEquals(second.loop.listen(at), at);
-            caller.loop.keep(at);
+            caller.loop.keepConnected(at);
             assertEquals(caller.opened().peer().process(), "second");
         }
     }
