--- a/standins/src/main/java/org/cornelramp/standins/Command.java
+++ b/standins/src/main/java/org/cornelramp/standins/Command.java
@@ -5,35 +5,35 @@
 import org.apache.commons.cli.Options;
 import org.cornelramp.standins.http.StandIn;
 
-/** One kind of stand-in on the command line. Implementations are stateless. */
+/** Command-line definition of one kind of stand-in. Implementations are stateless. */
 interface Command {
 
-    /** Name of the kind, the first argument of the program. */
+    /** Name of the kind, given as the first argument of the program. */
     String name();
 
-    /** The options of the kind. */
+    /** Options that this kind accepts, including the common ones. */
     Options options();
 
-    /** Builds the stand-in. */
-    StandIn build(CommandLine line, StandInProcess process);
+    /** Builds the stand-in from the parsed options. */
+    StandIn build(CommandLine commandLine, StandInProcess process);
 
-    /** Options that every kind has. */
-    static Options common() {
-        return new Options().addOption(valued("port")).addOption(valued("trace-file"));
+    /** Options that every kind accepts. */
+    static Options commonOptions() {
+        return new Options().addOption(optionWithValue("port")).addOption(optionWithValue("trace-file"));
     }
 
-    /** An option with a value. */
-    static Option valued(String name) {
+    /** A long option that takes a value. */
+    static Option optionWithValue(String name) {
         return Option.builder().longOpt(name).hasArg().get();
     }
 
-    /** The whole number of an option. */
-    static long number(CommandLine line, String name, long otherwise) {
-        return Long.parseLong(line.getOptionValue(name, Long.toString(otherwise)));
+    /** Value of an option as an integer; the default if the option is absent. */
+    static long longValue(CommandLine commandLine, String name, long defaultValue) {
+        return Long.parseLong(commandLine.getOptionValue(name, Long.toString(defaultValue)));
     }
 
-    /** The number of an option. */
-    static double decimal(CommandLine line, String name, double otherwise) {
-        return Double.parseDouble(line.getOptionValue(name, Double.toString(otherwise)));
+    /** Value of an option as a decimal number; the default if the option is absent. */
+    static double doubleValue(CommandLine commandLine, String name, double defaultValue) {
+        return Double.parseDouble(commandLine.getOptionValue(name, Double.toString(defaultValue)));
     }
 }
--- a/standins/src/main/java/org/cornelramp/standins/EngineCommand.java
+++ b/standins/src/main/java/org/cornelramp/standins/EngineCommand.java
@@ -7,14 +7,14 @@
 import org.cornelramp.standins.engine.EngineStandIn;
 import org.cornelramp.standins.http.StandIn;
 
-/** Builds a model engine from its options. Stateless. */
+/** Builds the stand-in for a model engine from its options. Stateless. */
 final class EngineCommand implements Command {
-    private static final int SLOTS = 16;
-    private static final long BASE_MICROS = 2_000;
-    private static final long INPUT_MICROS = 50;
-    private static final long KV_LIMIT = 1_000_000;
-    private static final long REPORT_LAG_MILLIS = 500;
-    private static final int RANGE_PARTS = 3;
+    private static final int DEFAULT_SLOTS = 16;
+    private static final long DEFAULT_BASE_MICROS = 2_000;
+    private static final long DEFAULT_INPUT_MICROS = 50;
+    private static final long DEFAULT_KV_LIMIT = 1_000_000;
+    private static final long DEFAULT_REPORT_LAG_MILLIS = 500;
+    private static final int LAYER_RANGE_PARTS = 3;
 
     @Override
     public String name() {
@@ -23,40 +23,40 @@
 
     @Override
     public Options options() {
-        return Command.common()
-                .addOption(Command.valued("model"))
-                .addOption(Command.valued("layers"))
-                .addOption(Command.valued("accelerator"))
-                .addOption(Command.valued("version"))
-                .addOption(Command.valued("slots"))
-                .addOption(Command.valued("base-micros"))
-                .addOption(Command.valued("input-micros"))
-                .addOption(Command.valued("kv-limit"))
-                .addOption(Command.valued("check-terms"))
-                .addOption(Command.valued("report-lag-millis"));
+        return Command.commonOptions()
+                .addOption(Command.optionWithValue("model"))
+                .addOption(Command.optionWithValue("layers"))
+                .addOption(Command.optionWithValue("accelerator"))
+                .addOption(Command.optionWithValue("version"))
+                .addOption(Command.optionWithValue("slots"))
+                .addOption(Command.optionWithValue("base-micros"))
+                .addOption(Command.optionWithValue("input-micros"))
+                .addOption(Command.optionWithValue("kv-limit"))
+                .addOption(Command.optionWithValue("check-terms"))
+                .addOption(Command.optionWithValue("report-lag-millis"));
     }
 
     @Override
-    public StandIn build(CommandLine line, StandInProcess process) {
+    public StandIn build(CommandLine commandLine, StandInProcess process) {
         EngineOptions options = new EngineOptions(
-                line.getOptionValue("model", "model"),
-                layers(line.getOptionValue("layers", "0:24:24")),
-                line.getOptionValue("version", "1"),
-                line.getOptionValue("accelerator", "a"),
-                (int) Command.number(line, "slots", SLOTS),
-                Command.number(line, "base-micros", BASE_MICROS),
-                Command.number(line, "input-micros", INPUT_MICROS),
-                Command.number(line, "kv-limit", KV_LIMIT),
-                Boolean.parseBoolean(line.getOptionValue("check-terms", "false")),
-                Command.number(line, "report-lag-millis", REPORT_LAG_MILLIS));
+                commandLine.getOptionValue("model", "model"),
+                parseLayerRange(commandLine.getOptionValue("layers", "0:24:24")),
+                commandLine.getOptionValue("version", "1"),
+                commandLine.getOptionValue("accelerator", "a"),
+                (int) Command.longValue(commandLine, "slots", DEFAULT_SLOTS),
+                Command.longValue(commandLine, "base-micros", DEFAULT_BASE_MICROS),
+                Command.longValue(commandLine, "input-micros", DEFAULT_INPUT_MICROS),
+                Command.longValue(commandLine, "kv-limit", DEFAULT_KV_LIMIT),
+                Boolean.parseBoolean(commandLine.getOptionValue("check-terms", "false")),
+                Command.longValue(commandLine, "report-lag-millis", DEFAULT_REPORT_LAG_MILLIS));
         return new EngineStandIn(
-                options, process.faults(), process.trace(), process.clock(), process.timer(), process.life());
+                options, process.faults(), process.trace(), process.clock(), process.timer(), process.incarnation());
     }
 
-    private static LayerRange layers(String text) {
+    private static LayerRange parseLayerRange(String text) {
         String[] parts = text.split(":", -1);
-        if (parts.length != RANGE_PARTS) {
-            throw new IllegalArgumentException("A layer range reads from:to:total");
+        if (parts.length != LAYER_RANGE_PARTS) {
+            throw new IllegalArgumentException("--layers must have the form from:to:total");
         }
         return new LayerRange(Integer.parseInt(parts[0]), Integer.parseInt(parts[1]), Integer.parseInt(parts[2]));
     }
--- a/standins/src/main/java/org/cornelramp/standins/LogCommand.java
+++ b/standins/src/main/java/org/cornelramp/standins/LogCommand.java
@@ -5,9 +5,9 @@
 import org.cornelramp.standins.http.StandIn;
 import org.cornelramp.standins.log.LogStandIn;
 
-/** Builds the log service from its options. Stateless. */
+/** Builds the stand-in for the log service from its options. Stateless. */
 final class LogCommand implements Command {
-    private static final double APPENDS_PER_SECOND = 400;
+    private static final double DEFAULT_APPENDS_PER_SECOND = 400;
 
     @Override
     public String name() {
@@ -16,18 +16,18 @@
 
     @Override
     public Options options() {
-        return Command.common()
-                .addOption(Command.valued("retention-millis"))
-                .addOption(Command.valued("appends-per-second"));
+        return Command.commonOptions()
+                .addOption(Command.optionWithValue("retention-millis"))
+                .addOption(Command.optionWithValue("appends-per-second"));
     }
 
     @Override
-    public StandIn build(CommandLine line, StandInProcess process) {
+    public StandIn build(CommandLine commandLine, StandInProcess process) {
         return new LogStandIn(
                 process.faults(),
                 process.clock(),
                 process.timer(),
-                Command.number(line, "retention-millis", 0),
-                Command.decimal(line, "appends-per-second", APPENDS_PER_SECOND));
+                Command.longValue(commandLine, "retention-millis", 0),
+                Command.doubleValue(commandLine, "appends-per-second", DEFAULT_APPENDS_PER_SECOND));
     }
 }
--- a/standins/src/main/java/org/cornelramp/standins/Main.java
+++ b/standins/src/main/java/org/cornelramp/standins/Main.java
@@ -9,21 +9,21 @@
 import org.apache.commons.cli.ParseException;
 
 /**
- * Small stand-ins for the platform, each a process of its own, for tests and the demo only.
+ * Runs one stand-in for a service of the platform as a process of its own, for tests and the demo only.
  *
- * <p>The first argument names the kind; once it listens, one line {@code ready kind=… port=…} goes to the output.
+ * <p>The first argument names the kind. Once the stand-in listens, it prints one line {@code ready kind=… port=…}.
  */
 public final class Main {
     private static final int USAGE_STATUS = 2;
     private static final List<Command> COMMANDS = List.of(
             new LogCommand(), new VmsCommand(), new EngineCommand(), new ServiceCommand(), new WeightsCommand());
 
-    /** Held here, since a logger that nobody holds forgets its level. */
+    /** Strong reference: the log manager holds loggers weakly, and a collected logger loses its level. */
     private static final Logger HTTP_LOGGER = Logger.getLogger("org.eclipse.jetty");
 
     private Main() {}
 
-    /** Runs one stand-in until the process is ended. */
+    /** Runs one stand-in until the process is terminated. */
     public static void main(String[] args) throws Exception {
         HTTP_LOGGER.setLevel(Level.WARNING);
         String name = args.length == 0 ? "" : args[0];
@@ -32,8 +32,8 @@
                 .findFirst()
                 .orElse(null);
         if (command == null) {
-            System.err.println(
-                    "Name one of: " + COMMANDS.stream().map(Command::name).toList());
+            System.err.println("The first argument must be one of "
+                    + COMMANDS.stream().map(Command::name).toList());
             System.exit(USAGE_STATUS);
             return;
         }
@@ -42,8 +42,8 @@
 
     private static void run(Command command, String[] args) throws Exception {
         try {
-            CommandLine line = new DefaultParser().parse(command.options(), args);
-            new StandInProcess(command.name(), line.getOptionValue("trace-file")).run(command, line);
+            CommandLine commandLine = new DefaultParser().parse(command.options(), args);
+            new StandInProcess(command.name(), commandLine.getOptionValue("trace-file")).run(command, commandLine);
         } catch (ParseException | IllegalArgumentException e) {
             System.err.println(command.name() + ": " + e.getMessage());
             System.exit(USAGE_STATUS);
--- a/standins/src/main/java/org/cornelramp/standins/ServiceCommand.java
+++ b/standins/src/main/java/org/cornelramp/standins/ServiceCommand.java
@@ -6,10 +6,10 @@
 import org.cornelramp.standins.service.ServiceOptions;
 import org.cornelramp.standins.service.ServiceStandIn;
 
-/** Builds a plain service from its options. Stateless. */
+/** Builds the stand-in for a plain service from its options. Stateless. */
 final class ServiceCommand implements Command {
-    private static final long MILLIS = 20;
-    private static final int SLOTS = 8;
+    private static final long DEFAULT_CALL_MILLIS = 20;
+    private static final int DEFAULT_SLOTS = 8;
 
     @Override
     public String name() {
@@ -18,21 +18,21 @@
 
     @Override
     public Options options() {
-        return Command.common()
-                .addOption(Command.valued("name"))
-                .addOption(Command.valued("version"))
-                .addOption(Command.valued("millis"))
-                .addOption(Command.valued("slots"));
+        return Command.commonOptions()
+                .addOption(Command.optionWithValue("name"))
+                .addOption(Command.optionWithValue("version"))
+                .addOption(Command.optionWithValue("millis"))
+                .addOption(Command.optionWithValue("slots"));
     }
 
     @Override
-    public StandIn build(CommandLine line, StandInProcess process) {
+    public StandIn build(CommandLine commandLine, StandInProcess process) {
         ServiceOptions options = new ServiceOptions(
-                line.getOptionValue("name", "booking"),
-                line.getOptionValue("version", "1"),
-                Command.number(line, "millis", MILLIS),
-                (int) Command.number(line, "slots", SLOTS));
+                commandLine.getOptionValue("name", "booking"),
+                commandLine.getOptionValue("version", "1"),
+                Command.longValue(commandLine, "millis", DEFAULT_CALL_MILLIS),
+                (int) Command.longValue(commandLine, "slots", DEFAULT_SLOTS));
         return new ServiceStandIn(
-                process.faults(), process.trace(), process.clock(), process.timer(), options, process.life());
+                process.faults(), process.trace(), process.clock(), process.timer(), options, process.incarnation());
     }
 }
--- a/standins/src/main/java/org/cornelramp/standins/StandInProcess.java
+++ b/standins/src/main/java/org/cornelramp/standins/StandInProcess.java
@@ -10,27 +10,31 @@
 import org.cornelramp.standins.http.Timer;
 import org.cornelramp.standins.http.Trace;
 
-/** What a stand-in's process has: a clock, a timer, fault switches, a trace and a life. Safe for use by any thread. */
+/**
+ * Objects that a stand-in process shares with its stand-in: clock, timer, fault switches, trace and the incarnation
+ * that identifies this run of the process. Safe for use by any thread.
+ */
 final class StandInProcess {
     private final Faults faults = new Faults();
     private final Clock clock = Clock.systemUTC();
-    private final String life = UUID.randomUUID().toString();
+    private final String incarnation = UUID.randomUUID().toString();
     private final Timer timer;
     private final Trace trace;
 
     /**
      * @param name name of the kind
-     * @param traceFile file that takes the trace; null for none
+     * @param traceFile file to which the trace is appended; null for none
      */
     StandInProcess(String name, String traceFile) {
         this.timer = new Timer(name + "-timer");
-        this.trace = traceFile == null ? new Trace() : new Trace(Path.of(traceFile), life);
+        this.trace = traceFile == null ? new Trace() : new Trace(Path.of(traceFile), incarnation);
     }
 
-    /** Serves until the process is ended. */
-    void run(Command command, CommandLine line) throws Exception {
-        StandIn standIn = command.build(line, this);
-        StandInServer server = new StandInServer(standIn, faults, trace, timer, (int) Command.number(line, "port", 0));
+    /** Builds the stand-in and serves it until the process is terminated. */
+    void run(Command command, CommandLine commandLine) throws Exception {
+        StandIn standIn = command.build(commandLine, this);
+        StandInServer server =
+                new StandInServer(standIn, faults, trace, timer, (int) Command.longValue(commandLine, "port", 0));
         int port = server.start();
         System.out.println("ready kind=" + standIn.kind() + " port=" + port);
         System.out.flush();
@@ -53,7 +57,7 @@
         return timer;
     }
 
-    String life() {
-        return life;
+    String incarnation() {
+        return incarnation;
     }
 }
--- a/standins/src/main/java/org/cornelramp/standins/VmsCommand.java
+++ b/standins/src/main/java/org/cornelramp/standins/VmsCommand.java
@@ -5,7 +5,7 @@
 import org.cornelramp.standins.http.StandIn;
 import org.cornelramp.standins.vms.VmsStandIn;
 
-/** Builds the VM list from its options. Stateless. */
+/** Builds the stand-in for the VM list from its options. Stateless. */
 final class VmsCommand implements Command {
 
     @Override
@@ -15,11 +15,11 @@
 
     @Override
     public Options options() {
-        return Command.common().addOption(Command.valued("lag-millis"));
+        return Command.commonOptions().addOption(Command.optionWithValue("lag-millis"));
     }
 
     @Override
-    public StandIn build(CommandLine line, StandInProcess process) {
-        return new VmsStandIn(process.clock(), Command.number(line, "lag-millis", 0));
+    public StandIn build(CommandLine commandLine, StandInProcess process) {
+        return new VmsStandIn(process.clock(), Command.longValue(commandLine, "lag-millis", 0));
     }
 }
--- a/standins/src/main/java/org/cornelramp/standins/WeightsCommand.java
+++ b/standins/src/main/java/org/cornelramp/standins/WeightsCommand.java
@@ -5,7 +5,7 @@
 import org.cornelramp.standins.http.StandIn;
 import org.cornelramp.standins.weights.WeightsStandIn;
 
-/** Builds the weight store from its options. Stateless. */
+/** Builds the stand-in for the weight store from its options. Stateless. */
 final class WeightsCommand implements Command {
 
     @Override
@@ -15,11 +15,12 @@
 
     @Override
     public Options options() {
-        return Command.common().addOption(Command.valued("loads-per-second"));
+        return Command.commonOptions().addOption(Command.optionWithValue("loads-per-second"));
     }
 
     @Override
-    public StandIn build(CommandLine line, StandInProcess process) {
-        return new WeightsStandIn(process.clock(), process.trace(), Command.decimal(line, "loads-per-second", 1));
+    public StandIn build(CommandLine commandLine, StandInProcess process) {
+        return new WeightsStandIn(
+                process.clock(), process.trace(), Command.doubleValue(commandLine, "loads-per-second", 1));
     }
 }
--- a/standins/src/main/java/org/cornelramp/standins/engine/EngineLoop.java
+++ b/standins/src/main/java/org/cornelramp/standins/engine/EngineLoop.java
@@ -14,19 +14,20 @@
 import org.cornelramp.standins.http.Trace;
 
 /**
- * Batches continuously: each iteration runs some inputs of up to {@code slots} sessions, first priorities first.
+ * Scheduler with continuous batching: each iteration runs some inputs of up to {@code slots} sessions, in the order of
+ * priority (lowest number first) and arrival.
  *
- * <p>One thread runs the iterations; all state is under this object's lock, so all methods are safe for use by any
+ * <p>One thread runs the iterations; all state is guarded by this object's lock, so all methods are safe for use by any
  * thread. Invariant: a step waits for earlier steps of its own session.
  */
 final class EngineLoop {
-    /** Inputs of one step in one iteration. */
-    private static final int CHUNK = 256;
+    /** Inputs of one step in one iteration; more only if the prefix cache saves all but the last of them. */
+    private static final int MAX_CHUNK_INPUTS = 256;
 
-    private static final int MAX_WAITING = 8_192;
+    private static final int MAX_WAITING_STEPS = 8_192;
     private static final int CACHE_BLOCKS = 4_096;
     private static final long NANOS_PER_MICRO = 1_000;
-    private static final long CATCH_UP_NANOS = 20_000_000;
+    private static final long MAX_CATCH_UP_NANOS = 20_000_000;
 
     private final EngineOptions options;
     private final Faults faults;
@@ -36,8 +37,8 @@
     private final PrefixCache cache = new PrefixCache(CACHE_BLOCKS);
     private final PriorityQueue<StepTask> waiting = new PriorityQueue<>();
     private final Thread thread;
-    private long seq;
-    private long ranInputs;
+    private long nextSequence;
+    private long processedInputs;
     private int running;
     private boolean stopped;
     private volatile boolean wasIdle;
@@ -49,7 +50,7 @@
         this.clock = clock;
         LayerRange layers = options.layers();
         this.sessions = new Sessions(layers.to() - layers.from(), options.kvLimit());
-        this.thread = new Thread(this::loop, "iterations");
+        this.thread = new Thread(this::runIterations, "iterations");
         thread.setDaemon(true);
     }
 
@@ -62,12 +63,12 @@
         notifyAll();
     }
 
-    /** Takes a step; empty when too many wait. */
+    /** Queues a step; empty if the queue is full. */
     synchronized Optional<CompletableFuture<EngineMessages.Result>> submit(EngineMessages.Step step) {
-        if (waiting.size() >= MAX_WAITING) {
+        if (waiting.size() >= MAX_WAITING_STEPS) {
             return Optional.empty();
         }
-        StepTask task = new StepTask(step, seq++);
+        StepTask task = new StepTask(step, nextSequence++);
         waiting.add(task);
         notifyAll();
         return Optional.of(task.result);
@@ -94,18 +95,18 @@
         return cache.eventsFrom(from, clock.millis());
     }
 
-    /** The load at this moment; the speed is the caller's to fill in from {@link #ranInputs}. */
+    /** The current load; the caller computes the throughput from {@link #processedInputs}. */
     synchronized EngineMessages.Load load(double tokensPerSecond) {
         return new EngineMessages.Load(
-                clock.millis(), running, waiting.size(), sessions.used(), options.kvLimit(), tokensPerSecond);
+                clock.millis(), running, waiting.size(), sessions.usedPositions(), options.kvLimit(), tokensPerSecond);
     }
 
-    synchronized long ranInputs() {
-        return ranInputs;
+    synchronized long processedInputs() {
+        return processedInputs;
     }
 
-    private void loop() {
-        long due = System.nanoTime();
+    private void runIterations() {
+        long endNanos = System.nanoTime();
         try {
             while (true) {
                 List<StepTask> batch = nextBatch();
@@ -113,24 +114,25 @@
                     return;
                 }
                 long now = System.nanoTime();
-                // A late wake-up of this thread must not make the engine slower than its options say; an iteration
-                // after an idle time starts when its work came.
-                boolean late = !wasIdle && now - due < CATCH_UP_NANOS;
-                long start = late ? due : now;
-                due = start + cost(batch);
-                sleepUntil(due);
-                finish(batch);
+                // If this thread wakes up slightly late, the next iteration counts from the planned end of the last
+                // one, so that the engine is not slower than its options state. An iteration after an idle
+                // period starts when its work arrived.
+                boolean catchesUp = !wasIdle && now - endNanos < MAX_CATCH_UP_NANOS;
+                long start = catchesUp ? endNanos : now;
+                endNanos = start + iterationNanos(batch);
+                sleepUntil(endNanos);
+                runBatch(batch);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private static void sleepUntil(long due) {
-        long left = due - System.nanoTime();
-        while (left > 0) {
-            LockSupport.parkNanos(left);
-            left = due - System.nanoTime();
+    private static void sleepUntil(long endNanos) {
+        long remaining = endNanos - System.nanoTime();
+        while (remaining > 0) {
+            LockSupport.parkNanos(remaining);
+            remaining = endNanos - System.nanoTime();
         }
     }
 
@@ -138,7 +140,7 @@
         List<StepTask> batch = new ArrayList<>();
         wasIdle = false;
         while (!stopped) {
-            takeBatch(batch);
+            fillBatch(batch);
             if (!batch.isEmpty()) {
                 running = batch.size();
                 return batch;
@@ -150,18 +152,18 @@
         return List.of();
     }
 
-    private void takeBatch(List<StepTask> batch) {
-        Set<String> taken = new HashSet<>();
-        List<StepTask> later = new ArrayList<>();
+    private void fillBatch(List<StepTask> batch) {
+        Set<String> batchSessions = new HashSet<>();
+        List<StepTask> deferred = new ArrayList<>();
         while (batch.size() < options.slots() && !waiting.isEmpty()) {
             StepTask task = waiting.poll();
-            if (!taken.add(task.step.session())) {
-                later.add(task);
+            if (!batchSessions.add(task.step.session())) {
+                deferred.add(task);
             } else if (prepare(task)) {
                 batch.add(task);
             }
         }
-        waiting.addAll(later);
+        waiting.addAll(deferred);
     }
 
     private boolean prepare(StepTask task) {
@@ -175,29 +177,31 @@
             fail(task, error.get());
             return false;
         }
-        task.start(step.position() == 0 ? cache.cached(step.inputs()) : 0);
+        task.start(step.position() == 0 ? cache.cachedInputs(step.inputs()) : 0);
         return true;
     }
 
-    private long cost(List<StepTask> batch) {
-        long inputs = batch.stream().mapToLong(task -> task.costly(CHUNK)).sum();
+    private long iterationNanos(List<StepTask> batch) {
+        long inputs = batch.stream()
+                .mapToLong(task -> task.uncachedInputs(MAX_CHUNK_INPUTS))
+                .sum();
         double micros = options.baseMicros() + inputs * (double) options.inputMicros();
         return (long) (micros * faults.number("slow-factor", 1) * NANOS_PER_MICRO);
     }
 
-    private void finish(List<StepTask> batch) {
-        List<StepTask> done = new ArrayList<>();
+    private void runBatch(List<StepTask> batch) {
+        List<StepTask> completed = new ArrayList<>();
         synchronized (this) {
             for (StepTask task : batch) {
                 runChunk(task);
                 if (task.isDone()) {
-                    done.add(task);
+                    completed.add(task);
                 } else if (!task.result.isDone()) {
                     waiting.add(task);
                 }
             }
         }
-        done.forEach(task -> task.result.complete(EngineMessages.Result.of(task.step.session(), task.outputs())));
+        completed.forEach(task -> task.result.complete(EngineMessages.Result.of(task.step.session(), task.outputs())));
     }
 
     private void runChunk(StepTask task) {
@@ -207,14 +211,14 @@
             return;
         }
         LayerRange layers = options.layers();
-        int count = task.nextInputs(CHUNK);
-        trace.add(new EngineMessages.Ran(
+        int count = task.nextChunkSize(MAX_CHUNK_INPUTS);
+        trace.add(new EngineMessages.ChunkEvent(
                 step.session(), step.epoch(), layers.from(), layers.to(), task.nextPosition(), count, clock.millis()));
         for (int i = 0; i < count; i++) {
             long output = sessions.run(step.session(), layers.from(), task.nextInput());
-            task.add(layers.isLast() ? ModelMath.token(output) : output);
+            task.addOutput(layers.isLast() ? ModelMath.token(output) : output);
         }
-        ranInputs += count;
+        processedInputs += count;
         if (task.isDone() && step.position() == 0) {
             cache.add(step.inputs(), clock.millis(), (long) faults.number("event-gap", 0));
         }
--- a/standins/src/main/java/org/cornelramp/standins/engine/EngineMessages.java
+++ b/standins/src/main/java/org/cornelramp/standins/engine/EngineMessages.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Bodies of the engine's HTTP interface. */
+/** JSON bodies of the engine's HTTP interface, and events of its trace. */
 final class EngineMessages {
     private EngineMessages() {}
 
@@ -33,7 +33,7 @@
 
     record CacheEvents(long next, List<CacheEvent> events) {}
 
-    record Ran(String session, int epoch, int layerFrom, int layerTo, int position, int count, long at) {}
+    record ChunkEvent(String session, int epoch, int layerFrom, int layerTo, int position, int count, long at) {}
 
-    record Ordered(long term, String order, String argument, long at) {}
+    record OrderEvent(long term, String order, String argument, long at) {}
 }
--- a/standins/src/main/java/org/cornelramp/standins/engine/EngineStandIn.java
+++ b/standins/src/main/java/org/cornelramp/standins/engine/EngineStandIn.java
@@ -16,16 +16,16 @@
 import org.cornelramp.standins.http.Trace;
 
 /**
- * The HTTP face of an engine that batches continuously. Safe for use by any thread.
+ * HTTP interface of an engine with continuous batching. Safe for use by any thread.
  *
- * <p>Switches beside the common ones: {@code slow-factor}, {@code event-gap} (lose each cache event of that number),
- * {@code crash-on} (a token number: halt when a session starts with a prompt that holds it).
+ * <p>Fault switches in addition to the common ones: {@code slow-factor}, {@code event-gap} (n: lose every n-th cache
+ * event), {@code crash-on} (a token number: halt when a session starts with a prompt that contains it).
  */
 public final class EngineStandIn implements StandIn {
-    private static final String SESSIONS = "/v1/sessions/";
-    private static final long SAMPLE_MILLIS = 100;
+    private static final String SESSIONS_PATH = "/v1/sessions/";
+    private static final long SAMPLE_INTERVAL_MILLIS = 100;
     private static final int MAX_SAMPLES = 100;
-    private static final int SPEED_SAMPLES = 10;
+    private static final int THROUGHPUT_SAMPLES = 10;
     private static final double MILLIS_PER_SECOND = 1_000;
     private static final int ACCEPTED = 202;
     private static final int NOT_FOUND = 404;
@@ -37,24 +37,25 @@
     private final Faults faults;
     private final Trace trace;
     private final Clock clock;
-    private final String life;
+    private final String incarnation;
     private final EngineLoop loop;
-    private final Deque<EngineMessages.Load> samples = new ArrayDeque<>();
-    private final Deque<Long> ran = new ArrayDeque<>();
+    private final Deque<EngineMessages.Load> loadSamples = new ArrayDeque<>();
+    private final Deque<Long> processedInputSamples = new ArrayDeque<>();
     private long newestTerm;
     private volatile String version;
 
-    public EngineStandIn(EngineOptions options, Faults faults, Trace trace, Clock clock, Timer timer, String life) {
+    public EngineStandIn(
+            EngineOptions options, Faults faults, Trace trace, Clock clock, Timer timer, String incarnation) {
         this.options = options;
         this.faults = faults;
         this.trace = trace;
         this.clock = clock;
-        this.life = life;
+        this.incarnation = incarnation;
         this.version = options.version();
         this.loop = new EngineLoop(options, faults, trace, clock);
         loop.start();
-        sample();
-        timer.every(SAMPLE_MILLIS, this::sample);
+        sampleLoad();
+        timer.runEvery(SAMPLE_INTERVAL_MILLIS, this::sampleLoad);
     }
 
     @Override
@@ -74,21 +75,21 @@
 
     @Override
     public CompletableFuture<Reply> handle(Call call) {
-        if (call.is("POST", "/v1/steps")) {
-            return steps(call.json(EngineMessages.Steps.class).steps());
+        if (call.matches("POST", "/v1/steps")) {
+            return submitSteps(call.json(EngineMessages.Steps.class).steps());
         }
-        return CompletableFuture.completedFuture(other(call));
+        return CompletableFuture.completedFuture(handleImmediate(call));
     }
 
-    private Reply other(Call call) {
-        if (call.path().startsWith(SESSIONS)) {
-            return session(call);
+    private Reply handleImmediate(Call call) {
+        if (call.path().startsWith(SESSIONS_PATH)) {
+            return handleSession(call);
         }
         return switch (call.method() + " " + call.path()) {
             case "GET /v1/offer" -> Reply.ok(offer());
-            case "GET /v1/load" -> Reply.ok(shownLoad(clock.millis() - options.reportLagMillis()));
-            case "GET /v1/cache/events" -> Reply.ok(loop.cacheEvents(call.number("from", 0)));
-            case "POST /v1/orders" -> order(call.json(EngineMessages.Order.class));
+            case "GET /v1/load" -> Reply.ok(reportedLoad(clock.millis() - options.reportLagMillis()));
+            case "GET /v1/cache/events" -> Reply.ok(loop.cacheEvents(call.longParameter("from", 0)));
+            case "POST /v1/orders" -> handleOrder(call.json(EngineMessages.Order.class));
             default -> Reply.error(NOT_FOUND, "No such path");
         };
     }
@@ -104,25 +105,27 @@
                 "version", version,
                 "accelerator", options.accelerator(),
                 "slots", options.slots(),
-                "life", life);
+                "life", incarnation);
     }
 
-    private CompletableFuture<Reply> steps(List<EngineMessages.Step> steps) {
-        steps.forEach(this::crashIfAsked);
+    private CompletableFuture<Reply> submitSteps(List<EngineMessages.Step> steps) {
+        steps.forEach(this::crashIfRequested);
         List<CompletableFuture<EngineMessages.Result>> results = new ArrayList<>();
         for (EngineMessages.Step step : steps) {
             Optional<CompletableFuture<EngineMessages.Result>> result = loop.submit(step);
             if (result.isEmpty()) {
-                return CompletableFuture.completedFuture(Reply.error(UNAVAILABLE, "Too many steps wait"));
+                return CompletableFuture.completedFuture(
+                        Reply.error(UNAVAILABLE, "The queue of steps is full; retry later"));
             }
             results.add(result.get());
         }
         return CompletableFuture.allOf(results.toArray(new CompletableFuture<?>[0]))
                 .thenApply(done -> Reply.ok(new EngineMessages.Results(
-                        life, results.stream().map(CompletableFuture::join).toList())));
+                        incarnation,
+                        results.stream().map(CompletableFuture::join).toList())));
     }
 
-    private void crashIfAsked(EngineMessages.Step step) {
+    private void crashIfRequested(EngineMessages.Step step) {
         String token = faults.text("crash-on");
         if (token.isEmpty() || step.position() != 0) {
             return;
@@ -134,8 +137,8 @@
         }
     }
 
-    private Reply session(Call call) {
-        String[] parts = call.path().substring(SESSIONS.length()).split("/", 2);
+    private Reply handleSession(Call call) {
+        String[] parts = call.path().substring(SESSIONS_PATH.length()).split("/", 2);
         String action = call.method() + " " + (parts.length > 1 ? parts[1] : "");
         return switch (action) {
             case "POST cancel" -> {
@@ -152,7 +155,7 @@
         };
     }
 
-    private synchronized Reply order(EngineMessages.Order order) {
+    private synchronized Reply handleOrder(EngineMessages.Order order) {
         if (options.checkTerms() && order.term() < newestTerm) {
             return Reply.of(CONFLICT, Map.of("newest", newestTerm));
         }
@@ -160,29 +163,29 @@
         if (order.kind().equals("set-version")) {
             version = order.argument();
         }
-        trace.add(new EngineMessages.Ordered(order.term(), order.kind(), order.argument(), clock.millis()));
+        trace.add(new EngineMessages.OrderEvent(order.term(), order.kind(), order.argument(), clock.millis()));
         return Reply.of(ACCEPTED, Map.of());
     }
 
-    private synchronized void sample() {
-        ran.addLast(loop.ranInputs());
-        if (ran.size() > SPEED_SAMPLES + 1) {
-            ran.removeFirst();
+    private synchronized void sampleLoad() {
+        processedInputSamples.addLast(loop.processedInputs());
+        if (processedInputSamples.size() > THROUGHPUT_SAMPLES + 1) {
+            processedInputSamples.removeFirst();
         }
-        double seconds = Math.max(1, ran.size() - 1) * SAMPLE_MILLIS / MILLIS_PER_SECOND;
-        samples.addLast(loop.load((ran.getLast() - ran.getFirst()) / seconds));
-        if (samples.size() > MAX_SAMPLES) {
-            samples.removeFirst();
+        double seconds = Math.max(1, processedInputSamples.size() - 1) * SAMPLE_INTERVAL_MILLIS / MILLIS_PER_SECOND;
+        loadSamples.addLast(loop.load((processedInputSamples.getLast() - processedInputSamples.getFirst()) / seconds));
+        if (loadSamples.size() > MAX_SAMPLES) {
+            loadSamples.removeFirst();
         }
     }
 
-    private synchronized EngineMessages.Load shownLoad(long at) {
-        EngineMessages.Load shown = samples.getFirst();
-        for (EngineMessages.Load sample : samples) {
+    private synchronized EngineMessages.Load reportedLoad(long at) {
+        EngineMessages.Load reported = loadSamples.getFirst();
+        for (EngineMessages.Load sample : loadSamples) {
             if (sample.at() <= at) {
-                shown = sample;
+                reported = sample;
             }
         }
-        return shown;
+        return reported;
     }
 }
--- a/standins/src/main/java/org/cornelramp/standins/engine/ModelMath.java
+++ b/standins/src/main/java/org/cornelramp/standins/engine/ModelMath.java
@@ -1,14 +1,14 @@
 package org.cornelramp.standins.engine;
 
 /**
- * The model that stand-in engines run: a chain of hashes in place of a neural network.
+ * The model that the stand-in engines run: a chain of hashes instead of a neural network.
  *
- * <p>Each layer of a session keeps one word in place of its KV cache. The output of a layer depends on its input and
+ * <p>Each layer of a session keeps one 64-bit word instead of a KV cache. The output of a layer depends on its input and
  * on all earlier positions of the session, so a step that is skipped, repeated or run out of order changes every
  * later token. Checkers compute the expected tokens with {@link #generate}. Stateless, safe for use by any thread.
  */
 public final class ModelMath {
-    /** Token numbers run from 0, the end token, to this number less one. */
+    /** Number of tokens: token numbers range from 0, the end token, to this number minus one. */
     public static final int VOCABULARY = 4_096;
 
     private static final long LAYER_STEP = 0x9E3779B97F4A7C15L;
@@ -25,7 +25,7 @@
      * @param input activation before the first layer
      * @return activation after the last layer
      */
-    public static long run(long[] kv, int from, long input) {
+    public static long runLayers(long[] kv, int from, long input) {
         long x = input;
         for (int i = 0; i < kv.length; i++) {
             kv[i] = mix(kv[i], x, from + i);
@@ -34,28 +34,28 @@
         return x;
     }
 
-    /** The token number that an activation after the last layer stands for; never the end token. */
+    /** Maps an activation after the last layer to its token number; never the end token. */
     public static long token(long activation) {
         return 1 + (activation >>> 1) % (VOCABULARY - 1);
     }
 
-    /** The tokens that an undisturbed run of the whole model generates. */
+    /** The tokens that the whole model generates in a run without faults. */
     public static long[] generate(long[] promptTokens, int layers, int count) {
         long[] kv = new long[layers];
         long last = 0;
         for (long prompt : promptTokens) {
-            last = token(run(kv, 0, prompt));
+            last = token(runLayers(kv, 0, prompt));
         }
         long[] generated = new long[count];
         for (int i = 0; i < count; i++) {
             generated[i] = last;
-            last = token(run(kv, 0, last));
+            last = token(runLayers(kv, 0, last));
         }
         return generated;
     }
 
-    /** Continues the hash of a prefix by one input; an empty prefix has hash 0. */
-    public static long prefix(long hash, long input) {
+    /** Extends the hash of a prefix by one input; the empty prefix has hash 0. */
+    public static long prefixHash(long hash, long input) {
         return mix(hash, input, VOCABULARY);
     }
 
--- a/standins/src/main/java/org/cornelramp/standins/engine/PrefixCache.java
+++ b/standins/src/main/java/org/cornelramp/standins/engine/PrefixCache.java
@@ -8,32 +8,32 @@
 import java.util.Map;
 
 /**
- * Which prompt prefixes are cached, in blocks, within a limited memory; and the late events about it.
- * Confined to its owner's lock.
+ * Tracks which prompt prefixes are cached, in blocks, up to a maximum number of blocks with the least recently used
+ * evicted first. Cache events become visible after a delay. Guarded by the owner's lock.
  */
 final class PrefixCache {
-    /** Inputs in one block. */
-    static final int BLOCK = 16;
+    /** Number of inputs in one block. */
+    static final int BLOCK_INPUTS = 16;
 
     private static final int MAX_EVENTS = 20_000;
-    private static final long LATE_MILLIS = 300;
+    private static final long EVENT_DELAY_MILLIS = 300;
 
     private final int maxBlocks;
     private final Map<Long, Boolean> blocks = new LinkedHashMap<>(16, 0.75f, true);
-    private final Deque<Late> events = new ArrayDeque<>();
-    private long next;
+    private final Deque<TimedEvent> events = new ArrayDeque<>();
+    private long nextSequence;
 
     PrefixCache(int maxBlocks) {
         this.maxBlocks = maxBlocks;
     }
 
-    /** Number of leading inputs whose work the cache saves; at least one input is always run. */
-    int cached(long[] inputs) {
+    /** Number of leading inputs that the cache saves; at least one input always runs. */
+    int cachedInputs(long[] inputs) {
         long hash = 0;
         int saved = 0;
         for (int i = 0; i < inputs.length - 1; i++) {
-            hash = ModelMath.prefix(hash, inputs[i]);
-            if ((i + 1) % BLOCK == 0) {
+            hash = ModelMath.prefixHash(hash, inputs[i]);
+            if ((i + 1) % BLOCK_INPUTS == 0) {
                 if (!blocks.containsKey(hash)) {
                     return saved;
                 }
@@ -43,46 +43,46 @@
         return saved;
     }
 
-    /** Caches all whole blocks of a prompt; {@code gap} loses each event of that number, 0 none. */
-    void add(long[] inputs, long now, long gap) {
+    /** Caches all complete blocks of a prompt; every {@code eventGap}-th event is lost, none if 0. */
+    void add(long[] inputs, long now, long eventGap) {
         long hash = 0;
         for (int i = 0; i < inputs.length; i++) {
-            hash = ModelMath.prefix(hash, inputs[i]);
-            if ((i + 1) % BLOCK == 0 && blocks.put(hash, true) == null) {
-                event(hash, true, now, gap);
-                evict(now, gap);
+            hash = ModelMath.prefixHash(hash, inputs[i]);
+            if ((i + 1) % BLOCK_INPUTS == 0 && blocks.put(hash, true) == null) {
+                addEvent(hash, true, now, eventGap);
+                evict(now, eventGap);
             }
         }
     }
 
     EngineMessages.CacheEvents eventsFrom(long from, long now) {
-        List<EngineMessages.CacheEvent> shown = events.stream()
-                .filter(late -> late.event.seq() >= from && now - late.at >= LATE_MILLIS)
-                .map(late -> late.event)
+        List<EngineMessages.CacheEvent> visible = events.stream()
+                .filter(timed -> timed.event.seq() >= from && now - timed.createdAtMillis >= EVENT_DELAY_MILLIS)
+                .map(timed -> timed.event)
                 .toList();
-        long after = shown.isEmpty() ? from : shown.get(shown.size() - 1).seq() + 1;
-        return new EngineMessages.CacheEvents(after, shown);
+        long after = visible.isEmpty() ? from : visible.get(visible.size() - 1).seq() + 1;
+        return new EngineMessages.CacheEvents(after, visible);
     }
 
-    private void evict(long now, long gap) {
+    private void evict(long now, long eventGap) {
         if (blocks.size() > maxBlocks) {
             Iterator<Long> eldest = blocks.keySet().iterator();
             long hash = eldest.next();
             eldest.remove();
-            event(hash, false, now, gap);
+            addEvent(hash, false, now, eventGap);
         }
     }
 
-    private void event(long hash, boolean held, long now, long gap) {
-        long seq = next++;
-        if (gap > 0 && seq % gap == 0) {
+    private void addEvent(long hash, boolean held, long now, long eventGap) {
+        long seq = nextSequence++;
+        if (eventGap > 0 && seq % eventGap == 0) {
             return;
         }
         if (events.size() == MAX_EVENTS) {
             events.removeFirst();
         }
-        events.addLast(new Late(now, new EngineMessages.CacheEvent(seq, String.format("%016x", hash), held)));
+        events.addLast(new TimedEvent(now, new EngineMessages.CacheEvent(seq, String.format("%016x", hash), held)));
     }
 
-    private record Late(long at, EngineMessages.CacheEvent event) {}
+    private record TimedEvent(long createdAtMillis, EngineMessages.CacheEvent event) {}
 }
--- a/standins/src/main/java/org/cornelramp/standins/engine/Sessions.java
+++ b/standins/src/main/java/org/cornelramp/standins/engine/Sessions.java
@@ -7,24 +7,25 @@
 import java.util.Optional;
 
 /**
- * The sessions of an engine and their bounded KV cache. Confined to its owner's lock.
+ * The sessions of an engine and their bounded KV cache. Guarded by the owner's lock.
  *
- * <p>Like a real engine it trusts its caller: a position that is run twice changes the session for good.
+ * <p>Like a real engine, it does not check for repeated positions: a position that runs twice changes the session
+ * permanently.
  */
 final class Sessions {
     private static final long IDLE_MILLIS = 120_000;
 
     private final Map<String, Session> sessions = new LinkedHashMap<>(16, 0.75f, true);
     private final int layers;
-    private final long limit;
-    private long used;
+    private final long maxPositions;
+    private long usedPositions;
 
     Sessions(int layers, long limit) {
         this.layers = layers;
-        this.limit = limit;
+        this.maxPositions = limit;
     }
 
-    /** Finds or starts the session that a step continues; the text of the error if it cannot run. */
+    /** Starts a session at position 0, or finds the one that a step continues; returns an error if the step cannot run. */
     Optional<String> prepare(String id, int position, int inputs, long now) {
         dropIdle(now);
         if (position == 0) {
@@ -35,22 +36,22 @@
         if (session == null) {
             return Optional.of("no-session");
         }
-        session.usedAt = now;
+        session.usedAtMillis = now;
         if (position > session.position) {
             return Optional.of("gap");
         }
-        if (used + inputs > limit) {
+        if (usedPositions + inputs > maxPositions) {
             return Optional.of("kv-full");
         }
         return Optional.empty();
     }
 
-    /** Runs one input. */
+    /** Runs one input of a session; returns the activation after the last layer. */
     long run(String id, int from, long input) {
         Session session = sessions.get(id);
         session.position++;
-        used++;
-        return ModelMath.run(session.kv, from, input);
+        usedPositions++;
+        return ModelMath.runLayers(session.kv, from, input);
     }
 
     boolean has(String id) {
@@ -60,7 +61,7 @@
     void drop(String id) {
         Session session = sessions.remove(id);
         if (session != null) {
-            used -= session.position;
+            usedPositions -= session.position;
         }
     }
 
@@ -72,20 +73,20 @@
     void put(String id, EngineMessages.Kv kv, long now) {
         drop(id);
         sessions.put(id, new Session(kv.layers().clone(), kv.position(), now));
-        used += kv.position();
+        usedPositions += kv.position();
     }
 
-    long used() {
-        return used;
+    long usedPositions() {
+        return usedPositions;
     }
 
-    /** Sessions whose callers have gone must not fill the KV cache for ever. */
+    /** Frees the KV cache of sessions that their callers have abandoned. */
     private void dropIdle(long now) {
         Iterator<Map.Entry<String, Session>> eldest = sessions.entrySet().iterator();
         Map<String, Session> idle = new HashMap<>();
         while (eldest.hasNext()) {
             Map.Entry<String, Session> entry = eldest.next();
-            if (now - entry.getValue().usedAt < IDLE_MILLIS) {
+            if (now - entry.getValue().usedAtMillis < IDLE_MILLIS) {
                 break;
             }
             idle.put(entry.getKey(), entry.getValue());
@@ -96,12 +97,12 @@
     private static final class Session {
         private final long[] kv;
         private int position;
-        private long usedAt;
+        private long usedAtMillis;
 
         Session(long[] kv, int position, long usedAt) {
             this.kv = kv;
             this.position = position;
-            this.usedAt = usedAt;
+            this.usedAtMillis = usedAt;
         }
     }
 }
--- a/standins/src/main/java/org/cornelramp/standins/engine/package-info.java
+++ b/standins/src/main/java/org/cornelramp/standins/engine/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in for a model engine, and the mathematics of its model. */
+/** A stand-in for a model engine, and the computation of its model. */
 package org.cornelramp.standins.engine;
--- a/standins/src/main/java/org/cornelramp/standins/http/Call.java
+++ b/standins/src/main/java/org/cornelramp/standins/http/Call.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 
 /**
- * One HTTP request to a stand-in, read whole. Immutable if the body is not changed.
+ * One HTTP request to a stand-in with its complete body. Immutable as long as nobody modifies the body array.
  *
  * @param method HTTP method
  * @param path path without the query
@@ -18,28 +18,28 @@
  */
 public record Call(String method, String path, Map<String, String> query, Map<String, String> headers, byte[] body) {
 
-    /** Whether this is a call of a method to an exact path. */
-    public boolean is(String wantedMethod, String wantedPath) {
+    /** Whether the call has this method and exactly this path. */
+    public boolean matches(String wantedMethod, String wantedPath) {
         return method.equals(wantedMethod) && path.equals(wantedPath);
     }
 
-    /** A numeric query parameter. */
-    public long number(String name, long otherwise) {
+    /** Value of a query parameter as an integer; the default if it is absent. */
+    public long longParameter(String name, long defaultValue) {
         String text = query.get(name);
-        return text == null ? otherwise : Long.parseLong(text);
+        return text == null ? defaultValue : Long.parseLong(text);
     }
 
-    /** A header; names are not case-sensitive. */
+    /** Value of a header; names are not case-sensitive. */
     public Optional<String> header(String name) {
         return Optional.ofNullable(headers.get(name.toLowerCase(Locale.ROOT)));
     }
 
-    /** The body as text. */
-    public String text() {
+    /** The body decoded as UTF-8. */
+    public String bodyText() {
         return new String(body, StandardCharsets.UTF_8);
     }
 
-    /** The body as JSON. */
+    /** The body parsed as JSON; throws {@link IllegalArgumentException} if it is not JSON. */
     public JsonNode json() {
         try {
             return Json.MAPPER.readTree(body);
@@ -48,12 +48,13 @@
         }
     }
 
-    /** The body as a value. */
+    /** The body parsed as JSON of a type; throws {@link IllegalArgumentException} if it does not match the type. */
     public <T> T json(Class<T> type) {
         try {
             return Json.MAPPER.readValue(body, type);
         } catch (IOException e) {
-            throw new IllegalArgumentException("The body is not in the agreed form: " + e.getMessage(), e);
+            throw new IllegalArgumentException(
+                    "The body does not match the expected JSON structure: " + e.getMessage(), e);
         }
     }
 }
--- a/standins/src/main/java/org/cornelramp/standins/http/OpenConnections.java
+++ b/standins/src/main/java/org/cornelramp/standins/http/OpenConnections.java
@@ -5,7 +5,8 @@
 import org.eclipse.jetty.io.Connection;
 
 /**
- * Knows which connections have gone silent: those that were open when the switch was set. Safe for use by any thread.
+ * Tracks open connections and which of them never answer again: those that were open when {@code go-silent} was set.
+ * Safe for use by any thread.
  */
 final class OpenConnections implements Connection.Listener {
     private final Map<Connection, Boolean> silentByConnection = new ConcurrentHashMap<>();
--- a/standins/src/main/java/org/cornelramp/standins/http/StandIn.java
+++ b/standins/src/main/java/org/cornelramp/standins/http/StandIn.java
@@ -2,23 +2,23 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** What one kind of stand-in does with a call; the server around it does the faults. */
+/** Behaviour of one kind of stand-in. {@link StandInServer} applies the fault switches that all kinds share. */
 public interface StandIn {
 
-    /** Kind, as the first line of output names it. */
+    /** Name of the kind, as printed in the {@code ready} line. */
     String kind();
 
-    /** Handles a call; called by any thread, must not block for long. */
+    /** Handles a call. Called by any thread; must not block for long. */
     CompletableFuture<Reply> handle(Call call);
 
-    /** Whether the {@code crash-on} switch, set to this text, halts the process on a call. */
+    /** Whether a call halts the process while the {@code crash-on} switch is set to this text. */
     default boolean crashesOn(Call call, String text) {
-        return call.text().contains(text);
+        return call.bodyText().contains(text);
     }
 
     /** Called after fault switches have been set. */
     default void faultsChanged() {}
 
-    /** Ends threads of the stand-in. */
+    /** Stops the threads of the stand-in. */
     default void stop() {}
 }
--- a/standins/src/main/java/org/cornelramp/standins/http/StandInServer.java
+++ b/standins/src/main/java/org/cornelramp/standins/http/StandInServer.java
@@ -23,9 +23,9 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /**
- * Serves one stand-in over HTTP on loopback, with the fault switches and the trace.
+ * Serves one stand-in over HTTP on the loopback interface, with endpoints for its fault switches and its trace.
  *
- * <p>Safe for use by any thread. Invariant: {@code /faults} and {@code /trace} answer whatever switches are set.
+ * <p>Safe for use by any thread. Invariant: {@code /faults} and {@code /trace} respond whichever switches are set.
  */
 public final class StandInServer {
     private static final String HOST = "127.0.0.1";
@@ -62,16 +62,16 @@
         connector.setIdleTimeout(IDLE_MILLIS);
         connector.addBean(connections);
         server.addConnector(connector);
-        server.setHandler(new Calls());
+        server.setHandler(new RequestHandler());
     }
 
-    /** Starts serving; gives the port. */
+    /** Starts serving and returns the port. */
     public int start() throws Exception {
         server.start();
         return connector.getLocalPort();
     }
 
-    /** Stops serving. */
+    /** Stops the server, the stand-in and the timer. */
     public void stop() throws Exception {
         server.stop();
         standIn.stop();
@@ -83,37 +83,38 @@
         server.join();
     }
 
-    private CompletableFuture<Reply> answer(Call call, Connection connection) {
+    private CompletableFuture<Reply> dispatch(Call call, Connection connection) {
         if (call.path().equals("/faults")) {
             return CompletableFuture.completedFuture(setFaults(call));
         }
-        if (call.is("GET", "/trace")) {
-            return CompletableFuture.completedFuture(Reply.ok(trace.from(call.number("from", 0))));
+        if (call.matches("GET", "/trace")) {
+            return CompletableFuture.completedFuture(Reply.ok(trace.from(call.longParameter("from", 0))));
         }
         if (connections.isSilent(connection)) {
             return new CompletableFuture<>();
         }
-        crashIfAsked(call);
+        crashIfRequested(call);
         if (faults.isOn("refuse") || faults.isOn("outage")) {
             return CompletableFuture.completedFuture(
-                    Reply.error(UNAVAILABLE, "A fault switch refuses all calls").withRetryAfter(1));
+                    Reply.error(UNAVAILABLE, "Rejected by the fault switch refuse or outage; unset it to accept calls")
+                            .withRetryAfter(1));
         }
-        return delayed(call);
+        return handleAfterDelay(call);
     }
 
-    private CompletableFuture<Reply> delayed(Call call) {
+    private CompletableFuture<Reply> handleAfterDelay(Call call) {
         long millis = faults.isOn("stall") ? STALL_POLL_MILLIS : (long) faults.number("stall-millis", 0);
         if (millis <= 0) {
             return standIn.handle(call);
         }
         CompletableFuture<Reply> future = new CompletableFuture<>();
-        timer.after(millis, () -> whenNotStalled(call, future));
+        timer.runAfter(millis, () -> handleUnlessStalled(call, future));
         return future;
     }
 
-    private void whenNotStalled(Call call, CompletableFuture<Reply> future) {
+    private void handleUnlessStalled(Call call, CompletableFuture<Reply> future) {
         if (faults.isOn("stall")) {
-            timer.after(STALL_POLL_MILLIS, () -> whenNotStalled(call, future));
+            timer.runAfter(STALL_POLL_MILLIS, () -> handleUnlessStalled(call, future));
             return;
         }
         try {
@@ -145,25 +146,25 @@
         return Reply.ok(faults.all());
     }
 
-    /** A request that crashes whatever runs it: the process ends before any answer. */
-    private void crashIfAsked(Call call) {
+    /** Simulates a request that crashes the process that handles it: halts before any response. */
+    private void crashIfRequested(Call call) {
         String text = faults.text("crash-on");
         if (!text.isEmpty() && standIn.crashesOn(call, text)) {
             Runtime.getRuntime().halt(CRASH_STATUS);
         }
     }
 
-    private final class Calls extends Handler.Abstract {
+    private final class RequestHandler extends Handler.Abstract {
 
         @Override
         public boolean handle(Request request, Response response, Callback callback) {
             Promise.Completable<ByteBuffer> read = new Promise.Completable<>();
             Content.Source.asByteBuffer(request, read);
             CompletableFuture<Void> unused = read.thenApply(BufferUtil::toArray)
-                    .thenCompose(body -> answer(
+                    .thenCompose(body -> dispatch(
                             toCall(request, body),
                             request.getConnectionMetaData().getConnection()))
-                    .exceptionally(Calls::toError)
+                    .exceptionally(RequestHandler::toError)
                     .thenAccept(reply -> write(request, response, callback, reply));
             return true;
         }
@@ -181,7 +182,7 @@
             if (!control && connections.isSilent(connection)) {
                 return;
             }
-            if (!control && faults.take("lose-answers")) {
+            if (!control && faults.decrementIfPositive("lose-answers")) {
                 connection.getEndPoint().close();
                 callback.succeeded();
                 return;
--- a/standins/src/main/java/org/cornelramp/standins/http/Timer.java
+++ b/standins/src/main/java/org/cornelramp/standins/http/Timer.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 
-/** Runs work later on one daemon thread. Safe for use by any thread. */
+/** Schedules tasks on one daemon thread. Safe for use by any thread. */
 public final class Timer {
     private static final System.Logger LOG = System.getLogger(Timer.class.getName());
 
@@ -12,35 +12,36 @@
 
     /** @param name name of the thread */
     public Timer(String name) {
-        this.executor = new ScheduledThreadPoolExecutor(1, work -> {
-            Thread thread = new Thread(work, name);
+        this.executor = new ScheduledThreadPoolExecutor(1, task -> {
+            Thread thread = new Thread(task, name);
             thread.setDaemon(true);
             return thread;
         });
         executor.setRemoveOnCancelPolicy(true);
     }
 
-    /** Runs work once. */
-    public void after(long millis, Runnable work) {
-        Future<?> unused = executor.schedule(() -> guard(work), millis, TimeUnit.MILLISECONDS);
+    /** Runs a task once after a delay. */
+    public void runAfter(long millis, Runnable task) {
+        Future<?> unused = executor.schedule(() -> runAndLogFailure(task), millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Runs work again and again, until the timer is stopped. */
-    public void every(long millis, Runnable work) {
-        Future<?> unused = executor.scheduleAtFixedRate(() -> guard(work), millis, millis, TimeUnit.MILLISECONDS);
+    /** Runs a task at a fixed rate until the timer is stopped. */
+    public void runEvery(long millis, Runnable task) {
+        Future<?> unused =
+                executor.scheduleAtFixedRate(() -> runAndLogFailure(task), millis, millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Drops all work. */
+    /** Stops the thread and discards all scheduled tasks. */
     public void stop() {
         executor.shutdownNow();
     }
 
-    /** A failure must not end work that is to be run again. */
-    private static void guard(Runnable work) {
+    /** Logs an exception of a task: a periodic task that throws would not run again. */
+    private static void runAndLogFailure(Runnable task) {
         try {
-            work.run();
+            task.run();
         } catch (RuntimeException e) {
-            LOG.log(System.Logger.Level.ERROR, "standin: timed work failed", e);
+            LOG.log(System.Logger.Level.ERROR, "standin: scheduled task failed", e);
         }
     }
 }
--- a/standins/src/main/java/org/cornelramp/standins/http/package-info.java
+++ b/standins/src/main/java/org/cornelramp/standins/http/package-info.java
@@ -1,2 +1,2 @@
-/** What all stand-ins share: a small HTTP server, fault switches and a trace. */
+/** Shared by all stand-ins: HTTP server, fault switches and trace. */
 package org.cornelramp.standins.http;
--- a/standins/src/main/java/org/cornelramp/standins/log/LogStandIn.java
+++ b/standins/src/main/java/org/cornelramp/standins/log/LogStandIn.java
@@ -13,38 +13,38 @@
 import org.cornelramp.standins.http.Timer;
 
 /**
- * The log service in memory: streams with offsets, limited retention and a limited rate of appends.
+ * In-memory log service: streams with offsets, limited retention and a limited rate of appends.
  *
- * <p>Safe for use by any thread. Switches beside the common ones: {@code drop-older-than} (offset: drop all
- * records below it, in all streams).
+ * <p>Safe for use by any thread. Fault switches in addition to the common ones: {@code drop-older-than} (an
+ * offset: drop all records below it in all streams).
  */
 public final class LogStandIn implements StandIn {
-    private static final String PREFIX = "/v1/streams/";
-    private static final String RECORDS = "/records";
-    private static final int MAX_PAGE = 1_000;
+    private static final String STREAMS_PATH = "/v1/streams/";
+    private static final String RECORDS_SUFFIX = "/records";
+    private static final int MAX_RECORDS_PER_READ = 1_000;
     private static final int GONE = 410;
     private static final int NOT_FOUND = 404;
-    private static final int TOO_MANY = 429;
-    private static final long TRIM_MILLIS = 100;
+    private static final int TOO_MANY_REQUESTS = 429;
+    private static final long TRIM_INTERVAL_MILLIS = 100;
 
     private final Faults faults;
     private final Clock clock;
     private final Timer timer;
     private final long retentionMillis;
-    private final AppendRate rate;
-    private final Map<String, Stream> streams = new TreeMap<>();
+    private final AppendRateLimiter rateLimiter;
+    private final Map<String, LogStream> streams = new TreeMap<>();
 
     /**
-     * @param retentionMillis how long records are kept; 0 keeps all
-     * @param appendsPerSecond appends taken in one second, in bursts of up to a tenth of that
+     * @param retentionMillis time for which records are kept, in milliseconds; 0 keeps all
+     * @param appendsPerSecond maximum rate of appends; bursts are limited to a tenth of it
      */
     public LogStandIn(Faults faults, Clock clock, Timer timer, long retentionMillis, double appendsPerSecond) {
         this.faults = faults;
         this.clock = clock;
         this.timer = timer;
         this.retentionMillis = retentionMillis;
-        this.rate = new AppendRate(appendsPerSecond);
-        timer.every(TRIM_MILLIS, this::trim);
+        this.rateLimiter = new AppendRateLimiter(appendsPerSecond);
+        timer.runEvery(TRIM_INTERVAL_MILLIS, this::trim);
     }
 
     @Override
@@ -54,16 +54,17 @@
 
     @Override
     public CompletableFuture<Reply> handle(Call call) {
-        if (!call.path().startsWith(PREFIX)) {
+        if (!call.path().startsWith(STREAMS_PATH)) {
             return CompletableFuture.completedFuture(Reply.error(NOT_FOUND, "No such path"));
         }
-        String rest = call.path().substring(PREFIX.length());
-        boolean records = rest.endsWith(RECORDS);
-        Stream stream = stream(records ? rest.substring(0, rest.length() - RECORDS.length()) : rest);
-        if (records && call.method().equals("POST")) {
+        String streamPath = call.path().substring(STREAMS_PATH.length());
+        boolean isRecordsPath = streamPath.endsWith(RECORDS_SUFFIX);
+        LogStream stream = stream(
+                isRecordsPath ? streamPath.substring(0, streamPath.length() - RECORDS_SUFFIX.length()) : streamPath);
+        if (isRecordsPath && call.method().equals("POST")) {
             return CompletableFuture.completedFuture(append(stream, call));
         }
-        if (records) {
+        if (isRecordsPath) {
             return read(stream, call);
         }
         return CompletableFuture.completedFuture(Reply.ok(stream.bounds()));
@@ -71,45 +72,46 @@
 
     @Override
     public void faultsChanged() {
-        long below = (long) faults.number("drop-older-than", 0);
-        all().forEach(stream -> stream.dropBelow(below));
+        long firstKeptOffset = (long) faults.number("drop-older-than", 0);
+        allStreams().forEach(stream -> stream.dropBelowOffset(firstKeptOffset));
     }
 
-    private Reply append(Stream stream, Call call) {
+    private Reply append(LogStream stream, Call call) {
         JsonNode records = call.json().path("records");
         if (!records.isArray() || records.isEmpty()) {
             throw new IllegalArgumentException("An append needs at least one record");
         }
         long now = clock.millis();
-        if (!rate.take(now)) {
-            return Reply.error(TOO_MANY, "Over the append rate").withRetryAfter(1);
+        if (!rateLimiter.tryAcquire(now)) {
+            return Reply.error(TOO_MANY_REQUESTS, "Append rate exceeded; retry after the time in Retry-After")
+                    .withRetryAfter(1);
         }
         return Reply.ok(Map.of("firstOffset", stream.append(records, now)));
     }
 
-    private CompletableFuture<Reply> read(Stream stream, Call call) {
-        long from = call.number("from", 0);
-        int max = (int) Math.min(call.number("max", MAX_PAGE), MAX_PAGE);
-        long wait = call.number("waitMillis", 0);
-        CompletableFuture<Void> ready = stream.whenAt(from);
-        if (!ready.isDone() && wait > 0) {
-            timer.after(wait, () -> ready.complete(null));
+    private CompletableFuture<Reply> read(LogStream stream, Call call) {
+        long from = call.longParameter("from", 0);
+        int max = (int) Math.min(call.longParameter("max", MAX_RECORDS_PER_READ), MAX_RECORDS_PER_READ);
+        long waitMillis = call.longParameter("waitMillis", 0);
+        CompletableFuture<Void> available = stream.whenAvailable(from);
+        if (!available.isDone() && waitMillis > 0) {
+            timer.runAfter(waitMillis, () -> available.complete(null));
         } else {
-            ready.complete(null);
+            available.complete(null);
         }
-        return ready.thenApply(done -> {
-            Stream.Page page = stream.read(from, max);
+        return available.thenApply(done -> {
+            LogStream.Page page = stream.read(from, max);
             return from < page.oldest() ? Reply.of(GONE, stream.bounds()) : Reply.ok(page);
         });
     }
 
-    private Stream stream(String name) {
+    private LogStream stream(String name) {
         synchronized (streams) {
-            return streams.computeIfAbsent(name, key -> new Stream());
+            return streams.computeIfAbsent(name, key -> new LogStream());
         }
     }
 
-    private List<Stream> all() {
+    private List<LogStream> allStreams() {
         synchronized (streams) {
             return List.copyOf(streams.values());
         }
@@ -117,8 +119,8 @@
 
     private void trim() {
         if (retentionMillis > 0) {
-            long limit = clock.millis() - retentionMillis;
-            all().forEach(stream -> stream.dropBefore(limit));
+            long oldestKeptMillis = clock.millis() - retentionMillis;
+            allStreams().forEach(stream -> stream.dropOlderThan(oldestKeptMillis));
         }
     }
 }
--- a/standins/src/main/java/org/cornelramp/standins/package-info.java
+++ b/standins/src/main/java/org/cornelramp/standins/package-info.java
@@ -1,2 +1,2 @@
-/** Small stand-ins for the platform, for tests and the demo only. */
+/** Stand-ins for the services of the platform, for tests and the demo only. */
 package org.cornelramp.standins;
--- a/standins/src/main/java/org/cornelramp/standins/service/ServiceOptions.java
+++ b/standins/src/main/java/org/cornelramp/standins/service/ServiceOptions.java
@@ -1,11 +1,11 @@
 package org.cornelramp.standins.service;
 
 /**
- * What a plain service is like. Immutable, safe for use by any thread.
+ * Properties of a plain service. Immutable, safe for use by any thread.
  *
- * @param name the service
+ * @param name name of the service
  * @param version its version
- * @param millis time of one call, in milliseconds
- * @param slots calls run side by side
+ * @param callMillis duration of one call, in milliseconds
+ * @param slots number of calls that run concurrently
  */
-public record ServiceOptions(String name, String version, long millis, int slots) {}
+public record ServiceOptions(String name, String version, long callMillis, int slots) {}
--- a/standins/src/main/java/org/cornelramp/standins/service/ServiceStandIn.java
+++ b/standins/src/main/java/org/cornelramp/standins/service/ServiceStandIn.java
@@ -16,30 +16,32 @@
 import org.cornelramp.standins.http.Trace;
 
 /**
- * A plain service: every call but a GET is an effect, whatever key it carries, and is traced as one.
+ * Plain service in which every call other than a GET has an effect, which is added to the trace. It does not
+ * deduplicate: a call with a repeated key has another effect.
  *
- * <p>Safe for use by any thread. Calls beyond the slots wait their turn. The answer echoes key, request id and a
- * digest of the body, so that a caller can tell that it is the answer to its own request.
+ * <p>Safe for use by any thread. Calls that exceed the slots are queued. The response echoes the key, the request
+ * id and a digest of the body, so that a caller can tell that it is the response to its own request.
  */
 public final class ServiceStandIn implements StandIn {
-    private static final int BODY_CHARS = 200;
+    private static final int MAX_TRACED_BODY_CHARS = 200;
 
     private final Faults faults;
     private final Trace trace;
     private final Clock clock;
     private final Timer timer;
     private final ServiceOptions options;
-    private final String life;
-    private final long[] slotFreeAt;
+    private final String incarnation;
+    private final long[] slotFreeAtMillis;
 
-    public ServiceStandIn(Faults faults, Trace trace, Clock clock, Timer timer, ServiceOptions options, String life) {
+    public ServiceStandIn(
+            Faults faults, Trace trace, Clock clock, Timer timer, ServiceOptions options, String incarnation) {
         this.faults = faults;
         this.trace = trace;
         this.clock = clock;
         this.timer = timer;
         this.options = options;
-        this.life = life;
-        this.slotFreeAt = new long[options.slots()];
+        this.incarnation = incarnation;
+        this.slotFreeAtMillis = new long[options.slots()];
     }
 
     @Override
@@ -49,12 +51,12 @@
 
     @Override
     public CompletableFuture<Reply> handle(Call call) {
-        if (call.is("GET", "/v1/offer")) {
+        if (call.matches("GET", "/v1/offer")) {
             return CompletableFuture.completedFuture(Reply.ok(offer()));
         }
         CompletableFuture<Reply> future = new CompletableFuture<>();
-        long wait = reserve(clock.millis());
-        timer.after(wait, () -> future.complete(run(call)));
+        long wait = reserveSlot(clock.millis());
+        timer.runAfter(wait, () -> future.complete(run(call)));
         return future;
     }
 
@@ -64,18 +66,18 @@
                 "version", options.version(),
                 "accelerator", "none",
                 "slots", options.slots(),
-                "life", life);
+                "life", incarnation);
     }
 
-    /** Takes the slot that is free first; gives the time until the call is done. */
-    private synchronized long reserve(long now) {
+    /** Reserves the slot that becomes free first; returns the time until the call completes, in milliseconds. */
+    private synchronized long reserveSlot(long now) {
         int first = 0;
-        for (int i = 1; i < slotFreeAt.length; i++) {
-            first = slotFreeAt[i] < slotFreeAt[first] ? i : first;
+        for (int i = 1; i < slotFreeAtMillis.length; i++) {
+            first = slotFreeAtMillis[i] < slotFreeAtMillis[first] ? i : first;
         }
-        long millis = Math.round(options.millis() * faults.number("slow-factor", 1));
-        slotFreeAt[first] = Math.max(now, slotFreeAt[first]) + millis;
-        return slotFreeAt[first] - now;
+        long millis = Math.round(options.callMillis() * faults.number("slow-factor", 1));
+        slotFreeAtMillis[first] = Math.max(now, slotFreeAtMillis[first]) + millis;
+        return slotFreeAtMillis[first] - now;
     }
 
     private Reply run(Call call) {
@@ -83,7 +85,7 @@
         String requestId = call.header("Cornelramp-Request-Id").orElse("");
         long at = clock.millis();
         if (!call.method().equals("GET")) {
-            trace.add(new Effect(key, requestId, start(call.text()), at));
+            trace.add(new Effect(key, requestId, truncate(call.bodyText()), at));
         }
         Map<String, Object> answer = new LinkedHashMap<>();
         answer.put("service", options.name());
@@ -95,11 +97,11 @@
         return Reply.ok(answer);
     }
 
-    private static String start(String text) {
-        return text.substring(0, Math.min(text.length(), BODY_CHARS));
+    private static String truncate(String text) {
+        return text.substring(0, Math.min(text.length(), MAX_TRACED_BODY_CHARS));
     }
 
-    /** SHA-256 of a body in lower-case hexadecimal, as answers carry it. */
+    /** SHA-256 of a body in lower-case hexadecimal, as responses carry it. */
     public static String digest(byte[] body) {
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(body));
@@ -108,7 +110,7 @@
         }
     }
 
-    /** SHA-256 of a text. */
+    /** SHA-256 of a text in UTF-8, in lower-case hexadecimal. */
     public static String digest(String text) {
         return digest(text.getBytes(StandardCharsets.UTF_8));
     }
--- a/standins/src/main/java/org/cornelramp/standins/vms/VmsStandIn.java
+++ b/standins/src/main/java/org/cornelramp/standins/vms/VmsStandIn.java
@@ -12,7 +12,7 @@
 import org.cornelramp.standins.http.StandIn;
 
 /**
- * The VM list in memory: shows what was set a lag ago. Safe for use by any thread.
+ * In-memory VM list that returns the list as it was set a configured lag ago. Safe for use by any thread.
  *
  * <p>{@code PUT /v1/vms} with an array of VMs, or an object that holds it as {@code vms}, sets the list.
  */
@@ -21,9 +21,9 @@
 
     private final Clock clock;
     private final long lagMillis;
-    private final Deque<Version> versions = new ArrayDeque<>();
+    private final Deque<Snapshot> snapshots = new ArrayDeque<>();
 
-    /** @param lagMillis how far the shown list is behind what was set */
+    /** @param lagMillis time after which a list that is set becomes visible, in milliseconds */
     public VmsStandIn(Clock clock, long lagMillis) {
         this.clock = clock;
         this.lagMillis = lagMillis;
@@ -44,28 +44,29 @@
             set(body.isArray() ? body : body.path("vms"), clock.millis());
             return CompletableFuture.completedFuture(Reply.noContent());
         }
-        return CompletableFuture.completedFuture(Reply.ok(shown(clock.millis() - lagMillis)));
+        return CompletableFuture.completedFuture(Reply.ok(visibleAt(clock.millis() - lagMillis)));
     }
 
     private synchronized void set(JsonNode vms, long now) {
         if (!vms.isArray()) {
-            throw new IllegalArgumentException("The VM list is an array");
+            throw new IllegalArgumentException(
+                    "The VM list must be a JSON array, or an object that holds the array as vms");
         }
-        versions.addLast(new Version(now, vms));
+        snapshots.addLast(new Snapshot(now, vms));
     }
 
-    private synchronized Map<String, Object> shown(long at) {
-        while (versions.size() > 1 && second().at <= at) {
-            versions.removeFirst();
+    private synchronized Map<String, Object> visibleAt(long at) {
+        while (snapshots.size() > 1 && secondSnapshot().setAtMillis <= at) {
+            snapshots.removeFirst();
         }
-        Version first = versions.peekFirst();
-        JsonNode vms = first == null || first.at > at ? JsonNodeFactory.instance.arrayNode() : first.vms;
+        Snapshot first = snapshots.peekFirst();
+        JsonNode vms = first == null || first.setAtMillis > at ? JsonNodeFactory.instance.arrayNode() : first.vms;
         return Map.of("at", at, "vms", vms);
     }
 
-    private Version second() {
-        return versions.stream().skip(1).findFirst().orElseThrow();
+    private Snapshot secondSnapshot() {
+        return snapshots.stream().skip(1).findFirst().orElseThrow();
     }
 
-    private record Version(long at, JsonNode vms) {}
+    private record Snapshot(long setAtMillis, JsonNode vms) {}
 }
--- a/standins/src/main/java/org/cornelramp/standins/weights/WeightsStandIn.java
+++ b/standins/src/main/java/org/cornelramp/standins/weights/WeightsStandIn.java
@@ -9,19 +9,22 @@
 import org.cornelramp.standins.http.StandIn;
 import org.cornelramp.standins.http.Trace;
 
-/** The weight store: takes loads at a limited rate, and each needs a while. Safe for use by any thread. */
+/**
+ * Weight store that accepts loads at a limited rate. A load is ready one interval of that rate after it is accepted.
+ * Safe for use by any thread.
+ */
 public final class WeightsStandIn implements StandIn {
     private static final int ACCEPTED = 202;
     private static final int NOT_FOUND = 404;
-    private static final int TOO_MANY = 429;
+    private static final int TOO_MANY_REQUESTS = 429;
     private static final long MILLIS_PER_SECOND = 1_000;
 
     private final Clock clock;
     private final Trace trace;
     private final long intervalMillis;
-    private long nextFree;
+    private long nextLoadAtMillis;
 
-    /** @param loadsPerSecond loads taken in one second */
+    /** @param loadsPerSecond maximum rate of accepted loads */
     public WeightsStandIn(Clock clock, Trace trace, double loadsPerSecond) {
         this.clock = clock;
         this.trace = trace;
@@ -35,22 +38,23 @@
 
     @Override
     public CompletableFuture<Reply> handle(Call call) {
-        if (!call.is("POST", "/v1/loads")) {
+        if (!call.matches("POST", "/v1/loads")) {
             return CompletableFuture.completedFuture(Reply.error(NOT_FOUND, "No such path"));
         }
-        return CompletableFuture.completedFuture(load(call.json(), clock.millis()));
+        return CompletableFuture.completedFuture(acceptLoad(call.json(), clock.millis()));
     }
 
-    private synchronized Reply load(JsonNode wanted, long now) {
-        if (now < nextFree) {
-            long seconds = (nextFree - now + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
-            return Reply.error(TOO_MANY, "Over the load rate").withRetryAfter(seconds);
+    private synchronized Reply acceptLoad(JsonNode request, long now) {
+        if (now < nextLoadAtMillis) {
+            long seconds = (nextLoadAtMillis - now + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
+            return Reply.error(TOO_MANY_REQUESTS, "Load rate exceeded; retry after the time in Retry-After")
+                    .withRetryAfter(seconds);
         }
-        nextFree = now + intervalMillis;
+        nextLoadAtMillis = now + intervalMillis;
         trace.add(Map.of(
-                "model", wanted.path("model").asText(),
-                "version", wanted.path("version").asText(),
+                "model", request.path("model").asText(),
+                "version", request.path("version").asText(),
                 "at", now));
-        return Reply.of(ACCEPTED, Map.of("readyAt", nextFree));
+        return Reply.of(ACCEPTED, Map.of("readyAt", nextLoadAtMillis));
     }
 }
--- a/standins/src/test/java/org/cornelramp/standins/engine/EngineLoopTest.java
+++ b/standins/src/test/java/org/cornelramp/standins/engine/EngineLoopTest.java
@@ -12,7 +12,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The stand-in engine runs sessions by position, within its KV cache, and trusts its caller like a real one. */
+/**
+ * Checks positions of sessions, the capacity of the KV cache, and export and import of the KV cache. Like a real engine,
+ * the stand-in does not check for repeated positions.
+ */
 public class EngineLoopTest {
     private static final int LAYERS = 8;
 
@@ -32,7 +35,7 @@
     }
 
     @Test
-    public void generatesWhatTheCheckersExpect() {
+    public void tokensMatchModelMath() {
         long[] expected = ModelMath.generate(new long[] {5, 6, 7}, LAYERS, 2);
         long[] first = run("a", 0, 5, 6, 7).outputs().orElseThrow();
         assertEquals(first[2], expected[0]);
@@ -71,7 +74,7 @@
     }
 
     @Test
-    public void importedCacheGoesOnWhereTheExportEnded() {
+    public void importedKvContinuesAtTheExportedPosition() {
         long[] expected = ModelMath.generate(new long[] {5, 6}, LAYERS, 2);
         run("a", 0, 5, 6);
         loop.importKv("b", loop.exportKv("a").orElseThrow());
--- a/standins/src/test/java/org/cornelramp/standins/engine/ModelMathProperties.java
+++ b/standins/src/test/java/org/cornelramp/standins/engine/ModelMathProperties.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.constraints.LongRange;
 import net.jqwik.api.constraints.Size;
 
-/** Stages that hold ranges of layers together generate what one engine with all layers does. */
+/** Stages that each hold a range of layers generate together the same tokens as one engine with all layers. */
 class ModelMathProperties {
     private static final int LAYERS = 12;
     private static final int COUNT = 6;
@@ -49,6 +49,6 @@
     }
 
     private static long runBoth(long[] first, long[] second, long input) {
-        return ModelMath.token(ModelMath.run(second, first.length, ModelMath.run(first, 0, input)));
+        return ModelMath.token(ModelMath.runLayers(second, first.length, ModelMath.runLayers(first, 0, input)));
     }
 }
--- a/standins/src/test/java/org/cornelramp/standins/log/StreamProperties.java
+++ b/standins/src/test/java/org/cornelramp/standins/log/LogStreamProperties.java
@@ -10,21 +10,21 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Offsets have no gaps and never come back, whatever is dropped in between. */
-class StreamProperties {
+/** Offsets are consecutive and never reused, whichever records are dropped between appends. */
+class LogStreamProperties {
 
     @Property(seed = "7741", tries = 200)
-    void offsetsGoOnAfterDrops(
+    void offsetsContinueAfterDrops(
             @ForAll @Size(max = 20) List<@IntRange(min = 1, max = 5) Integer> appends,
             @ForAll @IntRange(max = 50) int dropped) {
-        Stream stream = new Stream();
+        LogStream stream = new LogStream();
         long expected = 0;
         for (int count : appends) {
             assertEquals(stream.append(records(count), 1), expected);
             expected += count;
-            stream.dropBelow(dropped);
+            stream.dropBelowOffset(dropped);
         }
-        Stream.Page page = stream.read(0, 1_000);
+        LogStream.Page page = stream.read(0, 1_000);
         assertEquals(page.next(), expected);
         assertEquals(page.oldest(), Math.min(dropped, expected));
         assertEquals(page.records().size(), page.next() - page.oldest());
