--- a/system-tests/src/test/java/org/cornelramp/systemtests/AgentKilledInCallTest.java
+++ b/system-tests/src/test/java/org/cornelramp/systemtests/AgentKilledInCallTest.java
@@ -13,11 +13,11 @@
 import org.testng.annotations.Test;
 
 /**
- * A booking is under way at the service when its agent dies, and the caller sends it again.
+ * An agent is killed while the service runs a booking, and the caller retries the booking.
  *
- * <p>The caller sees "unknown" once the agent's new life shows, for the one process that knew has gone; sent again with its key, at either entry and
- * after the agent is back, it is still not run a second time. The service goes on with the call that it had, so the
- * effect comes once, late.
+ * <p>Guards against a second run: only the killed process knew the state of the call, so the caller gets "unknown" once
+ * the agent's new incarnation is seen. Retries with the same key at either entry, after the agent has restarted, do
+ * not run the booking again. The service finishes the call that it was running, so the effect occurs once, late.
  */
 public class AgentKilledInCallTest {
     private Fleet fleet;
@@ -25,7 +25,8 @@
     @BeforeClass
     public void start() {
         fleet = Fleet.start(
-                Processes.home(), FleetPlan.small().withStages(List.of()).withServices(1, 1_500));
+                FleetActions.checkoutRoot(),
+                FleetPlan.small().withStages(List.of()).withServices(1, 1_500));
     }
 
     @AfterClass(alwaysRun = true)
@@ -39,19 +40,19 @@
     public void theBookingIsUnknownAndNeverRunsTwice() {
         Member agent = fleet.services().get(0);
         Member entry = fleet.entries().get(0);
-        String key = Processes.mintKey(fleet, entry, 0);
-        CompletableFuture<JsonHttp.Answer> booking = Processes.bookLater(fleet, entry, key, "{\"n\":1}");
-        Processes.pause(500);
+        String key = FleetActions.mintKey(fleet, entry, 0);
+        CompletableFuture<JsonHttp.Answer> booking = FleetActions.bookAsync(fleet, entry, key, "{\"n\":1}");
+        FleetActions.pause(500);
         agent.daemon().kill();
 
         agent.daemon().start();
-        assertEquals(Processes.outcome(fleet, booking.join()), "unknown");
+        assertEquals(FleetActions.outcome(fleet, booking.join()), "unknown");
         for (Member other : fleet.entries()) {
-            JsonHttp.Answer again = Processes.book(fleet, other, 0, key, "{\"n\":1}");
-            assertEquals(Processes.outcome(fleet, again), "unknown", again.body());
+            JsonHttp.Answer retry = FleetActions.book(fleet, other, 0, key, "{\"n\":1}");
+            assertEquals(FleetActions.outcome(fleet, retry), "unknown", retry.body());
         }
-        Fleet.await("the late effect", Processes.LIMIT, () -> Processes.effects(fleet, key) >= 1);
-        Processes.pause(2_000);
-        assertEquals(Processes.effects(fleet, key), 1);
+        Fleet.await("the late effect", FleetActions.AWAIT_TIMEOUT, () -> FleetActions.effectCount(fleet, key) >= 1);
+        FleetActions.pause(2_000);
+        assertEquals(FleetActions.effectCount(fleet, key), 1);
     }
 }
--- a/system-tests/src/test/java/org/cornelramp/systemtests/AgentPausedTest.java
+++ b/system-tests/src/test/java/org/cornelramp/systemtests/AgentPausedTest.java
@@ -13,11 +13,11 @@
 import org.testng.annotations.Test;
 
 /**
- * An agent is paused with a booking under way, for longer than every timeout, and wakes.
+ * An agent is paused during a booking for longer than every timeout, and resumes.
  *
- * <p>Its links are found silent and its key stays bound to it, so nobody else runs the booking. When it wakes it still
- * believes that it is in charge, and that does no harm: it alone may run the key, once, and a caller that asks again
- * with the key gets the answer from its record.
+ * <p>Guards against a second run of the booking. The links of the agent are detected as silent, but the key stays bound
+ * to it, so no other agent runs the booking. The resumed agent still treats itself as the owner of the key, which is
+ * safe: only it may run the key, once. A caller that retries with the key gets the response from the agent's record.
  */
 public class AgentPausedTest {
     private Fleet fleet;
@@ -25,7 +25,8 @@
     @BeforeClass
     public void start() {
         fleet = Fleet.start(
-                Processes.home(), FleetPlan.small().withStages(List.of()).withServices(1, 300));
+                FleetActions.checkoutRoot(),
+                FleetPlan.small().withStages(List.of()).withServices(1, 300));
     }
 
     @AfterClass(alwaysRun = true)
@@ -36,21 +37,21 @@
     }
 
     @Test
-    public void theBookingTakesEffectOnceAndIsAnsweredAfterItWakes() {
+    public void theBookingTakesEffectOnceAndIsAnsweredAfterTheAgentResumes() {
         Member agent = fleet.services().get(0);
         Member entry = fleet.entries().get(0);
-        String key = Processes.mintKey(fleet, entry, 0);
-        CompletableFuture<JsonHttp.Answer> booking = Processes.bookLater(fleet, entry, key, "{\"n\":1}");
-        Processes.pause(100);
+        String key = FleetActions.mintKey(fleet, entry, 0);
+        CompletableFuture<JsonHttp.Answer> booking = FleetActions.bookAsync(fleet, entry, key, "{\"n\":1}");
+        FleetActions.pause(100);
         agent.daemon().freeze();
-        Processes.pause(4_000);
+        FleetActions.pause(4_000);
         agent.daemon().wake();
 
         JsonHttp.Answer first = booking.join();
         Fleet.await(
-                "an answer from the agent's record",
-                Processes.LIMIT,
-                () -> Processes.book(fleet, entry, 0, key, "{\"n\":1}").status() == 200);
-        assertEquals(Processes.effects(fleet, key), 1, "first answer " + first);
+                "a response from the agent's record",
+                FleetActions.AWAIT_TIMEOUT,
+                () -> FleetActions.book(fleet, entry, 0, key, "{\"n\":1}").status() == 200);
+        assertEquals(FleetActions.effectCount(fleet, key), 1, "first response " + first);
     }
 }
--- a/system-tests/src/test/java/org/cornelramp/systemtests/EntryKilledInStreamTest.java
+++ b/system-tests/src/test/java/org/cornelramp/systemtests/EntryKilledInStreamTest.java
@@ -20,10 +20,10 @@
 import org.testng.annotations.Test;
 
 /**
- * An entry dies while a caller reads a streamed answer from it.
+ * An entry is killed while a caller reads a streamed response from it.
  *
- * <p>The caller has some tokens and then the end of its connection. It must see that the answer is cut: no end marker
- * has come, and the transfer has no proper end either, so that no client takes the part for the whole.
+ * <p>Guards against a partial response that a client takes for a complete one. The caller gets some tokens before its
+ * connection ends; the response must have no end marker, and the transfer must not end normally.
  */
 public class EntryKilledInStreamTest {
     private static final int TOKENS = 400;
@@ -32,7 +32,7 @@
 
     @BeforeClass
     public void start() {
-        fleet = Fleet.start(Processes.home(), FleetPlan.small().withServices(0, 10));
+        fleet = Fleet.start(FleetActions.checkoutRoot(), FleetPlan.small().withServices(0, 10));
     }
 
     @AfterClass(alwaysRun = true)
@@ -55,7 +55,7 @@
         HttpResponse<InputStream> response =
                 HttpClient.newHttpClient().send(request, HttpResponse.BodyHandlers.ofInputStream());
         StringBuilder read = new StringBuilder();
-        boolean properEnd = false;
+        boolean endedNormally = false;
         try (BufferedReader lines =
                 new BufferedReader(new InputStreamReader(response.body(), StandardCharsets.UTF_8))) {
             for (int i = 0; i < 10; i++) {
@@ -65,12 +65,12 @@
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 read.append(line).append('\n');
             }
-            properEnd = true;
+            endedNormally = true;
         } catch (IOException cut) {
             read.append("cut: ").append(cut.getMessage());
         }
         assertTrue(read.toString().contains("data:"), read.toString());
         assertFalse(read.toString().contains("[DONE]"), read.toString());
-        assertFalse(properEnd, "the transfer ended as if it were whole");
+        assertFalse(endedNormally, "the transfer of the cut stream ended normally");
     }
 }
--- a/system-tests/src/test/java/org/cornelramp/systemtests/LogOutageTest.java
+++ b/system-tests/src/test/java/org/cornelramp/systemtests/LogOutageTest.java
@@ -14,20 +14,20 @@
 import org.testng.annotations.Test;
 
 /**
- * The log service is down for a while.
+ * The log service is unavailable for some time.
  *
- * <p>Bookings by ticket go on, since a ticket needs no log. A booking under the caller's own key needs a record there
- * and is honestly refused as not run; an edit is not accepted. When the log is back both work again.
+ * <p>Bookings by ticket continue to work, since a ticket needs no log. A booking under a key that the caller made needs
+ * a record in the log and is refused as not run; an edit is not accepted. Both work again after the log recovers.
  */
 public class LogOutageTest {
-    /** Time that the entry has to have watched the agents before the key of {@link Processes#ownKey} was made. */
-    private static final long WATCHED_MILLIS = 4_000;
+    /** Time for which the entry must observe the agents before {@link FleetActions#callerMadeKey} makes a key. */
+    private static final long OBSERVATION_MILLIS = 4_000;
 
     private Fleet fleet;
 
     @BeforeClass
     public void start() {
-        fleet = Fleet.start(Processes.home(), FleetPlan.small().withStages(List.of()));
+        fleet = Fleet.start(FleetActions.checkoutRoot(), FleetPlan.small().withStages(List.of()));
     }
 
     @AfterClass(alwaysRun = true)
@@ -38,34 +38,35 @@
     }
 
     @Test
-    public void ticketsGoOnAndTheRestIsRefusedHonestly() {
+    public void ticketsSucceedAndCallerKeysAndEditsAreRefused() {
         Member entry = fleet.entries().get(0);
-        Processes.pause(WATCHED_MILLIS);
+        FleetActions.pause(OBSERVATION_MILLIS);
         fleet.faults(fleet.logUrl(), Map.of("outage", "true"));
         for (int i = 0; i < 20; i++) {
-            String key = Processes.mintKey(fleet, entry, 0);
-            JsonHttp.Answer answer = Processes.book(fleet, entry, 0, key, "{\"n\":" + i + "}");
+            String key = FleetActions.mintKey(fleet, entry, 0);
+            JsonHttp.Answer answer = FleetActions.book(fleet, entry, 0, key, "{\"n\":" + i + "}");
             assertEquals(answer.status(), 200, answer.body());
-            assertEquals(Processes.effects(fleet, key), 1);
+            assertEquals(FleetActions.effectCount(fleet, key), 1);
         }
-        String own = Processes.ownKey(1);
-        JsonHttp.Answer refused = Processes.book(fleet, entry, 0, own, "{\"own\":1}");
-        assertEquals(Processes.outcome(fleet, refused), "not-run", refused.body());
-        assertNotEquals(Edits.edit(fleet, entry, version(entry), 77), "accepted");
-        assertEquals(Processes.effects(fleet, own), 0);
+        String callerMadeKey = FleetActions.callerMadeKey(1);
+        JsonHttp.Answer refused = FleetActions.book(fleet, entry, 0, callerMadeKey, "{\"own\":1}");
+        assertEquals(FleetActions.outcome(fleet, refused), "not-run", refused.body());
+        assertNotEquals(TableEdits.editWeight(fleet, entry, version(entry), 77), "accepted");
+        assertEquals(FleetActions.effectCount(fleet, callerMadeKey), 0);
 
         fleet.faults(fleet.logUrl(), Map.of("outage", ""));
         Fleet.await(
-                "the caller's own key is taken again",
-                Processes.LIMIT,
-                () -> Processes.book(fleet, entry, 0, Processes.ownKey(2), "{\"own\":2}")
+                "a key that the caller made is accepted again",
+                FleetActions.AWAIT_TIMEOUT,
+                () -> FleetActions.book(fleet, entry, 0, FleetActions.callerMadeKey(2), "{\"own\":2}")
                                 .status()
                         == 200);
-        Fleet.await("edits are taken again", Processes.LIMIT, () -> Edits.edit(fleet, entry, version(entry), 78)
+        Fleet.await("edits are accepted again", FleetActions.AWAIT_TIMEOUT, () -> TableEdits.editWeight(
+                        fleet, entry, version(entry), 78)
                 .equals("accepted"));
     }
 
     private long version(Member entry) {
-        return Edits.row(fleet, entry).path("version").asLong();
+        return TableEdits.row(fleet, entry).path("version").asLong();
     }
 }
--- a/system-tests/src/test/java/org/cornelramp/systemtests/LostAppendAnswerTest.java
+++ b/system-tests/src/test/java/org/cornelramp/systemtests/LostAppendAnswerTest.java
@@ -14,17 +14,17 @@
 import org.testng.annotations.Test;
 
 /**
- * The log keeps a record and its answer is lost, so the one who appended it cannot tell whether it is there.
+ * The log stores a record but its response is lost, so the process that appended it cannot tell whether it was stored.
  *
- * <p>The record is read back, never assumed and never simply appended again: a booking under the caller's own key
- * takes effect once, and an edit is either accepted once or reported as what it is.
+ * <p>Guards against assuming the result or appending the record again: the process must read the log back. A booking
+ * under a key that the caller made takes effect once, and an edit is accepted once or its real result is reported.
  */
 public class LostAppendAnswerTest {
     private Fleet fleet;
 
     @BeforeClass
     public void start() {
-        fleet = Fleet.start(Processes.home(), FleetPlan.small().withStages(List.of()));
+        fleet = Fleet.start(FleetActions.checkoutRoot(), FleetPlan.small().withStages(List.of()));
     }
 
     @AfterClass(alwaysRun = true)
@@ -37,29 +37,32 @@
     @Test
     public void aBookingUnderACallersOwnKeyTakesEffectOnce() {
         for (int i = 0; i < 5; i++) {
-            String key = Processes.ownKey(i);
+            String key = FleetActions.callerMadeKey(i);
             fleet.faults(fleet.logUrl(), Map.of("lose-answers", "1"));
-            JsonHttp.Answer first = Processes.book(fleet, fleet.entries().get(0), 0, key, "{\"n\":1}");
+            JsonHttp.Answer first = FleetActions.book(fleet, fleet.entries().get(0), 0, key, "{\"n\":1}");
             fleet.faults(fleet.logUrl(), Map.of("lose-answers", ""));
-            JsonHttp.Answer second = Processes.book(fleet, fleet.entries().get(1), 0, key, "{\"n\":1}");
+            JsonHttp.Answer second = FleetActions.book(fleet, fleet.entries().get(1), 0, key, "{\"n\":1}");
             assertEquals(second.status(), 200, first + " then " + second);
-            assertEquals(Processes.effects(fleet, key), 1, first + " then " + second);
+            assertEquals(FleetActions.effectCount(fleet, key), 1, first + " then " + second);
         }
     }
 
     @Test
     public void anEditIsInForceOnceIfItWasAccepted() {
         Member entry = fleet.entries().get(0);
-        long against = Edits.row(fleet, entry).path("version").asLong();
+        long expectedVersion = TableEdits.row(fleet, entry).path("version").asLong();
         fleet.faults(fleet.logUrl(), Map.of("lose-answers", "1"));
-        String kind = Edits.edit(fleet, entry, against, 55);
+        String kind = TableEdits.editWeight(fleet, entry, expectedVersion, 55);
         fleet.faults(fleet.logUrl(), Map.of("lose-answers", ""));
         assertTrue(kind.equals("accepted") || kind.equals("unknown"), kind);
         if (kind.equals("accepted")) {
             for (Member e : fleet.entries()) {
-                Fleet.await("the edit shows", Processes.LIMIT, () -> Edits.weight(fleet, e) == 55);
+                Fleet.await(
+                        "the accepted edit is visible",
+                        FleetActions.AWAIT_TIMEOUT,
+                        () -> TableEdits.weight(fleet, e) == 55);
             }
         }
-        assertEquals(Edits.edit(fleet, entry, against, 56), "rejected");
+        assertEquals(TableEdits.editWeight(fleet, entry, expectedVersion, 56), "rejected");
     }
 }
--- a/system-tests/src/test/java/org/cornelramp/systemtests/PlannedStopTest.java
+++ b/system-tests/src/test/java/org/cornelramp/systemtests/PlannedStopTest.java
@@ -14,17 +14,18 @@
 import org.testng.annotations.Test;
 
 /**
- * One process of each role is stopped as planned (SIGTERM) under load, and a new one takes its place.
+ * One process of each role is stopped with SIGTERM under load and replaced by a new one.
  *
- * <p>It takes no new work, finishes or hands over what it has, and ends with status 0. No caller is cut off, told
- * "unknown" or given a part of an answer; a caller may be refused honestly and go to another entry.
+ * <p>The stopping process accepts no new work, finishes or hands over its current work, and exits with status 0. No
+ * caller loses its connection, gets "unknown" or a partial response; a caller may be refused as not run and use another
+ * entry.
  */
 public class PlannedStopTest {
     private Fleet fleet;
 
     @BeforeClass
     public void start() {
-        fleet = Fleet.start(Processes.home(), FleetPlan.small());
+        fleet = Fleet.start(FleetActions.checkoutRoot(), FleetPlan.small());
     }
 
     @AfterClass(alwaysRun = true)
@@ -36,30 +37,30 @@
 
     @Test
     public void aStageIsReplacedWithoutACutStream() {
-        assertCutsNothing(fleet.stages().get(1));
+        assertReplacedWithoutLoss(fleet.stages().get(1));
     }
 
     @Test
     public void aServicesAgentIsReplacedWithoutALostBooking() {
-        assertCutsNothing(fleet.services().get(0));
+        assertReplacedWithoutLoss(fleet.services().get(0));
     }
 
     @Test
     public void anEntryIsReplacedWithoutACutStream() {
-        assertCutsNothing(fleet.entries().get(0));
+        assertReplacedWithoutLoss(fleet.entries().get(0));
     }
 
-    private void assertCutsNothing(Member member) {
-        try (Load load = Load.start(fleet)) {
+    private void assertReplacedWithoutLoss(Member member) {
+        try (LoadGenerator load = LoadGenerator.start(fleet)) {
             load.awaitAnswered(20);
             member.daemon().terminate();
             load.awaitAnswered(20);
-            assertTrue(member.daemon().awaitEnd(Processes.LIMIT), member.name() + " did not end");
+            assertTrue(member.daemon().awaitEnd(FleetActions.AWAIT_TIMEOUT), member.name() + " did not end");
             assertEquals(member.daemon().exitCode(), 0, member.daemon().text());
             member.daemon().start();
             load.awaitAnswered(20);
             List<Sample> samples = load.finish();
-            assertEquals(Load.lost(samples).toString(), "[]");
+            assertEquals(LoadGenerator.failed(samples).toString(), "[]");
             long refused =
                     samples.stream().filter(s -> s.end() == CallEnd.NOT_RUN).count();
             assertTrue(refused * 4 < samples.size(), refused + " of " + samples.size() + " were refused");
--- a/system-tests/src/test/java/org/cornelramp/systemtests/RacingOperatorsTest.java
+++ b/system-tests/src/test/java/org/cornelramp/systemtests/RacingOperatorsTest.java
@@ -12,10 +12,10 @@
 import org.testng.annotations.Test;
 
 /**
- * Two operators edit the same row at two entries at the same moment, each against the version that both saw.
+ * Two operators edit the same row at two entries concurrently, each with the version that both have read.
  *
- * <p>The log orders the two records; every reader takes the first and rejects the second. One operator is told
- * "accepted", the other "rejected", and every entry shows the accepted one and stays with it.
+ * <p>Guards against a lost update. The log orders the two records; every reader accepts the first and rejects the
+ * second. One operator gets "accepted" and the other "rejected", and every entry keeps the accepted value.
  */
 public class RacingOperatorsTest {
     private static final int ROUNDS = 10;
@@ -24,7 +24,7 @@
 
     @BeforeClass
     public void start() {
-        fleet = Fleet.start(Processes.home(), FleetPlan.small().withStages(List.of()));
+        fleet = Fleet.start(FleetActions.checkoutRoot(), FleetPlan.small().withStages(List.of()));
     }
 
     @AfterClass(alwaysRun = true)
@@ -40,16 +40,19 @@
         Member other = fleet.entries().get(1);
         for (int i = 0; i < ROUNDS; i++) {
             int weight = 100 + 2 * i;
-            long against = Edits.row(fleet, one).path("version").asLong();
+            long expectedVersion = TableEdits.row(fleet, one).path("version").asLong();
             CompletableFuture<String> first =
-                    CompletableFuture.supplyAsync(() -> Edits.edit(fleet, one, against, weight));
-            CompletableFuture<String> second =
-                    CompletableFuture.supplyAsync(() -> Edits.edit(fleet, other, against, weight + 1));
+                    CompletableFuture.supplyAsync(() -> TableEdits.editWeight(fleet, one, expectedVersion, weight));
+            CompletableFuture<String> second = CompletableFuture.supplyAsync(
+                    () -> TableEdits.editWeight(fleet, other, expectedVersion, weight + 1));
             List<String> kinds = List.of(first.join(), second.join());
             assertEquals(kinds.stream().sorted().toList(), List.of("accepted", "rejected"));
             int accepted = kinds.get(0).equals("accepted") ? weight : weight + 1;
             for (Member entry : fleet.entries()) {
-                Fleet.await("the accepted edit shows", Processes.LIMIT, () -> Edits.weight(fleet, entry) == accepted);
+                Fleet.await(
+                        "the accepted edit is visible",
+                        FleetActions.AWAIT_TIMEOUT,
+                        () -> TableEdits.weight(fleet, entry) == accepted);
             }
         }
     }
--- a/system-tests/src/test/java/org/cornelramp/systemtests/SilentLinkTest.java
+++ b/system-tests/src/test/java/org/cornelramp/systemtests/SilentLinkTest.java
@@ -12,17 +12,17 @@
 import org.testng.annotations.Test;
 
 /**
- * Every open link to every agent goes silent for good in the midst of load, while new connections work.
+ * Under load, every open link to every agent stops delivering data permanently, while new connections work.
  *
- * <p>TCP sees nothing. Both ends miss heartbeats and give the links up, the entries connect anew and ask the agents
- * about what was under way. Since no process died, no caller is told "unknown" and none is cut off.
+ * <p>TCP reports no error. Both ends detect missing heartbeats and close the links; the entries reconnect and query the
+ * agents about requests in flight. Since no process died, no caller may get "unknown" or lose its connection.
  */
 public class SilentLinkTest {
     private Fleet fleet;
 
     @BeforeClass
     public void start() {
-        fleet = Fleet.start(Processes.home(), FleetPlan.small().withRelays());
+        fleet = Fleet.start(FleetActions.checkoutRoot(), FleetPlan.small().withRelays());
     }
 
     @AfterClass(alwaysRun = true)
@@ -33,13 +33,13 @@
     }
 
     @Test
-    public void whatWasUnderWayIsSettledByAsking() {
-        try (Load load = Load.start(fleet)) {
+    public void requestsInFlightAreRecoveredAfterReconnecting() {
+        try (LoadGenerator load = LoadGenerator.start(fleet)) {
             load.awaitAnswered(30);
             fleet.members().forEach(m -> m.relay().ifPresent(relay -> relay.silence()));
             load.awaitAnswered(60);
             List<Sample> samples = load.finish();
-            assertEquals(Load.lost(samples).toString(), "[]");
+            assertEquals(LoadGenerator.failed(samples).toString(), "[]");
             assertTrue(samples.size() > 90, "requests " + samples.size());
         }
     }
--- a/system-tests/src/test/java/org/cornelramp/systemtests/StageKilledInStreamTest.java
+++ b/system-tests/src/test/java/org/cornelramp/systemtests/StageKilledInStreamTest.java
@@ -21,11 +21,11 @@
 import org.testng.annotations.Test;
 
 /**
- * The VM of a stage dies while streams run over it: its agent and its engine, with the KV cache.
+ * The VM of a stage fails while streams use it: its agent and its engine are killed, and the KV cache is lost.
  *
- * <p>Another engine with the same layers takes its place under a new epoch and is rebuilt from the inputs that the
- * stage before it kept. Every caller sees one stream, whole and equal to an undisturbed run; the other stages run
- * nothing again.
+ * <p>Another engine with the same layers replaces it under a new epoch and rebuilds the KV cache from the inputs that
+ * the preceding stage kept. Every caller gets one complete stream, equal to a run without faults, and the other stages
+ * repeat no step.
  */
 public class StageKilledInStreamTest {
     private static final int STREAMS = 12;
@@ -35,7 +35,8 @@
     @BeforeClass
     public void start() {
         fleet = Fleet.start(
-                Processes.home(), FleetPlan.small().withServices(0, 10).withTraceFiles());
+                FleetActions.checkoutRoot(),
+                FleetPlan.small().withServices(0, 10).withTraceFiles());
     }
 
     @AfterClass(alwaysRun = true)
@@ -49,16 +50,16 @@
     public void everyStreamIsWholeAndEqual() {
         List<Sample> samples = new ArrayList<>();
         List<String> urls = fleet.entries().stream().map(Member::url).toList();
-        try (Callers callers = new Callers(urls, Fleet::callerKey, new ExpectedText(Processes.layers()))) {
+        try (Callers callers = new Callers(urls, Fleet::callerKey, new ExpectedText(FleetActions.layers()))) {
             for (int i = 0; i < STREAMS; i++) {
                 ChatCall call = new ChatCall(0, i % 2, "stream " + i, 200, 30_000);
                 callers.chat(call, System.nanoTime(), sample -> add(samples, sample));
             }
             Member second = fleet.stages().get(1);
-            Fleet.await("streams run over the stage", Processes.LIMIT, () -> ran(second) > 200);
+            Fleet.await("the stage runs steps of the streams", FleetActions.AWAIT_TIMEOUT, () -> ran(second) > 200);
             second.daemon().kill();
             second.backend().orElseThrow().kill();
-            Fleet.await("every final word", Processes.LIMIT, () -> size(samples) == STREAMS);
+            Fleet.await("every stream has ended", FleetActions.AWAIT_TIMEOUT, () -> size(samples) == STREAMS);
         }
         samples.forEach(s -> assertEquals(s.end(), CallEnd.IN_TIME, s.toString()));
         Violations violations = new Violations();
--- a/system-tests/src/test/java/org/cornelramp/systemtests/Edits.java
+++ b/system-tests/src/test/java/org/cornelramp/systemtests/TableEdits.java
@@ -11,14 +11,17 @@
 import org.cornelramp.bench.fleet.JsonHttp;
 import org.cornelramp.bench.fleet.Member;
 
-/** Table edits over the operators' interface, of the first organisation's row for the booking service. Stateless. */
-final class Edits {
+/**
+ * Reads and edits the table row of the first organisation for the booking service, over the operators' interface.
+ * Stateless.
+ */
+final class TableEdits {
     private static final Map<String, String> OPERATOR = Map.of("Authorization", "Bearer " + Fleet.OPERATOR_KEY);
     private static final String ROW = "org-0/" + FleetPlan.SERVICE;
 
-    private Edits() {}
+    private TableEdits() {}
 
-    /** The row as an entry shows it. */
+    /** The row as an entry returns it. */
     static JsonNode row(Fleet fleet, Member entry) {
         String url = entry.url() + "/operator/v1/table/" + ROW;
         JsonHttp.Answer answer = fleet.http().send("GET", url, OPERATOR, "");
@@ -29,12 +32,12 @@
         return row(fleet, entry).path("values").path("weight").asInt();
     }
 
-    /** Edits the weight against a version; gives the kind of the result, or of the problem. */
-    static String edit(Fleet fleet, Member entry, long against, int weight) {
+    /** Edits the weight if the row still has the expected version; returns the kind of the result or of the error. */
+    static String editWeight(Fleet fleet, Member entry, long expectedVersion, int weight) {
         Map<String, Object> edit = new HashMap<>();
         edit.put("organisation", "org-0");
         edit.put("service", FleetPlan.SERVICE);
-        edit.put("against", against);
+        edit.put("against", expectedVersion);
         edit.put("values", Fleet.rowValues(0, weight));
         Map<String, Object> request = Map.of("id", "test-" + weight, "by", "test", "edits", List.of(edit));
         JsonHttp.Answer answer = fleet.http().send("POST", entry.url() + "/operator/v1/edits", OPERATOR, json(request));
--- a/system-tests/src/test/java/org/cornelramp/systemtests/WholePathTest.java
+++ b/system-tests/src/test/java/org/cornelramp/systemtests/WholePathTest.java
@@ -12,13 +12,13 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** A request goes from a caller through an entry and agents to engines and services and back, all separate processes. */
+/** Sends requests from a caller through an entry and agents to engines and services, all as separate processes. */
 public class WholePathTest {
     private Fleet fleet;
 
     @BeforeClass
     public void start() {
-        fleet = Fleet.start(Processes.home(), FleetPlan.small());
+        fleet = Fleet.start(FleetActions.checkoutRoot(), FleetPlan.small());
     }
 
     @AfterClass(alwaysRun = true)
@@ -30,7 +30,7 @@
 
     @Test
     public void aModelRequestGetsTheTokensOfAnUndisturbedRun() {
-        JsonHttp.Answer answer = Processes.chat(fleet, fleet.member("entry-0"), 0, "a sofa and two chairs", 12);
+        JsonHttp.Answer answer = FleetActions.chat(fleet, fleet.member("entry-0"), 0, "a sofa and two chairs", 12);
 
         assertEquals(answer.status(), 200, answer.body());
         String text = fleet.http()
@@ -42,17 +42,17 @@
 
     @Test
     public void aBookingSentTwiceAtTwoEntriesTakesEffectOnce() {
-        String key = Processes.mintKey(fleet, fleet.member("entry-0"), 1);
-        JsonHttp.Answer first = Processes.book(fleet, fleet.member("entry-0"), 1, key, "{\"item\":\"sofa\"}");
-        JsonHttp.Answer second = Processes.book(fleet, fleet.member("entry-1"), 1, key, "{\"item\":\"sofa\"}");
+        String key = FleetActions.mintKey(fleet, fleet.member("entry-0"), 1);
+        JsonHttp.Answer first = FleetActions.book(fleet, fleet.member("entry-0"), 1, key, "{\"item\":\"sofa\"}");
+        JsonHttp.Answer second = FleetActions.book(fleet, fleet.member("entry-1"), 1, key, "{\"item\":\"sofa\"}");
 
         assertEquals(first.status(), 200, first.body());
         assertEquals(second.body(), first.body());
-        assertEquals(Processes.effects(fleet, key), 1);
+        assertEquals(FleetActions.effectCount(fleet, key), 1);
     }
 
     private static String expected(String prompt, int count) {
-        long[] tokens = ModelMath.generate(Tokenizer.encode(List.of(prompt)), Processes.layers(), count);
+        long[] tokens = ModelMath.generate(Tokenizer.encode(List.of(prompt)), FleetActions.layers(), count);
         StringBuilder text = new StringBuilder();
         for (long token : tokens) {
             text.append(Tokenizer.decode((int) token));
