--- a/bench/src/main/java/org/cornelramp/bench/fleet/Fleet.java
+++ b/bench/src/main/java/org/cornelramp/bench/fleet/Fleet.java
@@ -20,16 +20,16 @@
 import org.cornelramp.core.route.ChoicePolicy;
 
 /**
- * A whole system on loopback: the platform's stand-ins, entries, and agents beside engines and services, each a
- * separate process.
+ * A complete system on loopback: stand-ins for the platform services, entries, and agents with their engines and
+ * services, each a separate process.
  *
- * <p>Confined to one thread, but for the processes of its members. Closing it ends every process that it started.
+ * <p>Confined to one thread, except for the processes of its members. Closing it ends every process that it started.
  */
 public final class Fleet implements AutoCloseable {
     /** Key of the fleet's operators. */
     public static final String OPERATOR_KEY = "operator-key-of-the-fleet";
 
-    /** Where this environment variable is set, the folder of settings and outputs stays. */
+    /** Environment variable that keeps the folder of settings and outputs after the run. */
     private static final String KEEP_VARIABLE = "CORNELRAMP_KEEP";
 
     private static final Duration START_LIMIT = Duration.ofSeconds(30);
@@ -42,14 +42,14 @@
     private final Ports ports = new Ports();
     private final JsonHttp http = new JsonHttp();
     private final Map<String, Member> members = new LinkedHashMap<>();
-    private final Map<String, String> leaving = new LinkedHashMap<>();
+    private final Map<String, String> vmStates = new LinkedHashMap<>();
     private final List<ManagedProcess> processes = new ArrayList<>();
-    private final int logPort = ports.take();
-    private final int vmsPort = ports.take();
-    private final int weightsPort = ports.take();
+    private final int logPort = ports.allocate();
+    private final int vmListPort = ports.allocate();
+    private final int weightsPort = ports.allocate();
     private final ManagedProcess log;
     private final SettingsFiles settings;
-    private int edits;
+    private int editCount;
 
     private Fleet(Path home, Path folder, FleetPlan plan, List<String> logOptions) {
         this.home = home;
@@ -58,7 +58,7 @@
         this.settings = new SettingsFiles(folder, logUrl(), vmListUrl(), url(weightsPort));
         List<String> logArguments = new ArrayList<>(List.of("log", "--port", Integer.toString(logPort)));
         logArguments.addAll(logOptions);
-        this.log = standin("log", logArguments);
+        this.log = standInProcess("log", logArguments);
     }
 
     /**
@@ -70,7 +70,7 @@
         return start(home, plan, List.of());
     }
 
-    /** Starts a fleet whose log service has further options. */
+    /** Starts a fleet whose log service has additional options. */
     public static Fleet start(Path home, FleetPlan plan, List<String> logOptions) {
         Fleet fleet = new Fleet(home, temporaryFolder(), plan, logOptions);
         try {
@@ -87,7 +87,7 @@
         return plan;
     }
 
-    /** HTTP client of the tool. */
+    /** The HTTP client for requests to the fleet. */
     public JsonHttp http() {
         return http;
     }
@@ -104,7 +104,7 @@
 
     /** Base URL of the VM list. */
     public String vmListUrl() {
-        return url(vmsPort);
+        return url(vmListPort);
     }
 
     /** The log service's process. */
@@ -150,29 +150,29 @@
         return "caller-key-of-org-" + organisation;
     }
 
-    /** Sets fault switches of a stand-in. */
+    /** Sets the fault options of a stand-in. */
     public void faults(String url, Map<String, String> switches) {
         http.json("POST", url + "/faults", switches);
     }
 
-    /** What a stand-in has traced. */
+    /** The trace events of a stand-in. */
     public JsonNode trace(String url) {
         return http.json("GET", url + "/trace?from=0", null).get("events");
     }
 
-    /** File that takes the trace of a member's backend server, in a plan with trace files. */
+    /** File for the trace of a member's backend server, in a plan with trace files. */
     public Path traceFile(String name) {
         return folder.resolve(name + ".trace");
     }
 
-    /** Says in the VM list that a member is leaving. */
+    /** Marks a member as leaving in the VM list. */
     public void markLeaving(String name) {
-        leaving.put(name, "leaving");
+        vmStates.put(name, "leaving");
         publishVms();
     }
 
-    /** Takes a member out of the VM list. */
-    public void forget(String name) {
+    /** Removes a member from the fleet and the VM list. */
+    public void removeMember(String name) {
         members.remove(name);
         publishVms();
     }
@@ -182,9 +182,9 @@
         return launchEntry(name, ChoicePolicy.EXPECTED_COMPLETION);
     }
 
-    /** Adds an entry that chooses backend servers in another way, without waiting until it is ready. */
+    /** Adds an entry with the given policy for choosing backend servers, without waiting until it is ready. */
     public Member launchEntry(String name, ChoicePolicy choice) {
-        int httpPort = ports.take();
+        int httpPort = ports.allocate();
         Path file = settings.entry(name, "dc-0", httpPort, choice);
         ManagedProcess daemon = daemon(name, file);
         Member member = new Member(name, true, httpPort, 0, "dc-0", daemon, Optional.empty(), 0, Optional.empty());
@@ -195,28 +195,29 @@
 
     /** Adds an agent with a new engine, without waiting until it is ready. */
     public Member launchStage(String name, StagePlan stage, String dataCentre) {
-        int port = ports.take();
+        int port = ports.allocate();
         List<String> arguments = new ArrayList<>(List.of("engine", "--port", Integer.toString(port)));
         arguments.addAll(List.of("--model", FleetPlan.MODEL, "--layers", stage.layers()));
         arguments.addAll(List.of("--accelerator", stage.accelerator()));
         arguments.addAll(List.of("--base-micros", Integer.toString(stage.baseMicros())));
         arguments.addAll(List.of("--input-micros", Integer.toString(stage.inputMicros())));
         arguments.addAll(traceOptions(name));
-        return launchAgent(name, "engine", standin("engine-of-" + name, arguments), port, dataCentre);
+        return launchAgent(name, "engine", standInProcess("engine-of-" + name, arguments), port, dataCentre);
     }
 
     /** Adds an agent with a new plain service, without waiting until it is ready. */
     public Member launchService(String name, int millis, String dataCentre) {
-        int port = ports.take();
+        int port = ports.allocate();
         List<String> arguments = new ArrayList<>(List.of("service", "--port", Integer.toString(port)));
         arguments.addAll(List.of("--name", FleetPlan.SERVICE, "--millis", Integer.toString(millis)));
         arguments.addAll(traceOptions(name));
-        return launchAgent(name, "service", standin("backend-of-" + name, arguments), port, dataCentre);
+        return launchAgent(name, "service", standInProcess("backend-of-" + name, arguments), port, dataCentre);
     }
 
     /** Writes the members into the VM list. */
     public void publishVms() {
-        List<Map<String, Object>> vms = members.values().stream().map(this::vm).toList();
+        List<Map<String, Object>> vms =
+                members.values().stream().map(this::vmListEntry).toList();
         http.json("PUT", vmListUrl() + "/v1/vms", Map.of("vms", vms));
     }
 
@@ -224,7 +225,7 @@
     public void appendEdit(String organisation, String service, long against, Map<String, Object> values) {
         Map<String, Object> edit = new LinkedHashMap<>();
         edit.put("type", "edit");
-        edit.put("id", "fleet-" + ++edits);
+        edit.put("id", "fleet-" + ++editCount);
         edit.put("organisation", organisation);
         edit.put("service", service);
         edit.put("against", against);
@@ -233,7 +234,7 @@
         http.json("POST", logUrl() + "/v1/streams/table/records", Map.of("records", List.of(edit)));
     }
 
-    /** Column values of an organisation's row. */
+    /** Column values of an organisation's row in the table. */
     public static Map<String, Object> rowValues(int organisation, int weight) {
         Map<String, Object> values = new LinkedHashMap<>();
         values.put("weight", weight);
@@ -247,18 +248,18 @@
         return values;
     }
 
-    /** Waits until a condition holds. */
+    /** Waits until a condition holds; throws a {@link FleetException} at the limit. */
     public static void await(String what, Duration limit, BooleanSupplier condition) {
         long end = System.nanoTime() + limit.toNanos();
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() - end > 0) {
-                throw new FleetException("Not seen within " + limit + ": " + what);
+                throw new FleetException("Not reached within " + limit + ": " + what);
             }
             pause();
         }
     }
 
-    /** Whether an entry says that it is ready. */
+    /** Whether an entry reports that it is ready. */
     public boolean isReady(Member member) {
         try {
             return http.send("GET", member.url() + "/ready", Map.of(), "").status() == 200;
@@ -280,7 +281,7 @@
         deleteFolder();
     }
 
-    /** Outputs of a fleet are kept only on demand: test runs by the hundred would fill the temporary folder. */
+    /** Outputs are kept only on request, since hundreds of test runs would fill the temporary folder. */
     private void deleteFolder() {
         if (System.getenv(KEEP_VARIABLE) != null || !Files.exists(folder)) {
             return;
@@ -297,8 +298,8 @@
     private void startAll() {
         List<ManagedProcess> platform = List.of(
                 log,
-                standin("vms", List.of("vms", "--port", Integer.toString(vmsPort))),
-                standin("weights", List.of("weights", "--port", Integer.toString(weightsPort))));
+                standInProcess("vms", List.of("vms", "--port", Integer.toString(vmListPort))),
+                standInProcess("weights", List.of("weights", "--port", Integer.toString(weightsPort))));
         platform.forEach(ManagedProcess::launch);
         platform.forEach(ManagedProcess::awaitReady);
         for (int i = 0; i < plan.organisations(); i++) {
@@ -319,7 +320,7 @@
         entries().forEach(this::awaitServing);
     }
 
-    /** Waits until an entry serves what the fleet has. */
+    /** Waits until an entry is ready and serves the model and the plain service, if the plan has them. */
     public void awaitServing(Member entry) {
         await(entry.name() + " ready", START_LIMIT, () -> isReady(entry));
         if (plan.services() > 0) {
@@ -339,36 +340,36 @@
     }
 
     private List<String> traceOptions(String name) {
-        return plan.traced() ? List.of("--trace-file", traceFile(name).toString()) : List.of();
+        return plan.hasTraceFiles() ? List.of("--trace-file", traceFile(name).toString()) : List.of();
     }
 
     private Member launchAgent(String name, String kind, ManagedProcess backend, int port, String dataCentre) {
-        int httpPort = ports.take();
-        int linkPort = ports.take();
-        int seenPort = plan.relayed() ? ports.take() : linkPort;
-        Optional<Relay> relay = plan.relayed() ? Optional.of(new Relay(seenPort, linkPort)) : Optional.empty();
+        int httpPort = ports.allocate();
+        int linkPort = ports.allocate();
+        int publicPort = plan.hasRelays() ? ports.allocate() : linkPort;
+        Optional<Relay> relay = plan.hasRelays() ? Optional.of(new Relay(publicPort, linkPort)) : Optional.empty();
         Path file = settings.agent(name, dataCentre, httpPort, linkPort, kind, url(port));
         ManagedProcess daemon = daemon(name, file);
         Member member =
-                new Member(name, false, httpPort, seenPort, dataCentre, daemon, Optional.of(backend), port, relay);
+                new Member(name, false, httpPort, publicPort, dataCentre, daemon, Optional.of(backend), port, relay);
         members.put(name, member);
         backend.launch();
         daemon.launch();
         return member;
     }
 
-    private Map<String, Object> vm(Member member) {
+    private Map<String, Object> vmListEntry(Member member) {
         int port = member.entry() ? member.httpPort() : member.linkPort();
         Map<String, Object> vm = new LinkedHashMap<>();
         vm.put("vm", member.name());
         vm.put("role", member.entry() ? "entry" : "agent");
         vm.put("address", "127.0.0.1:" + port);
         vm.put("dataCentre", member.dataCentre());
-        vm.put("state", leaving.getOrDefault(member.name(), "live"));
+        vm.put("state", vmStates.getOrDefault(member.name(), "live"));
         return vm;
     }
 
-    private ManagedProcess standin(String name, List<String> arguments) {
+    private ManagedProcess standInProcess(String name, List<String> arguments) {
         return process(name, "bin/standin", arguments);
     }
 
--- a/bench/src/main/java/org/cornelramp/bench/fleet/FleetException.java
+++ b/bench/src/main/java/org/cornelramp/bench/fleet/FleetException.java
@@ -1,6 +1,6 @@
 package org.cornelramp.bench.fleet;
 
-/** Reports that a process of a fleet did not do what the tool asked. Immutable, safe for use by any thread. */
+/** Reports that an operation on a fleet or one of its processes failed. Immutable, safe for use by any thread. */
 public final class FleetException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/bench/src/main/java/org/cornelramp/bench/fleet/FleetPlan.java
+++ b/bench/src/main/java/org/cornelramp/bench/fleet/FleetPlan.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * What a fleet consists of. Immutable, safe for use by any thread.
+ * The composition of a fleet. Immutable, safe for use by any thread.
  *
  * @param entries number of entries
  * @param stages the engines with their agents, of model {@value #MODEL}
  * @param services number of plain services named {@value #SERVICE}, each with its agent
- * @param serviceMillis time of one call, in milliseconds
+ * @param serviceMillis time that a plain service takes for one call, in milliseconds
  * @param organisations number of organisations, named {@code org-0} on, each with a row for the model and the service
  * @param dataCentres number of data centres that the agents are spread over
- * @param relayed whether links to agents pass a {@link Relay}
- * @param traced whether engines and services append their traces to files, which outlive a kill
+ * @param hasRelays whether links to agents pass through a {@link Relay}
+ * @param hasTraceFiles whether engines and services append their traces to files, which outlast a killed process
  */
 public record FleetPlan(
         int entries,
@@ -21,8 +21,8 @@
         int serviceMillis,
         int organisations,
         int dataCentres,
-        boolean relayed,
-        boolean traced) {
+        boolean hasRelays,
+        boolean hasTraceFiles) {
     /** The model of every fleet. */
     public static final String MODEL = "quote-24";
 
@@ -55,31 +55,33 @@
 
     /** This plan with another number of entries. */
     public FleetPlan withEntries(int count) {
-        return new FleetPlan(count, stages, services, serviceMillis, organisations, dataCentres, relayed, traced);
+        return new FleetPlan(
+                count, stages, services, serviceMillis, organisations, dataCentres, hasRelays, hasTraceFiles);
     }
 
     /** This plan with other engines. */
     public FleetPlan withStages(List<StagePlan> plans) {
-        return new FleetPlan(entries, plans, services, serviceMillis, organisations, dataCentres, relayed, traced);
+        return new FleetPlan(
+                entries, plans, services, serviceMillis, organisations, dataCentres, hasRelays, hasTraceFiles);
     }
 
     /** This plan with another number of plain services, each call taking {@code millis}. */
     public FleetPlan withServices(int count, int millis) {
-        return new FleetPlan(entries, stages, count, millis, organisations, dataCentres, relayed, traced);
+        return new FleetPlan(entries, stages, count, millis, organisations, dataCentres, hasRelays, hasTraceFiles);
     }
 
     /** This plan with another number of organisations. */
     public FleetPlan withOrganisations(int count) {
-        return new FleetPlan(entries, stages, services, serviceMillis, count, dataCentres, relayed, traced);
+        return new FleetPlan(entries, stages, services, serviceMillis, count, dataCentres, hasRelays, hasTraceFiles);
     }
 
-    /** This plan with every link to an agent passing a relay. */
+    /** This plan with every link to an agent passing through a relay. */
     public FleetPlan withRelays() {
-        return new FleetPlan(entries, stages, services, serviceMillis, organisations, dataCentres, true, traced);
+        return new FleetPlan(entries, stages, services, serviceMillis, organisations, dataCentres, true, hasTraceFiles);
     }
 
     /** This plan with traces in files. */
     public FleetPlan withTraceFiles() {
-        return new FleetPlan(entries, stages, services, serviceMillis, organisations, dataCentres, relayed, true);
+        return new FleetPlan(entries, stages, services, serviceMillis, organisations, dataCentres, hasRelays, true);
     }
 }
--- a/bench/src/main/java/org/cornelramp/bench/fleet/JsonHttp.java
+++ b/bench/src/main/java/org/cornelramp/bench/fleet/JsonHttp.java
@@ -34,14 +34,14 @@
         client.setFollowRedirects(false);
         try {
             client.start();
-            // Every answer is to be seen as it came: no redirects, no second try after a 401.
+            // Callers must see every answer as it was sent: no redirects, no retry after a 401.
             client.getProtocolHandlers().clear();
         } catch (Exception e) {
             throw new FleetException("Could not start the HTTP client", e);
         }
     }
 
-    /** Sends one request and gives the whole answer, whatever its status. */
+    /** Sends one request and returns the whole answer, whatever its status. */
     public Answer send(String method, String url, Map<String, String> headers, String body) {
         Request request = client.newRequest(url).method(method).timeout(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         headers.forEach((name, value) -> request.headers(fields -> fields.put(name, value)));
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Sends JSON and gives the JSON of a successful answer. */
+    /** Sends JSON and returns the JSON of a successful answer; throws a {@link FleetException} for another one. */
     public JsonNode json(String method, String url, Object body) {
         try {
             Answer answer = send(method, url, Map.of(), body == null ? "" : mapper.writeValueAsString(body));
@@ -71,7 +71,7 @@
         }
     }
 
-    /** The JSON of an answer's body. */
+    /** Parses the body of an answer. */
     public JsonNode read(String body) {
         try {
             return mapper.readTree(body);
--- a/bench/src/main/java/org/cornelramp/bench/fleet/ManagedProcess.java
+++ b/bench/src/main/java/org/cornelramp/bench/fleet/ManagedProcess.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One process of a fleet: started, signalled and started again by its id.
+ * One process of a fleet that can be started, signalled by its process id and restarted.
  *
  * <p>Safe for use by any thread. Invariant: only a process that this object started is ever signalled.
  */
@@ -26,7 +26,7 @@
     /**
      * @param name name of the process within its fleet
      * @param command program and arguments
-     * @param output file that takes what the process prints
+     * @param output file for the standard output and error of the process
      */
     public ManagedProcess(String name, List<String> command, Path output) {
         this.name = name;
@@ -39,7 +39,7 @@
         return name;
     }
 
-    /** File that takes the standard output and error of all lives of the process. */
+    /** File with the standard output and error of the process; each start clears it. */
     public Path output() {
         return output;
     }
@@ -62,7 +62,7 @@
         long limit = System.nanoTime() + READY_LIMIT.toNanos();
         while (!isReady()) {
             if (!isAlive() || System.nanoTime() - limit > 0) {
-                throw new FleetException(name + " did not get ready; its output:\n" + text());
+                throw new FleetException(name + " did not become ready; its output:\n" + text());
             }
             pause();
         }
@@ -80,22 +80,22 @@
         awaitEnd(KILL_LIMIT);
     }
 
-    /** Asks for a planned stop (SIGTERM) without waiting. */
+    /** Requests a planned stop (SIGTERM) without waiting for it. */
     public void terminate() {
         signal("TERM");
     }
 
-    /** Tells the process that its settings have changed (SIGHUP). */
-    public void hangUp() {
+    /** Makes the process read its settings again (SIGHUP). */
+    public void requestReload() {
         signal("HUP");
     }
 
-    /** Freezes the process (SIGSTOP): its connections stay open and go silent. */
+    /** Pauses the process (SIGSTOP): its connections stay open and carry no data. */
     public void freeze() {
         signal("STOP");
     }
 
-    /** Wakes a frozen process (SIGCONT). */
+    /** Resumes a paused process (SIGCONT). */
     public void wake() {
         signal("CONT");
     }
@@ -125,7 +125,7 @@
         return process != null && process.isAlive();
     }
 
-    /** What the current life has printed. */
+    /** The output of the process since it was last started. */
     public String text() {
         try {
             return Files.readString(output, StandardCharsets.UTF_8);
--- a/bench/src/main/java/org/cornelramp/bench/fleet/Member.java
+++ b/bench/src/main/java/org/cornelramp/bench/fleet/Member.java
@@ -3,19 +3,19 @@
 import java.util.Optional;
 
 /**
- * One daemon of a fleet with what stands beside it.
+ * One daemon of a fleet with its backend server and relay, if any.
  *
  * <p>Safe for use by any thread, as its processes are.
  *
  * @param name name in the settings and the VM list
  * @param entry whether it is an entry; otherwise an agent
  * @param httpPort port of its HTTP server
- * @param linkPort port at which others reach an agent, the relay's if there is one; 0 for an entry
+ * @param linkPort port at which entries reach an agent, that of the relay if there is one; 0 for an entry
  * @param dataCentre its data centre
  * @param daemon the daemon's process
- * @param backend the backend server's process beside an agent
+ * @param backend the process of an agent's backend server; empty for an entry
  * @param backendPort port of the backend server; 0 for an entry
- * @param relay the relay before the agent's links
+ * @param relay the relay that the agent's links pass through
  */
 public record Member(
         String name,
--- a/bench/src/main/java/org/cornelramp/bench/fleet/Ports.java
+++ b/bench/src/main/java/org/cornelramp/bench/fleet/Ports.java
@@ -7,24 +7,24 @@
 import java.util.Set;
 
 /**
- * Hands out free loopback ports, each once. Confined to one thread.
+ * Allocates free loopback ports, each once. Confined to one thread.
  *
- * <p>A port is probed below the range from which the system draws the ports of outgoing connections; a drawn
- * port could be taken by a client connection before the process that is to listen on it has started.
+ * <p>The ports lie below the operating system's range of ephemeral ports: a client connection could take an ephemeral
+ * port before the process that is to listen on it has started.
  */
 public final class Ports {
     private static final int FIRST = 12_000;
     private static final int LAST = 32_000;
 
-    private final Set<Integer> given = new HashSet<>();
+    private final Set<Integer> allocated = new HashSet<>();
     private int next = FIRST + (int) (ProcessHandle.current().pid() * 131 % (LAST - FIRST));
 
-    /** A port that was free a moment ago and that nobody else is given. */
-    public int take() {
+    /** Returns a port that is free now and that this object returns to no other caller. */
+    public int allocate() {
         for (int tries = FIRST; tries < LAST; tries++) {
             int port = next;
             next = next + 1 < LAST ? next + 1 : FIRST;
-            if (given.add(port) && isFree(port)) {
+            if (allocated.add(port) && isFree(port)) {
                 return port;
             }
         }
--- a/bench/src/main/java/org/cornelramp/bench/fleet/Relay.java
+++ b/bench/src/main/java/org/cornelramp/bench/fleet/Relay.java
@@ -10,23 +10,23 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * Stands between the two ends of TCP connections, to cut, delay or silence them.
+ * A TCP proxy on loopback that can close, delay or silence the connections that pass through it.
  *
- * <p>Safe for use by any thread. A silent connection stays open and passes nothing more; new ones work.
+ * <p>Safe for use by any thread. A silenced connection stays open and forwards no more data; new connections work.
  */
 public final class Relay implements AutoCloseable {
     private static final int BUFFER = 16 << 10;
 
     private final ServerSocket server;
     private final int target;
-    private final List<Pair> pairs = new CopyOnWriteArrayList<>();
+    private final List<RelayedConnection> connections = new CopyOnWriteArrayList<>();
     private volatile boolean refusing;
-    private volatile boolean dark;
-    private volatile boolean muted;
+    private volatile boolean blackholed;
+    private volatile boolean droppingResponses;
     private volatile long delayMillis;
-    private volatile byte[] stray = new byte[0];
+    private volatile byte[] strayBytes = new byte[0];
 
-    /** Listens on {@code port} and passes connections on to {@code target}, both on loopback. */
+    /** Listens on {@code port} and forwards connections to {@code target}, both on loopback. */
     public Relay(int port, int target) {
         this.target = target;
         try {
@@ -34,42 +34,42 @@
         } catch (IOException e) {
             throw new FleetException("Could not listen on port " + port, e);
         }
-        daemon("relay-" + port, this::accept);
+        startDaemonThread("relay-" + port, this::accept);
     }
 
-    /** Silences the connections that are open now, in both directions, for good. */
+    /** Silences the connections that are open now, in both directions and permanently. */
     public void silence() {
-        pairs.forEach(pair -> pair.silent = true);
+        connections.forEach(connection -> connection.silenced = true);
     }
 
     /** Closes the connections that are open now. */
     public void cut() {
-        pairs.forEach(Pair::close);
+        connections.forEach(RelayedConnection::close);
     }
 
-    /** Whether new connections are closed at once; with {@link #cut} this is a cut link. */
-    public void refuse(boolean refuse) {
+    /** Sets whether new connections are closed at once; together with {@link #cut} this simulates a broken link. */
+    public void setRefusing(boolean refuse) {
         refusing = refuse;
     }
 
-    /** Whether nothing passes and nothing is closed, as before a machine without power. */
-    public void darken(boolean now) {
-        dark = now;
+    /** Sets whether all data is dropped and no connection is closed, as with a peer that has lost power. */
+    public void setBlackholed(boolean enabled) {
+        blackholed = enabled;
     }
 
-    /** Whether nothing passes from the target back, while the way to it is open. */
-    public void mute(boolean now) {
-        muted = now;
+    /** Sets whether data from the target is dropped, while data to it is forwarded. */
+    public void setDroppingResponses(boolean enabled) {
+        droppingResponses = enabled;
     }
 
-    /** Holds every piece of data up for so long. */
-    public void delay(long millis) {
+    /** Delays every chunk of data by this time, in milliseconds. */
+    public void setDelayMillis(long millis) {
         delayMillis = millis;
     }
 
-    /** Bytes that follow the next data from the target, as a faulty one might send; empty for none. */
-    public void strayAfterNext(byte[] bytes) {
-        stray = bytes.clone();
+    /** Inserts bytes after the next data from the target, as a faulty target might send them; empty for none. */
+    public void injectAfterNextData(byte[] bytes) {
+        strayBytes = bytes.clone();
     }
 
     @Override
@@ -85,73 +85,73 @@
     private void accept() {
         while (!server.isClosed()) {
             try {
-                Socket near = server.accept();
+                Socket clientSocket = server.accept();
                 if (refusing) {
-                    near.close();
+                    clientSocket.close();
                 } else {
-                    open(near);
+                    open(clientSocket);
                 }
             } catch (IOException e) {
-                // Closing the relay ends the wait for connections, and the loop's condition sees it. Any other
-                // failure is of one connection, whose two ends find out for themselves.
+                // Closing the relay makes accept fail, and the loop condition ends the loop. Any other failure
+                // concerns one connection, and its two ends detect it themselves.
                 Thread.onSpinWait();
             }
         }
     }
 
-    private void open(Socket near) throws IOException {
-        Socket far;
+    private void open(Socket clientSocket) throws IOException {
+        Socket targetSocket;
         try {
-            far = new Socket(InetAddress.getLoopbackAddress(), target);
+            targetSocket = new Socket(InetAddress.getLoopbackAddress(), target);
         } catch (IOException e) {
-            near.close();
+            clientSocket.close();
             return;
         }
-        near.setTcpNoDelay(true);
-        far.setTcpNoDelay(true);
-        Pair pair = new Pair(near, far);
-        pairs.add(pair);
-        daemon("relay-out", () -> pair.pump(near, far, false));
-        daemon("relay-in", () -> pair.pump(far, near, true));
+        clientSocket.setTcpNoDelay(true);
+        targetSocket.setTcpNoDelay(true);
+        RelayedConnection connection = new RelayedConnection(clientSocket, targetSocket);
+        connections.add(connection);
+        startDaemonThread("relay-out", () -> connection.forward(clientSocket, targetSocket, false));
+        startDaemonThread("relay-in", () -> connection.forward(targetSocket, clientSocket, true));
     }
 
-    private static void daemon(String name, Runnable work) {
+    private static void startDaemonThread(String name, Runnable work) {
         Thread thread = new Thread(work, name);
         thread.setDaemon(true);
         thread.start();
     }
 
-    private byte[] takeStray() {
-        byte[] bytes = stray;
-        stray = new byte[0];
+    private byte[] removeStrayBytes() {
+        byte[] bytes = strayBytes;
+        strayBytes = new byte[0];
         return bytes;
     }
 
-    /** The two connections of one passage. */
-    private final class Pair {
-        private final Socket near;
-        private final Socket far;
-        private volatile boolean silent;
+    /** The two sockets of one relayed connection. */
+    private final class RelayedConnection {
+        private final Socket clientSocket;
+        private final Socket targetSocket;
+        private volatile boolean silenced;
 
-        Pair(Socket near, Socket far) {
-            this.near = near;
-            this.far = far;
+        RelayedConnection(Socket clientSocket, Socket targetSocket) {
+            this.clientSocket = clientSocket;
+            this.targetSocket = targetSocket;
         }
 
-        void pump(Socket from, Socket to, boolean back) {
+        void forward(Socket from, Socket to, boolean fromTarget) {
             byte[] buffer = new byte[BUFFER];
             try {
                 InputStream in = from.getInputStream();
                 OutputStream out = to.getOutputStream();
                 for (int n = in.read(buffer); n >= 0; n = in.read(buffer)) {
                     Thread.sleep(delayMillis);
-                    if (!silent && !dark && !(back && muted)) {
+                    if (!silenced && !blackholed && !(fromTarget && droppingResponses)) {
                         out.write(buffer, 0, n);
-                        out.write(back ? takeStray() : new byte[0]);
+                        out.write(fromTarget ? removeStrayBytes() : new byte[0]);
                     }
                 }
             } catch (IOException e) {
-                // One end has gone; the other must see it too, unless the passage is silent.
+                // One end has closed; the other must see it too, unless the connection is silenced.
                 close();
                 return;
             } catch (InterruptedException e) {
@@ -161,13 +161,13 @@
         }
 
         void close() {
-            if (silent || dark) {
+            if (silenced || blackholed) {
                 return;
             }
-            pairs.remove(this);
+            connections.remove(this);
             try {
-                near.close();
-                far.close();
+                clientSocket.close();
+                targetSocket.close();
             } catch (IOException e) {
                 throw new FleetException("Could not close a relayed connection", e);
             }
--- a/bench/src/main/java/org/cornelramp/bench/fleet/package-info.java
+++ b/bench/src/main/java/org/cornelramp/bench/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Starts the system's separate processes and the stand-ins on loopback, for the demo, benchmarks and failure tests.
- * It is a test tool: no process of the product starts another.
+ * Starts the system's processes and the stand-ins on loopback, for the demo, benchmarks and failure tests. Used by test
+ * tools only: no process of the product starts another.
  */
 package org.cornelramp.bench.fleet;
