--- a/bench/src/main/java/org/cornelramp/bench/load/BookingAttempts.java
+++ b/bench/src/main/java/org/cornelramp/bench/load/BookingAttempts.java
@@ -15,10 +15,10 @@
 import org.eclipse.jetty.client.StringRequestContent;
 
 /**
- * One booking: a key is minted, then the call is made with it, again with the same key when no final word came.
- * The client calls it from one thread at a time.
+ * One booking: requests a key, then makes the call with it, and retries with the same key when no final answer came.
+ * The HTTP client calls it from one thread at a time.
  *
- * <p>Invariant: gives exactly one sample, and uses one key in all attempts once it has one.
+ * <p>Invariant: produces exactly one sample, and uses one key in all attempts once it has one.
  */
 final class BookingAttempts {
     private static final int MAX_ATTEMPTS = 6;
@@ -53,19 +53,19 @@
         attempts++;
         if (key.isEmpty()) {
             String body = "{\"service\":\"" + FleetPlan.SERVICE + "\"}";
-            exchange(url + "/v1/keys", Map.of(), body, this::minted);
+            exchange(url + "/v1/keys", Map.of(), body, this::onKeyReply);
         } else {
             String path = url + "/services/" + FleetPlan.SERVICE + "/book";
-            exchange(path, Map.of("Idempotency-Key", key), call.body(), this::booked);
+            exchange(path, Map.of("Idempotency-Key", key), call.body(), this::onBookingReply);
         }
     }
 
-    private void exchange(String url, Map<String, String> more, String body, Consumer<Reply> then) {
+    private void exchange(String url, Map<String, String> extraHeaders, String body, Consumer<Reply> onReply) {
         Request request = http.POST(url)
                 .headers(headers -> {
                     headers.put("Authorization", "Bearer " + callerKey);
                     headers.put("Cornelramp-Deadline-Millis", Long.toString(deadline.leftMillis()));
-                    more.forEach(headers::put);
+                    extraHeaders.forEach(headers::put);
                 })
                 .body(new StringRequestContent("application/json", body))
                 .timeout(deadline.timeoutMillis(), TimeUnit.MILLISECONDS);
@@ -75,48 +75,48 @@
                 byte[] content = getContent() == null ? new byte[0] : getContent();
                 int status = result.isSucceeded() ? result.getResponse().getStatus() : 0;
                 String text = new String(content, StandardCharsets.UTF_8);
-                then.accept(new Reply(status, ChatAnswer.parse(text), String.valueOf(result.getFailure())));
+                onReply.accept(new Reply(status, ChatAnswer.parse(text), String.valueOf(result.getFailure())));
             }
         });
     }
 
-    private void minted(Reply reply) {
+    private void onKeyReply(Reply reply) {
         if (reply.status() == 200) {
             key = reply.json().path("key").asText();
             attempts--;
             send();
         } else {
-            endedWithout(reply);
+            onFailedAttempt(reply);
         }
     }
 
-    private void booked(Reply reply) {
+    private void onBookingReply(Reply reply) {
         if (reply.status() != 200) {
-            endedWithout(reply);
+            onFailedAttempt(reply);
             return;
         }
         long now = System.nanoTime();
         String digest = ServiceStandIn.digest(call.body());
-        boolean right = reply.json().path("key").asText().equals(key)
+        boolean correct = reply.json().path("key").asText().equals(key)
                 && reply.json().path("digest").asText().equals(digest);
         CallEnd end = deadline.isMet(now) ? CallEnd.IN_TIME : CallEnd.LATE;
-        give(right ? end : CallEnd.WRONG, now, right ? "" : "body");
+        complete(correct ? end : CallEnd.WRONG, now, correct ? "" : "body");
     }
 
-    private void endedWithout(Reply reply) {
+    private void onFailedAttempt(Reply reply) {
         String outcome = reply.json().path("outcome").asText();
         String kind = reply.json().path("kind").asText("status-" + reply.status());
-        boolean again = attempts < MAX_ATTEMPTS && !deadline.isPast();
-        if (reply.status() == 0 && again) {
+        boolean retry = attempts < MAX_ATTEMPTS && !deadline.isPast();
+        if (reply.status() == 0 && retry) {
             send();
         } else if (reply.status() == 0) {
-            give(CallEnd.CUT, System.nanoTime(), reply.failure());
+            complete(CallEnd.CUT, System.nanoTime(), reply.failure());
         } else {
-            give(outcome.equals("not-run") ? CallEnd.NOT_RUN : CallEnd.UNKNOWN, System.nanoTime(), kind);
+            complete(outcome.equals("not-run") ? CallEnd.NOT_RUN : CallEnd.UNKNOWN, System.nanoTime(), kind);
         }
     }
 
-    private void give(CallEnd end, long now, String detail) {
+    private void complete(CallEnd end, long now, String detail) {
         sink.accept(new Sample(call.organisation(), deadline.plannedNanos(), now, now, end, 0, attempts, detail));
     }
 
--- a/bench/src/main/java/org/cornelramp/bench/load/CallEnd.java
+++ b/bench/src/main/java/org/cornelramp/bench/load/CallEnd.java
@@ -1,6 +1,6 @@
 package org.cornelramp.bench.load;
 
-/** How one request ended for its caller. The set is closed. */
+/** How one request ended for its caller. */
 public enum CallEnd {
     /** The whole, correct answer came before the deadline. */
     IN_TIME(true),
@@ -8,11 +8,11 @@
     LATE(true),
     /** The caller was told that the request did not run. */
     NOT_RUN(false),
-    /** The caller was told that nobody knows whether the request ran. */
+    /** The caller was told that it is unknown whether the request ran. */
     UNKNOWN(false),
-    /** No final word came: the connection was refused or cut, or the caller gave up waiting. */
+    /** No final answer came: the connection was refused or cut, or the caller gave up waiting. */
     CUT(false),
-    /** An answer came that passed for whole and was not the right one. */
+    /** A complete answer came, but not the correct one. */
     WRONG(false);
 
     private final boolean answered;
--- a/bench/src/main/java/org/cornelramp/bench/load/Callers.java
+++ b/bench/src/main/java/org/cornelramp/bench/load/Callers.java
@@ -11,8 +11,8 @@
 /**
  * Callers of a fleet, all over one HTTP client. Safe for use by any thread.
  *
- * <p>Like clients behind the platform's balancer, a caller whose connection is refused or cut goes to the next entry
- * while its deadline lasts: a chat request is idempotent, and a booking keeps its key.
+ * <p>Like clients behind the platform's load balancer, a caller whose connection is refused or cut tries the next entry
+ * until its deadline: a chat request is idempotent, and a booking keeps its key.
  */
 public final class Callers implements AutoCloseable {
     private static final int MAX_CONNECTIONS = 8_192;
@@ -30,7 +30,7 @@
     /**
      * @param entries base URLs of the entries
      * @param callerKeys the caller key of each organisation
-     * @param expected what the model must answer
+     * @param expected the correct answers of the model
      */
     public Callers(List<String> entries, IntFunction<String> callerKeys, ExpectedText expected) {
         this.entries = List.copyOf(entries);
@@ -52,13 +52,13 @@
         }
     }
 
-    /** Sends a chat request; the sample is given on one of the callers' threads. */
+    /** Sends a chat request; {@code sink} gets the sample on one of the callers' threads. */
     public void chat(ChatCall call, long plannedNanos, Consumer<Sample> sink) {
         new ChatAttempts(http, entries, callerKeys.apply(call.organisation()), expected, call, plannedNanos, sink)
                 .send();
     }
 
-    /** Mints a key and books with it; the sample is given on one of the callers' threads. */
+    /** Requests a key and books with it; {@code sink} gets the sample on one of the callers' threads. */
     public void book(ServiceCallPlan call, long plannedNanos, Consumer<Sample> sink) {
         new BookingAttempts(http, entries, callerKeys.apply(call.organisation()), call, plannedNanos, sink).send();
     }
--- a/bench/src/main/java/org/cornelramp/bench/load/ChatAnswer.java
+++ b/bench/src/main/java/org/cornelramp/bench/load/ChatAnswer.java
@@ -5,9 +5,9 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 
 /**
- * What has come of one streamed answer. Confined to one thread at a time.
+ * The part of one streamed answer that has been received. Confined to one thread at a time.
  *
- * <p>Invariant: an answer counts as whole only after its explicit end, so that a cut stream never passes for one.
+ * <p>Invariant: an answer counts as whole only after its explicit end, so that a cut stream never counts as one.
  */
 final class ChatAnswer {
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -17,7 +17,7 @@
     private JsonNode problem;
     private boolean done;
 
-    /** Takes the data of one event; true if it carries text. */
+    /** Adds the data of one event; returns whether it contains text. */
     boolean add(String data) {
         if (data.equals(DONE)) {
             done = true;
--- a/bench/src/main/java/org/cornelramp/bench/load/ChatAttempts.java
+++ b/bench/src/main/java/org/cornelramp/bench/load/ChatAttempts.java
@@ -16,9 +16,9 @@
 import org.eclipse.jetty.client.StringRequestContent;
 
 /**
- * One chat request with its attempts, one after the other. The client calls it from one thread at a time.
+ * One chat request and its successive attempts. The HTTP client calls it from one thread at a time.
  *
- * <p>Invariant: gives exactly one sample.
+ * <p>Invariant: produces exactly one sample.
  */
 final class ChatAttempts {
     private static final int MAX_ATTEMPTS = 4;
@@ -73,22 +73,22 @@
         return body.toString();
     }
 
-    private void ended(Result result, ChatAnswer answer, StringBuilder plain) {
+    private void onAttemptEnd(Result result, ChatAnswer answer, StringBuilder problemText) {
         long now = System.nanoTime();
         JsonNode problem = answer.problem();
         if (problem == null && result.isSucceeded() && result.getResponse().getStatus() != 200) {
-            problem = ChatAnswer.parse(plain.toString());
+            problem = ChatAnswer.parse(problemText.toString());
         }
         if (problem != null) {
-            give(refused(problem), 0, now, problem.path("kind").asText("status-" + status(result)));
+            complete(endOf(problem), 0, now, problem.path("kind").asText("status-" + status(result)));
         } else if (result.isSucceeded() && answer.isDone()) {
-            boolean right = answer.text().equals(expected.of(call.content(), call.maxTokens()));
+            boolean correct = answer.text().equals(expected.of(call.content(), call.maxTokens()));
             CallEnd end = deadline.isMet(now) ? CallEnd.IN_TIME : CallEnd.LATE;
-            give(right ? end : CallEnd.WRONG, call.maxTokens(), now, right ? "" : "text");
+            complete(correct ? end : CallEnd.WRONG, call.maxTokens(), now, correct ? "" : "text");
         } else if (attempts < MAX_ATTEMPTS && !deadline.isPast()) {
             send();
         } else {
-            give(CallEnd.CUT, 0, now, String.valueOf(result.getFailure()));
+            complete(CallEnd.CUT, 0, now, String.valueOf(result.getFailure()));
         }
     }
 
@@ -96,26 +96,26 @@
         return result.getResponse() == null ? 0 : result.getResponse().getStatus();
     }
 
-    private static CallEnd refused(JsonNode problem) {
+    private static CallEnd endOf(JsonNode problem) {
         return problem.path("outcome").asText().equals("not-run") ? CallEnd.NOT_RUN : CallEnd.UNKNOWN;
     }
 
-    private void give(CallEnd end, int tokens, long now, String detail) {
+    private void complete(CallEnd end, int tokens, long now, String detail) {
         sink.accept(new Sample(
                 call.organisation(), deadline.plannedNanos(), firstNanos, now, end, tokens, attempts, detail));
     }
 
-    /** Reads one attempt's answer: events of a stream, or the text of a problem. */
+    /** Reads the answer to one attempt: the events of a stream, or the body of a problem. */
     private final class Listener implements Response.Listener {
         private final EventStreamReader events = new EventStreamReader();
         private final ChatAnswer answer = new ChatAnswer();
-        private final StringBuilder plain = new StringBuilder();
+        private final StringBuilder problemText = new StringBuilder();
 
         @Override
         public void onContent(Response response, ByteBuffer content) {
             if (response.getStatus() != 200) {
-                if (plain.length() < MAX_PROBLEM_BYTES) {
-                    plain.append(StandardCharsets.UTF_8.decode(content));
+                if (problemText.length() < MAX_PROBLEM_BYTES) {
+                    problemText.append(StandardCharsets.UTF_8.decode(content));
                 }
                 return;
             }
@@ -128,7 +128,7 @@
 
         @Override
         public void onComplete(Result result) {
-            ended(result, answer, plain);
+            onAttemptEnd(result, answer, problemText);
         }
     }
 }
--- a/bench/src/main/java/org/cornelramp/bench/load/Deadline.java
+++ b/bench/src/main/java/org/cornelramp/bench/load/Deadline.java
@@ -1,21 +1,21 @@
 package org.cornelramp.bench.load;
 
 /**
- * The time that one request has, counted from when it was due. Immutable, safe for use by any thread.
+ * The deadline of one request, counted from the time at which it was due. Immutable, safe for use by any thread.
  *
  * @param plannedNanos when the request was due
- * @param millis time allowed
+ * @param millis time allowed, in milliseconds
  */
 record Deadline(long plannedNanos, long millis) {
     private static final long NANOS_PER_MILLI = 1_000_000;
-    /** Callers wait a while past the deadline, to tell a late final word from none. */
+    /** Callers wait past the deadline, to distinguish a late answer from none. */
     private static final long GRACE_MILLIS = 2_000;
 
     boolean isMet(long endNanos) {
         return endNanos - plannedNanos <= millis * NANOS_PER_MILLI;
     }
 
-    /** What is left, as the caller tells it; at least one millisecond. */
+    /** Remaining time that the caller sends with the request, in milliseconds; at least 1. */
     long leftMillis() {
         return Math.max(1, millis - (System.nanoTime() - plannedNanos) / NANOS_PER_MILLI);
     }
--- a/bench/src/main/java/org/cornelramp/bench/load/EngineBound.java
+++ b/bench/src/main/java/org/cornelramp/bench/load/EngineBound.java
@@ -6,12 +6,12 @@
 import org.cornelramp.bench.fleet.StagePlan;
 
 /**
- * The most that engines of known speeds can do, with every iteration full and none wasted. Immutable, safe for use by
- * any thread.
+ * Upper bound of the request rate of engines of known speeds, with every iteration full and none wasted. Immutable,
+ * safe for use by any thread.
  *
- * <p>A request takes a place in one iteration for its prompt and in one more for each further token at every stage, so
- * its cost at an engine is that part of the iterations' base time and the time of its inputs. The stage with the
- * lowest sum over its engines bounds the whole.
+ * <p>At every stage, a request takes a slot in one iteration for its prompt and in one more for each further token. Its
+ * cost at an engine is its share of the base time of these iterations plus the time of its inputs. The stage with the
+ * lowest sum of rates over its engines bounds the rate.
  */
 public final class EngineBound {
     private static final double MICROS_PER_SECOND = 1e6;
@@ -28,7 +28,7 @@
         this.slots = slots;
     }
 
-    /** Requests a second, all with a prompt and an answer of the same lengths. */
+    /** Requests per second, if all have prompts of one length and answers of one length, both in tokens. */
     public double requestsPerSecond(int promptTokens, int tokens) {
         Map<String, Double> byRange = new TreeMap<>();
         for (StagePlan engine : engines) {
--- a/bench/src/main/java/org/cornelramp/bench/load/EventStreamReader.java
+++ b/bench/src/main/java/org/cornelramp/bench/load/EventStreamReader.java
@@ -6,13 +6,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Cuts a stream of server-sent events into their data lines. Confined to one thread at a time. */
+/** Splits a stream of server-sent events into their data lines. Confined to one thread at a time. */
 final class EventStreamReader {
     private static final String DATA = "data:";
 
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
-    /** Takes bytes; gives the data that they complete, in order. */
+    /** Consumes bytes and returns the data lines that they complete, in order. */
     List<String> read(ByteBuffer bytes) {
         List<String> complete = new ArrayList<>();
         while (bytes.hasRemaining()) {
--- a/bench/src/main/java/org/cornelramp/bench/load/ExpectedText.java
+++ b/bench/src/main/java/org/cornelramp/bench/load/ExpectedText.java
@@ -6,7 +6,7 @@
 /**
  * The text that the stand-in model must generate. Immutable, safe for use by any thread.
  *
- * <p>Computed from the request alone and with none of the product's code, so that a fault there cannot hide here.
+ * <p>Computed from the request alone and without code of the product, so that a fault there cannot affect the check.
  */
 public final class ExpectedText {
     private static final int RADIX = 36;
@@ -19,7 +19,7 @@
         this.layers = layers;
     }
 
-    /** The whole text for one message. */
+    /** The whole text that answers one message. */
     public String of(String content, int tokens) {
         StringBuilder text = new StringBuilder();
         for (long token : ModelMath.generate(promptOf(content), layers, tokens)) {
--- a/bench/src/main/java/org/cornelramp/bench/load/OpenLoop.java
+++ b/bench/src/main/java/org/cornelramp/bench/load/OpenLoop.java
@@ -7,8 +7,8 @@
 /**
  * Sends requests at times drawn in advance, whether or not earlier ones have been answered.
  *
- * <p>Confined to the thread that runs it. Waiting for answers would slow the load down just when the system is slow,
- * and hide the delay that callers see; here a late sending counts from the time at which it was due.
+ * <p>Confined to the thread that runs it. Waiting for answers would reduce the load when the system is slow and hide
+ * the delay that callers see; here the delay of a request that is sent late counts from the time at which it was due.
  */
 public final class OpenLoop {
     private static final double NANOS_PER_SECOND = 1e9;
@@ -22,7 +22,7 @@
     }
 
     /**
-     * Runs until the end.
+     * Sends requests until the end of the load.
      *
      * @param perSecond mean rate; times between requests are exponential
      * @param startNanos start of the load, of {@link System#nanoTime}
@@ -31,15 +31,15 @@
      */
     public void run(double perSecond, long startNanos, double seconds, LongConsumer send) {
         long end = startNanos + (long) (seconds * NANOS_PER_SECOND);
-        long due = next(startNanos, perSecond);
+        long due = nextDueNanos(startNanos, perSecond);
         while (due - end < 0) {
             sleepUntil(due);
             send.accept(due);
-            due = next(due, perSecond);
+            due = nextDueNanos(due, perSecond);
         }
     }
 
-    /** Runs until the end with the same time between all requests, so that a dip in the answers is not one in the load. */
+    /** Sends requests at a constant interval, so that a drop in the answers cannot come from a drop in the load. */
     public void runEvenly(double perSecond, long startNanos, double seconds, LongConsumer send) {
         long step = (long) (NANOS_PER_SECOND / perSecond);
         long end = startNanos + (long) (seconds * NANOS_PER_SECOND);
@@ -49,7 +49,7 @@
         }
     }
 
-    private long next(long from, double perSecond) {
+    private long nextDueNanos(long from, double perSecond) {
         return from + (long) (-Math.log(1 - random.nextDouble()) / perSecond * NANOS_PER_SECOND);
     }
 
--- a/bench/src/main/java/org/cornelramp/bench/load/Samples.java
+++ b/bench/src/main/java/org/cornelramp/bench/load/Samples.java
@@ -9,28 +9,28 @@
 import java.util.stream.Collectors;
 import org.HdrHistogram.Histogram;
 
-/** Collects samples and sums them up. Safe for use by any thread. */
+/** Collects samples and computes their summaries. Safe for use by any thread. */
 public final class Samples {
     private static final long NANOS_PER_MICRO = 1_000;
     private static final long MAX_MICROS = 600_000_000L;
     private static final int DIGITS = 3;
 
     private final List<Sample> samples = new ArrayList<>();
-    private int sent;
+    private int countSent;
 
-    /** Says that a request is under way. */
-    public synchronized void sent() {
-        sent++;
+    /** Counts a request that is being sent. */
+    public synchronized void countSent() {
+        countSent++;
     }
 
-    /** Takes the sample of a request that was under way. */
+    /** Adds the sample of a request that has ended. */
     public synchronized void add(Sample sample) {
         samples.add(sample);
     }
 
-    /** Requests that have no final word yet. */
-    public synchronized int open() {
-        return sent - samples.size();
+    /** Number of requests that have not ended yet. */
+    public synchronized int openCount() {
+        return countSent - samples.size();
     }
 
     /** The samples of requests that were due in a time window. */
@@ -45,15 +45,15 @@
         return List.copyOf(samples);
     }
 
-    /** How many ended in each way. */
-    public static Map<String, Long> ends(List<Sample> part) {
+    /** Number of requests by how they ended. */
+    public static Map<String, Long> countsByEnd(List<Sample> part) {
         return part.stream()
                 .collect(Collectors.groupingBy(
                         sample -> sample.end().name().toLowerCase(Locale.ROOT), TreeMap::new, Collectors.counting()));
     }
 
-    /** How often each problem was given. */
-    public static Map<String, Long> details(List<Sample> part) {
+    /** Number of requests by their problem. */
+    public static Map<String, Long> countsByDetail(List<Sample> part) {
         return part.stream()
                 .filter(sample -> !sample.detail().isEmpty())
                 .collect(Collectors.groupingBy(Sample::detail, TreeMap::new, Collectors.counting()));
@@ -68,13 +68,13 @@
     }
 
     /** Times to the first token, in microseconds, of requests that were answered. */
-    public static Histogram firstToken(List<Sample> part) {
+    public static Histogram firstTokenTimes(List<Sample> part) {
         return histogram(
                 part, sample -> sample.firstNanos() != 0 && sample.end().isAnswered(), true);
     }
 
     /** Times to the whole answer, in microseconds, of requests that were answered. */
-    public static Histogram whole(List<Sample> part) {
+    public static Histogram completeAnswerTimes(List<Sample> part) {
         return histogram(part, sample -> sample.end().isAnswered(), false);
     }
 
--- a/bench/src/main/java/org/cornelramp/bench/load/package-info.java
+++ b/bench/src/main/java/org/cornelramp/bench/load/package-info.java
@@ -1,2 +1,2 @@
-/** An open-loop load generator: callers that check every answer and say how each request ended. */
+/** An open-loop load generator: callers that check every answer and record how each request ended. */
 package org.cornelramp.bench.load;
--- a/bench/src/test/java/org/cornelramp/bench/load/ChatAnswerTest.java
+++ b/bench/src/test/java/org/cornelramp/bench/load/ChatAnswerTest.java
@@ -9,8 +9,8 @@
 import org.testng.annotations.Test;
 
 /**
- * A stream is cut in the middle of an event, or after all text but before its end. The caller must count neither as
- * a whole answer, whatever pieces its bytes arrived in.
+ * Guards against counting a cut stream as a complete answer: one cut in the middle of an event, or after all text but
+ * before its end marker, in whatever chunks its bytes arrive.
  */
 public class ChatAnswerTest {
     private static final String CHUNK = "data: {\"choices\":[{\"delta\":{\"content\":\"wa \"}}]}\n\n";
--- a/bench/src/test/java/org/cornelramp/bench/load/OpenLoopTest.java
+++ b/bench/src/test/java/org/cornelramp/bench/load/OpenLoopTest.java
@@ -8,8 +8,8 @@
 import org.testng.annotations.Test;
 
 /**
- * The system stalls, so that each sending takes far longer than the time between two requests. The due times must
- * stay those that the seed gave: if they moved with the stall, the load would ease off just when callers wait.
+ * Sending stalls, so that each request takes far longer to send than the interval between two requests. The due times
+ * must stay those of the seed: if they moved with the stall, the load would drop while callers wait.
  */
 public class OpenLoopTest {
 
