--- a/bench/src/main/java/org/cornelramp/bench/measure/Line.java
+++ b/bench/src/main/java/org/cornelramp/bench/measure/Line.java
@@ -1,14 +1,14 @@
 package org.cornelramp.bench.measure;
 
 /**
- * The straight line of least squares through some points. Immutable, safe for use by any thread.
+ * A straight line fitted to points by least squares. Immutable, safe for use by any thread.
  *
  * @param slope rise for each unit
  * @param intercept value at 0
  */
 public record Line(double slope, double intercept) {
 
-    /** Fits a line; a flat one through the mean when all points share one place. */
+    /** Fits a line; a horizontal one through the mean if all points have the same {@code x}. */
     public static Line fit(double[] x, double[] y) {
         double meanX = mean(x);
         double meanY = mean(y);
--- a/bench/src/main/java/org/cornelramp/bench/measure/Meters.java
+++ b/bench/src/main/java/org/cornelramp/bench/measure/Meters.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 
-/** The meters that a daemon shows at {@code /metrics}. Immutable, safe for use by any thread. */
+/** The meters that a daemon serves at {@code /metrics}. Immutable, safe for use by any thread. */
 public final class Meters {
     private final List<String> lines;
 
-    /** @param page the text that the daemon gave */
+    /** @param page the body of the response, in the Prometheus text format */
     public Meters(String page) {
         this.lines = page.lines().filter(line -> !line.startsWith("#")).toList();
     }
@@ -16,7 +16,7 @@
         return sum(name, "");
     }
 
-    /** Sum of a meter over the series whose labels hold a text. */
+    /** Sum of a meter over the series whose line contains the text {@code label}. */
     public double sum(String name, String label) {
         return lines.stream()
                 .filter(line -> line.startsWith(name + "{") || line.startsWith(name + " "))
--- a/bench/src/main/java/org/cornelramp/bench/measure/ProcessUsage.java
+++ b/bench/src/main/java/org/cornelramp/bench/measure/ProcessUsage.java
@@ -9,7 +9,7 @@
 import org.cornelramp.bench.fleet.FleetException;
 
 /**
- * What a process has used so far, as the kernel counts it. Immutable, safe for use by any thread.
+ * The resource usage of a process as the kernel counts it. Immutable, safe for use by any thread.
  *
  * @param threadNanos processor time of each live thread, in nanoseconds
  * @param residentBytes resident memory, in bytes
@@ -22,8 +22,8 @@
     }
 
     /**
-     * Processor time since an earlier reading, in nanoseconds. Compared thread by thread: the time of a thread that
-     * has ended in between would otherwise be taken off that of the others.
+     * Processor time since an earlier reading, in nanoseconds. Computed per thread: the time of a thread that has
+     * ended in between would otherwise be subtracted from that of the others.
      */
     public long cpuNanosSince(ProcessUsage earlier) {
         return threadNanos.entrySet().stream()
@@ -41,7 +41,7 @@
         }
     }
 
-    /** The jiffies of {@code stat} are too coarse for an idle process; each thread's {@code schedstat} is exact. */
+    /** Reads {@code schedstat} of each thread, as the jiffies of {@code stat} are too coarse for an idle process. */
     private static Map<String, Long> threads(Path tasks) throws IOException {
         try (Stream<Path> threads = Files.list(tasks)) {
             return threads.collect(
--- a/bench/src/main/java/org/cornelramp/bench/measure/Results.java
+++ b/bench/src/main/java/org/cornelramp/bench/measure/Results.java
@@ -13,7 +13,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The results of one benchmark: a JSON file, and figures that are printed last. Confined to one thread. */
+/** The results of one benchmark: a JSON file, and figures that are printed at the end. Confined to one thread. */
 public final class Results {
     private static final ObjectMapper MAPPER =
             JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT).build();
@@ -24,7 +24,7 @@
     private final List<String> figures = new ArrayList<>();
 
     /**
-     * @param folder where files go
+     * @param folder folder of the result files
      * @param name name of the benchmark
      */
     public Results(Path folder, String name) {
@@ -32,18 +32,18 @@
         this.name = name;
     }
 
-    /** Adds a value to the file. */
+    /** Adds a value to the JSON file. */
     public void put(String key, Object value) {
         values.put(key, value);
     }
 
-    /** Adds a figure to the file and to the last lines of the output. */
+    /** Adds a figure to the JSON file and to the last lines of the output. */
     public void figure(String key, double value) {
         values.put(key, value);
         figures.add(String.format(Locale.ROOT, "%s=%.4g", key, value));
     }
 
-    /** A file of this benchmark with another ending. */
+    /** A result file of this benchmark with the given extension, dot included. */
     public Path file(String ending) {
         try {
             Files.createDirectories(folder);
--- a/bench/src/main/java/org/cornelramp/bench/measure/package-info.java
+++ b/bench/src/main/java/org/cornelramp/bench/measure/package-info.java
@@ -1,2 +1,2 @@
-/** What the benchmarks measure with: processor time, memory, meters, straight lines, result files and plots. */
+/** Measurement tools of the benchmarks: processor time, memory, meters, linear fits, result files and plots. */
 package org.cornelramp.bench.measure;
--- a/bench/src/test/java/org/cornelramp/bench/measure/LineProperties.java
+++ b/bench/src/test/java/org/cornelramp/bench/measure/LineProperties.java
@@ -6,7 +6,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
 
-/** Points on a line give that line. */
+/** Fitting points that lie on a line must return that line. */
 class LineProperties {
     private static final double[] SIZES = {1, 2, 4, 8, 16};
 
--- a/bench/src/test/java/org/cornelramp/bench/platform/PlatformContractTest.java
+++ b/bench/src/test/java/org/cornelramp/bench/platform/PlatformContractTest.java
@@ -38,7 +38,7 @@
 import org.cornelramp.standins.weights.WeightsStandIn;
 import org.testng.annotations.Test;
 
-/** Clients and stand-ins agree on every interface, with and without faults. */
+/** The platform clients and the stand-ins must agree on every interface, with and without faults. */
 public class PlatformContractTest {
     private static final int LAYERS = 6;
     private static final double MANY_APPENDS = 100_000;
--- a/bench/src/test/java/org/cornelramp/bench/platform/StandInFixture.java
+++ b/bench/src/test/java/org/cornelramp/bench/platform/StandInFixture.java
@@ -14,7 +14,7 @@
 import org.eclipse.jetty.client.StringRequestContent;
 import org.eclipse.jetty.client.transport.HttpClientTransportOverHTTP;
 
-/** One stand-in served in this process, with a platform client for it. */
+/** Serves one stand-in in this process and provides a platform client for it. */
 final class StandInFixture implements AutoCloseable {
     private final Faults faults = new Faults();
     private final Trace trace = new Trace();
@@ -24,7 +24,7 @@
     private final StandInServer server;
     private final String url;
 
-    /** Builds the stand-in from what its process would give it. */
+    /** Creates the stand-in from the objects that its process would pass to it. */
     interface Builder {
         StandIn build(Faults faults, Trace trace, Clock clock, Timer timer);
     }
