--- a/bench/src/main/java/org/cornelramp/bench/soak/FaultKind.java
+++ b/bench/src/main/java/org/cornelramp/bench/soak/FaultKind.java
@@ -7,193 +7,193 @@
 import org.cornelramp.bench.fleet.ManagedProcess;
 import org.cornelramp.bench.fleet.Member;
 
-/** The faults that a run draws from. Each knows what it strikes, how it begins and how it ends. */
+/** The kinds of faults that a run draws from, each with its target and the actions that start and end it. */
 public enum FaultKind {
-    /** An agent dies and comes back with an empty memory. */
+    /** An agent is killed and restarted without its in-memory state. */
     KILL_AGENT(Target.AGENT, true) {
         @Override
-        void begin(FaultContext c) {
-            c.daemon().kill();
+        void begin(FaultContext context) {
+            context.daemon().kill();
         }
 
         @Override
-        void end(FaultContext c) {
-            c.restart(c.daemon());
+        void end(FaultContext context) {
+            context.restart(context.daemon());
         }
     },
-    /** An engine or a service dies and comes back. */
+    /** An engine or a service is killed and restarted. */
     KILL_BACKEND(Target.AGENT, true) {
         @Override
-        void begin(FaultContext c) {
-            c.backend().kill();
+        void begin(FaultContext context) {
+            context.backend().kill();
         }
 
         @Override
-        void end(FaultContext c) {
-            c.restart(c.backend());
+        void end(FaultContext context) {
+            context.restart(context.backend());
         }
     },
-    /** A backend server and its agent die together, as their VM does. */
+    /** A backend server and its agent are killed together, as when their VM fails. */
     KILL_VM(Target.AGENT, true) {
         @Override
-        void begin(FaultContext c) {
-            c.daemon().kill();
-            c.backend().kill();
+        void begin(FaultContext context) {
+            context.daemon().kill();
+            context.backend().kill();
         }
 
         @Override
-        void end(FaultContext c) {
-            c.backend().launch();
-            c.restart(c.daemon());
+        void end(FaultContext context) {
+            context.backend().launch();
+            context.restart(context.daemon());
         }
     },
-    /** An entry dies and comes back. */
+    /** An entry is killed and restarted. */
     KILL_ENTRY(Target.ENTRY, true) {
         @Override
-        void begin(FaultContext c) {
-            c.daemon().kill();
+        void begin(FaultContext context) {
+            context.daemon().kill();
         }
 
         @Override
-        void end(FaultContext c) {
-            c.restart(c.daemon());
+        void end(FaultContext context) {
+            context.restart(context.daemon());
         }
     },
-    /** An agent is paused past its timeouts and wakes. */
+    /** An agent is paused, possibly past its timeouts, and resumed. */
     FREEZE_AGENT(Target.AGENT, true) {
         @Override
-        void begin(FaultContext c) {
-            c.daemon().freeze();
+        void begin(FaultContext context) {
+            context.daemon().freeze();
         }
 
         @Override
-        void end(FaultContext c) {
-            c.daemon().wake();
+        void end(FaultContext context) {
+            context.daemon().wake();
         }
     },
-    /** A backend server is paused and wakes. */
+    /** A backend server is paused and resumed. */
     FREEZE_BACKEND(Target.AGENT, true) {
         @Override
-        void begin(FaultContext c) {
-            c.backend().freeze();
+        void begin(FaultContext context) {
+            context.backend().freeze();
         }
 
         @Override
-        void end(FaultContext c) {
-            c.backend().wake();
+        void end(FaultContext context) {
+            context.backend().wake();
         }
     },
-    /** An entry is paused and wakes. */
+    /** An entry is paused and resumed. */
     FREEZE_ENTRY(Target.ENTRY, true) {
         @Override
-        void begin(FaultContext c) {
-            c.daemon().freeze();
+        void begin(FaultContext context) {
+            context.daemon().freeze();
         }
 
         @Override
-        void end(FaultContext c) {
-            c.daemon().wake();
+        void end(FaultContext context) {
+            context.daemon().wake();
         }
     },
-    /** The open links of an agent go silent for good, while new ones work. */
+    /** The open links of an agent stay open but carry no more data; new ones work. */
     SILENT_LINKS(Target.AGENT, false) {
         @Override
-        void begin(FaultContext c) {
-            c.member().relay().orElseThrow().silence();
+        void begin(FaultContext context) {
+            context.member().relay().orElseThrow().silence();
         }
     },
-    /** The links of an agent are cut, and new ones refused for a while. */
+    /** The links of an agent are closed, and new ones are refused until the fault ends. */
     CUT_LINKS(Target.AGENT, false) {
         @Override
-        void begin(FaultContext c) {
-            c.member().relay().orElseThrow().refuse(true);
-            c.member().relay().orElseThrow().cut();
+        void begin(FaultContext context) {
+            context.member().relay().orElseThrow().setRefusing(true);
+            context.member().relay().orElseThrow().cut();
         }
 
         @Override
-        void end(FaultContext c) {
-            c.member().relay().orElseThrow().refuse(false);
+        void end(FaultContext context) {
+            context.member().relay().orElseThrow().setRefusing(false);
         }
     },
-    /** The log service refuses everything. */
+    /** The log service refuses all requests. */
     LOG_OUTAGE(Target.LOG, false) {
         @Override
-        void begin(FaultContext c) {
-            c.log(Map.of("outage", "true"));
+        void begin(FaultContext context) {
+            context.setLogFaults(Map.of("outage", "true"));
         }
 
         @Override
-        void end(FaultContext c) {
-            c.log(Map.of("outage", ""));
+        void end(FaultContext context) {
+            context.setLogFaults(Map.of("outage", ""));
         }
     },
-    /** Answers of the log service are lost after the records were kept. */
+    /** Answers of the log service are lost after the records were stored. */
     LOG_LOSES_ANSWERS(Target.LOG, false) {
         @Override
-        void begin(FaultContext c) {
-            c.log(Map.of("lose-answers", "5"));
+        void begin(FaultContext context) {
+            context.setLogFaults(Map.of("lose-answers", "5"));
         }
 
         @Override
-        void end(FaultContext c) {
-            c.log(Map.of("lose-answers", ""));
+        void end(FaultContext context) {
+            context.setLogFaults(Map.of("lose-answers", ""));
         }
     },
-    /** The log service takes its time. */
+    /** The log service answers slowly. */
     LOG_SLOW(Target.LOG, false) {
         @Override
-        void begin(FaultContext c) {
-            c.log(Map.of("stall-millis", "700"));
+        void begin(FaultContext context) {
+            context.setLogFaults(Map.of("stall-millis", "700"));
         }
 
         @Override
-        void end(FaultContext c) {
-            c.log(Map.of("stall-millis", ""));
+        void end(FaultContext context) {
+            context.setLogFaults(Map.of("stall-millis", ""));
         }
     },
-    /** The VM list does not answer, so that what is known of it grows old. */
+    /** The VM list does not answer, so that the cached copies become stale. */
     VM_LIST_OUTAGE(Target.VM_LIST, false) {
         @Override
-        void begin(FaultContext c) {
-            c.vmList(Map.of("outage", "true"));
+        void begin(FaultContext context) {
+            context.setVmListFaults(Map.of("outage", "true"));
         }
 
         @Override
-        void end(FaultContext c) {
-            c.vmList(Map.of("outage", ""));
+        void end(FaultContext context) {
+            context.setVmListFaults(Map.of("outage", ""));
         }
     },
     /** Two operators edit one row at two entries at once. */
     RACING_EDITS(Target.TABLE, false) {
         @Override
-        void begin(FaultContext c) {
-            c.operators().race();
+        void begin(FaultContext context) {
+            context.operators().editConcurrently();
         }
     },
     /** An agent is stopped as planned and replaced. */
     STOP_AGENT(Target.AGENT, false) {
         @Override
-        void begin(FaultContext c) {
-            c.daemon().terminate();
+        void begin(FaultContext context) {
+            context.daemon().terminate();
         }
 
         @Override
-        void end(FaultContext c) {
-            c.awaitPlannedEnd();
-            c.restart(c.daemon());
+        void end(FaultContext context) {
+            context.awaitPlannedEnd();
+            context.restart(context.daemon());
         }
     },
     /** An entry is stopped as planned and replaced. */
     STOP_ENTRY(Target.ENTRY, false) {
         @Override
-        void begin(FaultContext c) {
-            c.daemon().terminate();
+        void begin(FaultContext context) {
+            context.daemon().terminate();
         }
 
         @Override
-        void end(FaultContext c) {
-            c.awaitPlannedEnd();
-            c.restart(c.daemon());
+        void end(FaultContext context) {
+            context.awaitPlannedEnd();
+            context.restart(context.daemon());
         }
     };
 
@@ -205,26 +205,26 @@
         this.crash = crash;
     }
 
-    /** What it strikes. */
+    /** What it affects. */
     public Target target() {
         return target;
     }
 
-    /** Whether a process dies or pauses, so that callers may be left without the truth or cut off. */
+    /** Whether a process is killed or paused, so that callers may get an unknown outcome or a cut connection. */
     public boolean isCrash() {
         return crash;
     }
 
-    /** The form that traces carry. */
+    /** The name in the printed schedule. */
     public String text() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    abstract void begin(FaultContext c);
+    abstract void begin(FaultContext context);
 
-    void end(FaultContext c) {}
+    void end(FaultContext context) {}
 
-    /** What a fault strikes; of each, one fault at a time. */
+    /** What a fault affects; a schedule has at most one fault at a time for each member of a target. */
     public enum Target {
         /** An agent with its backend server. */
         AGENT,
@@ -237,12 +237,12 @@
         /** The table. */
         TABLE;
 
-        boolean takes(Member member) {
+        boolean includes(Member member) {
             return this == (member.entry() ? ENTRY : AGENT);
         }
     }
 
-    /** What a fault has at hand. Safe for use by any thread, if the fleet's members do not change. */
+    /** What a fault acts on. Safe for use by any thread while the fleet's members do not change. */
     record FaultContext(Fleet fleet, Member member, Operators operators, Violations violations) {
 
         ManagedProcess daemon() {
@@ -253,23 +253,25 @@
             return member.backend().orElseThrow();
         }
 
-        void log(Map<String, String> switches) {
+        void setLogFaults(Map<String, String> switches) {
             fleet.faults(fleet.logUrl(), switches);
         }
 
-        void vmList(Map<String, String> switches) {
+        void setVmListFaults(Map<String, String> switches) {
             fleet.faults(fleet.vmListUrl(), switches);
         }
 
-        /** A fault lasts until its process is back and ready, however long a busy machine takes to start it. */
+        /**
+         * Restarts the process and waits until it is ready, so that the fault lasts until then also on a busy machine.
+         */
         void restart(ManagedProcess process) {
             process.start();
         }
 
-        /** A planned stop ends by itself, with status 0. */
+        /** Checks that the process exits by itself with status 0 after a planned stop. */
         void awaitPlannedEnd() {
             if (!daemon().awaitEnd(Duration.ofSeconds(70))) {
-                violations.add("planned-stop", member.name() + " did not end; it is killed now");
+                violations.add("planned-stop", member.name() + " did not exit within 70 s; it is killed now");
                 daemon().kill();
             } else if (daemon().exitCode() != 0) {
                 violations.add("planned-stop", member.name() + " ended with status " + daemon().exitCode());
--- a/bench/src/main/java/org/cornelramp/bench/soak/FaultRunner.java
+++ b/bench/src/main/java/org/cornelramp/bench/soak/FaultRunner.java
@@ -9,7 +9,7 @@
 import org.cornelramp.bench.fleet.FleetException;
 import org.cornelramp.bench.fleet.Member;
 
-/** Makes the faults of a schedule happen, each on a thread of its own. Safe for use by any thread. */
+/** Injects the faults of a schedule, each on a separate thread. Safe for use by any thread. */
 public final class FaultRunner {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -17,7 +17,7 @@
     private final Operators operators;
     private final Violations violations;
     private final long startNanos;
-    private final List<Struck> struck = new ArrayList<>();
+    private final List<InjectedFault> injectedFaults = new ArrayList<>();
     private final ExecutorService threads = Executors.newCachedThreadPool(work -> {
         Thread thread = new Thread(work, "fault");
         thread.setDaemon(true);
@@ -34,14 +34,14 @@
         this.startNanos = startNanos;
     }
 
-    /** A fault as it happened. Immutable, safe for use by any thread. */
-    public record Struck(PlannedFault fault, String member, long beginNanos, long endNanos) {}
+    /** A fault as it was injected. Immutable, safe for use by any thread. */
+    public record InjectedFault(PlannedFault fault, String member, long beginNanos, long endNanos) {}
 
     /** Runs the whole schedule and waits until the last fault has ended. */
     public void run(FaultSchedule schedule) throws InterruptedException {
         for (PlannedFault fault : schedule.faults()) {
-            sleepUntil(startNanos + fault.atMillis() * NANOS_PER_MILLI);
-            threads.execute(() -> strike(fault));
+            sleepUntil(startNanos + fault.startMillis() * NANOS_PER_MILLI);
+            threads.execute(() -> inject(fault));
         }
         threads.shutdown();
         if (!threads.awaitTermination(2, TimeUnit.MINUTES)) {
@@ -50,31 +50,31 @@
     }
 
     /** The faults that have ended, in the order of their end. */
-    public synchronized List<Struck> struck() {
-        return List.copyOf(struck);
+    public synchronized List<InjectedFault> injectedFaults() {
+        return List.copyOf(injectedFaults);
     }
 
-    private void strike(PlannedFault fault) {
+    private void inject(PlannedFault fault) {
         List<Member> members =
-                fleet.members().stream().filter(fault.kind().target()::takes).toList();
-        Member member = members.isEmpty() ? null : members.get(fault.member());
+                fleet.members().stream().filter(fault.kind().target()::includes).toList();
+        Member member = members.isEmpty() ? null : members.get(fault.targetIndex());
         FaultKind.FaultContext context = new FaultKind.FaultContext(fleet, member, operators, violations);
         long begin = System.nanoTime();
         try {
             fault.kind().begin(context);
-            sleepUntil(begin + fault.lastsMillis() * NANOS_PER_MILLI);
+            sleepUntil(begin + fault.durationMillis() * NANOS_PER_MILLI);
             fault.kind().end(context);
         } catch (FleetException e) {
-            violations.add("fault", fault + " could not be brought about: " + e.getMessage());
+            violations.add("fault", fault + " could not be injected: " + e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         String name = member == null ? fault.kind().target().name() : member.name();
-        add(new Struck(fault, name, begin, System.nanoTime()));
+        add(new InjectedFault(fault, name, begin, System.nanoTime()));
     }
 
-    private synchronized void add(Struck one) {
-        struck.add(one);
+    private synchronized void add(InjectedFault fault) {
+        injectedFaults.add(fault);
     }
 
     private static void sleepUntil(long nanos) throws InterruptedException {
--- a/bench/src/main/java/org/cornelramp/bench/soak/Operators.java
+++ b/bench/src/main/java/org/cornelramp/bench/soak/Operators.java
@@ -16,8 +16,8 @@
 import org.cornelramp.bench.fleet.Member;
 
 /**
- * Operators who edit one row of the table through the entries, each edit with a weight of its own, and remember
- * which edits were accepted. Safe for use by any thread.
+ * Edits one row of the table through the entries as operators do, each edit with a distinct weight, and records which
+ * edits were accepted. Safe for use by any thread.
  */
 public final class Operators implements AutoCloseable {
     private static final String ORGANISATION = "org-0";
@@ -27,7 +27,7 @@
     private final Violations violations;
     private final ObjectMapper mapper = new ObjectMapper();
     private final JsonHttp http = new JsonHttp();
-    private final AtomicInteger edits = new AtomicInteger();
+    private final AtomicInteger editCount = new AtomicInteger();
     private final List<Accepted> accepted = new ArrayList<>();
 
     public Operators(List<Member> entries, Violations violations) {
@@ -38,40 +38,40 @@
     /** An accepted edit. Immutable, safe for use by any thread. */
     public record Accepted(long version, int weight) {}
 
-    /** What an entry shows of the row. Immutable, safe for use by any thread. */
+    /** Version and weight of the row as an entry shows it. Immutable, safe for use by any thread. */
     public record Shown(long version, int weight) {}
 
-    /** Edits the row at one entry, against the version that it shows. */
+    /** Edits the row through one entry, based on the version that the entry shows. */
     public void edit(int entry) {
         Member at = entries.get(entry % entries.size());
-        Shown shown = shown(at);
-        if (shown != null) {
-            edit(at, shown.version());
+        Shown row = readRow(at);
+        if (row != null) {
+            edit(at, row.version());
         }
     }
 
-    /** Two operators edit the row at different entries against one version: at most one is accepted. */
-    public void race() {
+    /** Edits the row through two entries at once, both based on one version; at most one edit may be accepted. */
+    public void editConcurrently() {
         Member one = entries.get(0);
         Member other = entries.get(entries.size() - 1);
-        Shown shown = shown(one);
-        if (shown == null) {
+        Shown row = readRow(one);
+        if (row == null) {
             return;
         }
-        CompletableFuture<String> first = CompletableFuture.supplyAsync(() -> edit(one, shown.version()));
-        CompletableFuture<String> second = CompletableFuture.supplyAsync(() -> edit(other, shown.version()));
+        CompletableFuture<String> first = CompletableFuture.supplyAsync(() -> edit(one, row.version()));
+        CompletableFuture<String> second = CompletableFuture.supplyAsync(() -> edit(other, row.version()));
         if (first.join().equals("accepted") && second.join().equals("accepted")) {
-            violations.add("table", "two edits against version " + shown.version() + " were both accepted");
+            violations.add("table", "two edits against version " + row.version() + " were both accepted");
         }
     }
 
-    /** The accepted edits, in the order in which their answers came. */
+    /** The accepted edits, in the order of their answers. */
     public synchronized List<Accepted> accepted() {
         return List.copyOf(accepted);
     }
 
     /** The row as an entry shows it; null if it does not answer. */
-    public Shown shown(Member entry) {
+    public Shown readRow(Member entry) {
         String url = entry.url() + "/operator/v1/table/" + ORGANISATION + "/" + FleetPlan.MODEL;
         try {
             JsonHttp.Answer answer = http.send("GET", url, HEADERS, "");
@@ -93,7 +93,7 @@
     }
 
     private String edit(Member entry, long against) {
-        int weight = 100 + edits.incrementAndGet();
+        int weight = 100 + editCount.incrementAndGet();
         Map<String, Object> edit = new HashMap<>();
         edit.put("organisation", ORGANISATION);
         edit.put("service", FleetPlan.MODEL);
--- a/bench/src/main/java/org/cornelramp/bench/soak/PlannedFault.java
+++ b/bench/src/main/java/org/cornelramp/bench/soak/PlannedFault.java
@@ -5,21 +5,26 @@
 /**
  * One fault of a schedule. Immutable, safe for use by any thread.
  *
- * @param kind what happens
- * @param member index of the member that it strikes, among those of its target; 0 for the platform
- * @param atMillis begin, from the start of the load
- * @param lastsMillis time until it ends
+ * @param kind kind of the fault
+ * @param targetIndex index of the affected member among those of its target; 0 for a platform service or the table
+ * @param startMillis start, in milliseconds from the start of the load
+ * @param durationMillis duration in milliseconds
  */
-public record PlannedFault(FaultKind kind, int member, long atMillis, long lastsMillis) {
+public record PlannedFault(FaultKind kind, int targetIndex, long startMillis, long durationMillis) {
 
-    /** When it ends, from the start of the load. */
+    /** End, in milliseconds from the start of the load. */
     public long endMillis() {
-        return atMillis + lastsMillis;
+        return startMillis + durationMillis;
     }
 
     @Override
     public String toString() {
         return String.format(
-                Locale.ROOT, "at=%dms lasts=%dms fault=%s member=%d", atMillis, lastsMillis, kind.text(), member);
+                Locale.ROOT,
+                "at=%dms lasts=%dms fault=%s member=%d",
+                startMillis,
+                durationMillis,
+                kind.text(),
+                targetIndex);
     }
 }
--- a/bench/src/main/java/org/cornelramp/bench/soak/RanStep.java
+++ b/bench/src/main/java/org/cornelramp/bench/soak/RanStep.java
@@ -3,7 +3,7 @@
 /**
  * Consecutive positions that an engine ran for a session. Immutable, safe for use by any thread.
  *
- * @param life life of the engine's process
+ * @param life id of the process lifetime of the engine
  * @param session the session
  * @param epoch epoch under which the step was sent
  * @param layerFrom first layer that the engine holds
--- a/bench/src/main/java/org/cornelramp/bench/soak/RequestOutcomes.java
+++ b/bench/src/main/java/org/cornelramp/bench/soak/RequestOutcomes.java
@@ -4,27 +4,27 @@
 import java.util.List;
 import org.cornelramp.bench.load.Sample;
 
-/** How every request of a run ended for its caller. Safe for use by any thread. */
-public final class Ledger {
+/** Records the outcome of every request of a run as its caller saw it. Safe for use by any thread. */
+public final class RequestOutcomes {
     private final List<Booking> bookings = new ArrayList<>();
     private final List<Sample> chats = new ArrayList<>();
-    private int sent;
+    private int countSent;
 
-    synchronized void sent() {
-        sent++;
+    synchronized void countSent() {
+        countSent++;
     }
 
-    synchronized void booked(Booking booking) {
+    synchronized void addBooking(Booking booking) {
         bookings.add(booking);
     }
 
-    synchronized void chatted(Sample sample) {
+    synchronized void addChat(Sample sample) {
         chats.add(sample);
     }
 
-    /** Requests without a final word so far. */
-    public synchronized int open() {
-        return sent - bookings.size() - chats.size();
+    /** Number of requests without an outcome so far. */
+    public synchronized int openCount() {
+        return countSent - bookings.size() - chats.size();
     }
 
     /** All bookings that have ended. */
--- a/bench/src/main/java/org/cornelramp/bench/soak/SoakCommand.java
+++ b/bench/src/main/java/org/cornelramp/bench/soak/SoakCommand.java
@@ -9,8 +9,9 @@
 import org.cornelramp.bench.load.Sample;
 
 /**
- * {@code agent-soak --seed N --seconds S}: random faults under load with invariants checked. Prints the schedule and every
- * violation if there is one, then one line of figures; the status is 1 after a violation. Stateless.
+ * {@code agent-soak --seed N --seconds S}: runs a fleet under load and random faults and checks the invariants. After a
+ * violation it prints the schedule and every violation, and exits with status 1. The last lines hold the figures of the
+ * run. Stateless.
  */
 public final class SoakCommand implements BenchCommand {
 
@@ -24,24 +25,24 @@
         Violations violations = new Violations();
         SoakRun run = new SoakRun(context.home(), context.seed(), context.seconds(), violations);
         run.run();
-        List<String> broken = violations.all();
-        if (!broken.isEmpty()) {
+        List<String> found = violations.all();
+        if (!found.isEmpty()) {
             System.out.println("schedule of seed " + context.seed() + ":");
-            run.struck().forEach(struck -> System.out.println("  " + struck.fault() + " at " + struck.member()));
-            broken.forEach(violation -> System.out.println("violation " + violation));
+            run.injectedFaults().forEach(fault -> System.out.println("  " + fault.fault() + " at " + fault.member()));
+            found.forEach(violation -> System.out.println("violation " + violation));
         }
-        List<Sample> all = run.ledger().all();
+        List<Sample> all = run.outcomes().all();
         System.out.println(run.summary());
         System.out.printf(
                 Locale.ROOT,
                 "violations=%d requests=%d answered=%d not_run=%d unknown=%d faults=%d%n",
-                broken.size(),
+                found.size(),
                 all.size(),
                 all.stream().filter(s -> s.end().isAnswered()).count(),
                 count(all, CallEnd.NOT_RUN),
                 count(all, CallEnd.UNKNOWN),
-                run.struck().size());
-        return broken.isEmpty() ? 0 : 1;
+                run.injectedFaults().size());
+        return found.isEmpty() ? 0 : 1;
     }
 
     private static long count(List<Sample> samples, CallEnd end) {
--- a/bench/src/main/java/org/cornelramp/bench/soak/SoakLoad.java
+++ b/bench/src/main/java/org/cornelramp/bench/soak/SoakLoad.java
@@ -7,25 +7,26 @@
 import org.cornelramp.bench.load.ServiceCallPlan;
 
 /**
- * Bookings and streamed chat requests at a steady mean rate, drawn from the seed. Confined to the thread that runs it.
+ * Sends bookings and streamed chat requests at a constant mean rate, drawn from the seed. Confined to the thread that
+ * runs it.
  */
 final class SoakLoad {
-    private static final double PER_SECOND = 40;
+    private static final double REQUESTS_PER_SECOND = 40;
     private static final int CHATS_IN_TEN = 3;
-    private static final int MOST_TOKENS = 60;
+    private static final int MAX_TOKENS = 60;
     private static final long DEADLINE_MILLIS = 8_000;
 
     private final Callers callers;
-    private final Ledger ledger;
+    private final RequestOutcomes outcomes;
     private final int organisations;
     private final int entries;
     private final SplittableRandom random;
     private final long seed;
-    private int next;
+    private int nextNumber;
 
-    SoakLoad(Callers callers, Ledger ledger, int organisations, int entries, long seed) {
+    SoakLoad(Callers callers, RequestOutcomes outcomes, int organisations, int entries, long seed) {
         this.callers = callers;
-        this.ledger = ledger;
+        this.outcomes = outcomes;
         this.organisations = organisations;
         this.entries = entries;
         this.random = new SplittableRandom(seed);
@@ -33,23 +34,23 @@
     }
 
     void run(long startNanos, int seconds) {
-        new OpenLoop(seed).run(PER_SECOND, startNanos, seconds, this::send);
+        new OpenLoop(seed).run(REQUESTS_PER_SECOND, startNanos, seconds, this::send);
     }
 
     private void send(long dueNanos) {
-        int number = next++;
+        int number = nextNumber++;
         int organisation = random.nextInt(organisations);
         int entry = random.nextInt(entries);
-        ledger.sent();
+        outcomes.countSent();
         if (random.nextInt(10) < CHATS_IN_TEN) {
-            int tokens = 1 + random.nextInt(MOST_TOKENS);
+            int tokens = 1 + random.nextInt(MAX_TOKENS);
             String content = "quote for load " + number + " of " + seed;
             ChatCall call = new ChatCall(organisation, entry, content, tokens, DEADLINE_MILLIS);
-            callers.chat(call, dueNanos, ledger::chatted);
+            callers.chat(call, dueNanos, outcomes::addChat);
         } else {
             String body = "{\"booking\":\"b-" + seed + "-" + number + "\"}";
             ServiceCallPlan call = new ServiceCallPlan(organisation, entry, body, DEADLINE_MILLIS);
-            callers.book(call, dueNanos, sample -> ledger.booked(new Booking(body, sample)));
+            callers.book(call, dueNanos, sample -> outcomes.addBooking(new Booking(body, sample)));
         }
     }
 }
--- a/bench/src/main/java/org/cornelramp/bench/soak/SoakRun.java
+++ b/bench/src/main/java/org/cornelramp/bench/soak/SoakRun.java
@@ -14,22 +14,22 @@
 import org.cornelramp.bench.load.ExpectedText;
 import org.cornelramp.bench.load.Samples;
 
-/** One randomised run: a fleet, load, faults, and the checks once all is healed. Confined to one thread. */
+/** One randomised run: a fleet, load, faults, and the checks after the fleet has recovered. Confined to one thread. */
 public final class SoakRun {
     private static final int LAYERS = 24;
-    private static final Duration LAST_ANSWERS = Duration.ofSeconds(60);
-    private static final Duration HEALED = Duration.ofSeconds(40);
-    private static final long WATCH_MILLIS = 200;
-    private static final int LOOKS_FOR_EACH_EDIT = 10;
+    private static final Duration FINAL_ANSWERS_LIMIT = Duration.ofSeconds(60);
+    private static final Duration RECOVERY_LIMIT = Duration.ofSeconds(40);
+    private static final long CHECK_INTERVAL_MILLIS = 200;
+    private static final int CHECKS_PER_EDIT = 10;
     private static final long LATE_EFFECTS_MILLIS = 3_000;
 
     private final Path home;
     private final long seed;
     private final int seconds;
     private final Violations violations;
-    private final Ledger ledger = new Ledger();
-    private List<FaultRunner.Struck> struck = List.of();
-    private String seen = "";
+    private final RequestOutcomes outcomes = new RequestOutcomes();
+    private List<FaultRunner.InjectedFault> injectedFaults = List.of();
+    private String checkedCounts = "";
     private long startNanos;
 
     /**
@@ -44,33 +44,34 @@
         this.violations = violations;
     }
 
-    /** How the requests ended. */
-    public Ledger ledger() {
-        return ledger;
+    /** The outcomes of the requests. */
+    public RequestOutcomes outcomes() {
+        return outcomes;
     }
 
-    /** The faults as they happened. */
-    public List<FaultRunner.Struck> struck() {
-        return struck;
+    /** The faults as they were injected. */
+    public List<FaultRunner.InjectedFault> injectedFaults() {
+        return injectedFaults;
     }
 
-    /** What was checked, how the requests ended and which problems callers were told, as one line. */
+    /** One line with the counts of what was checked, the outcomes of the requests and the problems that callers got. */
     public String summary() {
-        return seen + " ends=" + Samples.ends(ledger.all()) + " problems=" + Samples.details(ledger.all());
+        return checkedCounts + " ends=" + Samples.countsByEnd(outcomes.all()) + " problems="
+                + Samples.countsByDetail(outcomes.all());
     }
 
-    /** Runs it all. */
+    /** Starts the fleet, runs load and faults, and checks the invariants. */
     public void run() throws InterruptedException {
         FleetPlan plan = FleetPlan.small().withRelays().withTraceFiles();
         try (Fleet fleet = Fleet.start(home, plan);
                 Operators operators = new Operators(fleet.entries(), violations);
-                TableWatch watch = new TableWatch(operators, violations)) {
+                TableMonitor monitor = new TableMonitor(operators, violations)) {
             List<String> urls = fleet.entries().stream().map(Member::url).toList();
             try (Callers callers = new Callers(urls, Fleet::callerKey, new ExpectedText(LAYERS))) {
-                underLoad(fleet, operators, watch, callers);
+                runLoad(fleet, operators, monitor, callers);
             }
-            heal(fleet);
-            checkTable(fleet, operators, watch);
+            awaitRecovery(fleet);
+            checkTable(fleet, operators, monitor);
             Thread.sleep(LATE_EFFECTS_MILLIS);
             check(fleet, operators);
         }
@@ -80,61 +81,61 @@
         List<RanStep> steps = TraceReader.steps(fleet);
         Map<String, Integer> effects = TraceReader.effects(fleet);
         StepCheck.check(steps, violations);
-        new OutcomeCheck(effects, struck, startNanos).check(ledger, violations);
-        seen = "effects=" + effects.size() + " steps=" + steps.size() + " edits="
+        new OutcomeCheck(effects, injectedFaults, startNanos).check(outcomes, violations);
+        checkedCounts = "effects=" + effects.size() + " steps=" + steps.size() + " edits="
                 + operators.accepted().size();
     }
 
-    private void underLoad(Fleet fleet, Operators operators, TableWatch watch, Callers callers)
+    private void runLoad(Fleet fleet, Operators operators, TableMonitor monitor, Callers callers)
             throws InterruptedException {
         long start = System.nanoTime();
         startNanos = start;
         FaultSchedule schedule = FaultSchedule.draw(seed, seconds, targets(fleet));
         FaultRunner faults = new FaultRunner(fleet, operators, violations, start);
         AtomicBoolean over = new AtomicBoolean();
-        Thread faulting = thread("faults", () -> faults.run(schedule));
-        Thread watching = thread("watch", () -> watch(fleet, operators, watch, over));
+        Thread faultThread = thread("faults", () -> faults.run(schedule));
+        Thread monitorThread = thread("watch", () -> monitor(fleet, operators, monitor, over));
         new SoakLoad(
                         callers,
-                        ledger,
+                        outcomes,
                         fleet.plan().organisations(),
                         fleet.entries().size(),
                         seed)
                 .run(start, seconds);
-        faulting.join();
+        faultThread.join();
         try {
-            Fleet.await("the last answers", LAST_ANSWERS, () -> ledger.open() == 0);
+            Fleet.await("the last answers", FINAL_ANSWERS_LIMIT, () -> outcomes.openCount() == 0);
         } catch (FleetException e) {
-            violations.add("answer", ledger.open() + " requests got no final word: " + e.getMessage());
+            violations.add("answer", outcomes.openCount() + " requests got no final answer: " + e.getMessage());
         }
         over.set(true);
-        watching.join();
-        struck = faults.struck();
+        monitorThread.join();
+        injectedFaults = faults.injectedFaults();
     }
 
     private static Map<FaultKind.Target, Integer> targets(Fleet fleet) {
         Map<FaultKind.Target, Integer> targets = new EnumMap<>(FaultKind.Target.class);
         for (FaultKind.Target target : FaultKind.Target.values()) {
-            long members = fleet.members().stream().filter(target::takes).count();
+            long members = fleet.members().stream().filter(target::includes).count();
             targets.put(target, (int) Math.max(1, members));
         }
         return targets;
     }
 
-    private static void watch(Fleet fleet, Operators operators, TableWatch watch, AtomicBoolean over)
+    private static void monitor(Fleet fleet, Operators operators, TableMonitor monitor, AtomicBoolean over)
             throws InterruptedException {
-        for (int look = 0; !over.get(); look++) {
+        for (int round = 0; !over.get(); round++) {
             for (Member member : fleet.members()) {
-                watch.look(member);
+                monitor.check(member);
             }
-            if (look % LOOKS_FOR_EACH_EDIT == 0) {
-                operators.edit(look / LOOKS_FOR_EACH_EDIT);
+            if (round % CHECKS_PER_EDIT == 0) {
+                operators.edit(round / CHECKS_PER_EDIT);
             }
-            Thread.sleep(WATCH_MILLIS);
+            Thread.sleep(CHECK_INTERVAL_MILLIS);
         }
     }
 
-    private void heal(Fleet fleet) {
+    private void awaitRecovery(Fleet fleet) {
         fleet.faults(fleet.logUrl(), Map.of("outage", "", "stall-millis", "", "lose-answers", ""));
         fleet.faults(fleet.vmListUrl(), Map.of("outage", ""));
         for (Member member : fleet.members()) {
@@ -151,14 +152,14 @@
         }
         for (Member entry : fleet.entries()) {
             try {
-                Fleet.await(entry.name() + " ready again", HEALED, () -> fleet.isReady(entry));
+                Fleet.await(entry.name() + " ready again", RECOVERY_LIMIT, () -> fleet.isReady(entry));
             } catch (FleetException e) {
                 violations.add("healed", e.getMessage());
             }
         }
     }
 
-    private void checkTable(Fleet fleet, Operators operators, TableWatch watch) {
+    private void checkTable(Fleet fleet, Operators operators, TableMonitor monitor) {
         Operators.Accepted last = operators.accepted().stream()
                 .max((a, b) -> Long.compare(a.version(), b.version()))
                 .orElse(null);
@@ -167,13 +168,16 @@
         }
         for (Member member : fleet.members()) {
             try {
-                Fleet.await(member.name() + " applies " + last, HEALED, () -> watch.offset(member) > last.version());
+                Fleet.await(
+                        member.name() + " applies " + last,
+                        RECOVERY_LIMIT,
+                        () -> monitor.offset(member) > last.version());
             } catch (FleetException e) {
-                violations.add("table", e.getMessage() + "; it applies " + watch.offset(member));
+                violations.add("table", e.getMessage() + "; it applies " + monitor.offset(member));
             }
         }
         for (Member entry : fleet.entries()) {
-            Operators.Shown shown = operators.shown(entry);
+            Operators.Shown shown = operators.readRow(entry);
             boolean reverted = shown == null
                     || shown.version() < last.version()
                     || (shown.version() == last.version() && shown.weight() != last.weight());
@@ -183,7 +187,7 @@
         }
     }
 
-    private static Thread thread(String name, Work work) {
+    private static Thread thread(String name, InterruptibleTask work) {
         Thread thread = new Thread(
                 () -> {
                     try {
@@ -198,9 +202,9 @@
         return thread;
     }
 
-    /** Work that may be interrupted. */
+    /** A task that may be interrupted. */
     @FunctionalInterface
-    private interface Work {
+    private interface InterruptibleTask {
         void run() throws InterruptedException;
     }
 }
--- a/bench/src/main/java/org/cornelramp/bench/soak/TableMonitor.java
+++ b/bench/src/main/java/org/cornelramp/bench/soak/TableMonitor.java
@@ -7,11 +7,11 @@
 import org.cornelramp.bench.fleet.Member;
 
 /**
- * Watches that the table of every process only moves forward, and that no entry shows an older row than it, or an
- * accepted edit, had. Confined to one thread.
+ * Checks that the table offset of every process never decreases, and that no entry shows an older version of the row
+ * than it showed before. A restarted process is a new one. Confined to one thread.
  */
-final class TableWatch implements AutoCloseable {
-    private static final String OFFSET = "cornelramp_table_offset";
+final class TableMonitor implements AutoCloseable {
+    private static final String OFFSET_METRIC = "cornelramp_table_offset";
 
     private final Violations violations;
     private final Operators operators;
@@ -19,34 +19,34 @@
     private final Map<Long, Long> offsets = new HashMap<>();
     private final Map<Long, Long> versions = new HashMap<>();
 
-    TableWatch(Operators operators, Violations violations) {
+    TableMonitor(Operators operators, Violations violations) {
         this.operators = operators;
         this.violations = violations;
     }
 
-    /** Looks at one process, which may be gone or paused. */
-    void look(Member member) {
+    /** Checks one process, which may have exited or be paused. */
+    void check(Member member) {
         if (!member.daemon().isAlive()) {
             return;
         }
         long pid = member.daemon().pid();
         long offset = offset(member);
         if (offset >= 0 && pid == member.daemon().pid()) {
-            forward("offset of the table", member, offsets, pid, offset);
+            checkNotDecreasing("offset of the table", member, offsets, pid, offset);
         }
-        Operators.Shown shown = member.entry() ? operators.shown(member) : null;
+        Operators.Shown shown = member.entry() ? operators.readRow(member) : null;
         if (shown != null && pid == member.daemon().pid()) {
-            forward("version of the row", member, versions, pid, shown.version());
+            checkNotDecreasing("version of the row", member, versions, pid, shown.version());
         }
     }
 
-    /** Offset of the table that a process applies; -1 if it does not say. */
+    /** Offset of the table that a process applies; -1 if it does not answer. */
     long offset(Member member) {
         try {
             JsonHttp.Answer answer = http.send("GET", member.url() + "/metrics", Map.of(), "");
             return answer.body()
                     .lines()
-                    .filter(line -> line.startsWith(OFFSET + " ") || line.startsWith(OFFSET + "{"))
+                    .filter(line -> line.startsWith(OFFSET_METRIC + " ") || line.startsWith(OFFSET_METRIC + "{"))
                     .mapToLong(line -> (long) Double.parseDouble(line.substring(line.lastIndexOf(' ') + 1)))
                     .findFirst()
                     .orElse(-1);
@@ -60,7 +60,7 @@
         http.close();
     }
 
-    private void forward(String what, Member member, Map<Long, Long> seen, long pid, long value) {
+    private void checkNotDecreasing(String what, Member member, Map<Long, Long> seen, long pid, long value) {
         Long before = seen.put(pid, value);
         if (before != null && value < before) {
             violations.add("table", "the " + what + " fell from " + before + " to " + value + " at " + member.name());
--- a/bench/src/main/java/org/cornelramp/bench/soak/TraceReader.java
+++ b/bench/src/main/java/org/cornelramp/bench/soak/TraceReader.java
@@ -13,13 +13,16 @@
 import org.cornelramp.bench.fleet.FleetException;
 import org.cornelramp.bench.fleet.Member;
 
-/** Reads what engines and services ran, over all their lives. Stateless, safe for use by any thread. */
+/**
+ * Reads from the trace files what engines and services executed, across restarts of their processes. Stateless, safe
+ * for use by any thread.
+ */
 public final class TraceReader {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private TraceReader() {}
 
-    /** Times that each body took effect at the plain services. */
+    /** Number of times that each body took effect at the plain services. */
     public static Map<String, Integer> effects(Fleet fleet) {
         Map<String, Integer> effects = new HashMap<>();
         for (Member service : fleet.services()) {
@@ -30,7 +33,7 @@
         return effects;
     }
 
-    /** The steps that all engines ran, those of each engine in their order. */
+    /** The steps that all engines ran, those of each engine in order. */
     public static List<RanStep> steps(Fleet fleet) {
         List<RanStep> steps = new ArrayList<>();
         for (Member stage : fleet.stages()) {
--- a/bench/src/main/java/org/cornelramp/bench/soak/package-info.java
+++ b/bench/src/main/java/org/cornelramp/bench/soak/package-info.java
@@ -1,2 +1,2 @@
-/** Long randomised runs: faults drawn from a seed against separate processes, with invariants checked. */
+/** Long randomised runs: faults drawn from a seed against separate processes, and checks of invariants. */
 package org.cornelramp.bench.soak;
