--- a/bench/src/main/java/org/cornelramp/bench/gateway/Call.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/Call.java
@@ -4,15 +4,15 @@
 import org.cornelramp.platform.standin.StandInCaller;
 
 /**
- * One request of a client and what came of it. Immutable, safe for use by any thread.
+ * One request of a client and how it ended. Immutable, safe for use by any thread.
  *
- * @param id the client's id of the request
- * @param kind what was asked
- * @param gateway number of the gateway that was asked
+ * @param id request id that the client chose
+ * @param kind kind of the request
+ * @param gateway number of the gateway that it was sent to
  * @param startMillis when it was sent
  * @param endMillis when its answer ended; {@link Long#MAX_VALUE} while it is open
- * @param leftMillis when the client closed its connection; {@link Long#MAX_VALUE} if it did not
- * @param answer what the client got; empty if it left, or got nothing yet
+ * @param disconnectMillis when the client closed its connection; {@link Long#MAX_VALUE} if it did not
+ * @param answer what the client got; empty if the client disconnected first or has no answer yet
  */
 record Call(
         String id,
@@ -20,12 +20,12 @@
         int gateway,
         long startMillis,
         long endMillis,
-        long leftMillis,
+        long disconnectMillis,
         Optional<StandInCaller.Answer> answer) {
 
-    /** Whether the client has left before its answer. */
-    boolean hasLeft() {
-        return leftMillis != Long.MAX_VALUE;
+    /** Whether the client disconnected before its answer was complete. */
+    boolean hasDisconnected() {
+        return disconnectMillis != Long.MAX_VALUE;
     }
 
     /** HTTP status of the answer; 0 without one. */
@@ -33,8 +33,8 @@
         return answer.map(StandInCaller.Answer::status).orElse(0);
     }
 
-    /** Whether the answer ended as an answer should. */
-    boolean isWhole() {
+    /** Whether the answer ended regularly and was not cut. */
+    boolean isComplete() {
         return answer.map(StandInCaller.Answer::whole).orElse(false);
     }
 }
--- a/bench/src/main/java/org/cornelramp/bench/gateway/CallKind.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/CallKind.java
@@ -4,12 +4,12 @@
 import java.util.List;
 import org.cornelramp.platform.standin.StandInBackend;
 
-/** What the clients of a run ask for. Immutable, safe for use by any thread. */
+/** Kinds of requests that the clients of a run send. Immutable, safe for use by any thread. */
 enum CallKind {
-    /** A stream over the engines. */
+    /** A streamed request to the engines. */
     CHAT("/chat/", 6_000) {
         @Override
-        List<String> wholeAnswer(String requestId) {
+        List<String> completeAnswer(String requestId) {
             List<String> lines = new ArrayList<>();
             for (int event = 0; event < StandInBackend.EVENTS; event++) {
                 lines.addAll(StandInBackend.event(requestId, event));
@@ -20,7 +20,7 @@
     },
     /** A request to the plain service that may run more than once. */
     LOOK("/look/", 3_000),
-    /** A request to the plain service that must not. */
+    /** A request to the plain service that must not run more than once. */
     BOOK("/book/", 2_000);
 
     private final String path;
@@ -31,18 +31,18 @@
         this.deadlineMillis = deadlineMillis;
     }
 
-    /** Path below which the configuration serves it. */
+    /** Path prefix under which the configuration routes this kind. */
     String path() {
         return path;
     }
 
-    /** How long its client waits. */
+    /** Time that the client allows, in milliseconds. */
     long deadlineMillis() {
         return deadlineMillis;
     }
 
-    /** The lines of the answer that a request must get. */
-    List<String> wholeAnswer(String requestId) {
+    /** The lines of the complete answer to a request. */
+    List<String> completeAnswer(String requestId) {
         return List.of(StandInBackend.answerTo(requestId));
     }
 }
--- a/bench/src/main/java/org/cornelramp/bench/gateway/CallRecords.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/CallRecords.java
@@ -6,15 +6,15 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.cornelramp.platform.standin.StandInCaller;
 
-/** All requests of a run. Safe for use by any thread. */
-final class Calls {
+/** Records all requests of a run and how each ended. Safe for use by any thread. */
+final class CallRecords {
     private final Map<String, Call> calls = new ConcurrentHashMap<>();
 
-    void begin(String id, CallKind kind, int gateway, long nowMillis) {
+    void recordStart(String id, CallKind kind, int gateway, long nowMillis) {
         calls.put(id, new Call(id, kind, gateway, nowMillis, Long.MAX_VALUE, Long.MAX_VALUE, Optional.empty()));
     }
 
-    void left(String id, long nowMillis) {
+    void recordDisconnect(String id, long nowMillis) {
         calls.computeIfPresent(
                 id,
                 (any, call) -> call.endMillis() != Long.MAX_VALUE
@@ -29,10 +29,10 @@
                                 Optional.empty()));
     }
 
-    void end(String id, StandInCaller.Answer answer, long nowMillis) {
+    void recordAnswer(String id, StandInCaller.Answer answer, long nowMillis) {
         calls.computeIfPresent(
                 id,
-                (any, call) -> call.hasLeft()
+                (any, call) -> call.hasDisconnected()
                         ? call
                         : new Call(
                                 id,
@@ -44,8 +44,8 @@
                                 Optional.of(answer)));
     }
 
-    /** Requests that have neither an answer nor a client that left. */
-    long open() {
+    /** Number of requests without an answer whose client is still connected. */
+    long openCount() {
         return calls.values().stream()
                 .filter(call -> call.endMillis() == Long.MAX_VALUE)
                 .count();
--- a/bench/src/main/java/org/cornelramp/bench/gateway/ConfigMonitor.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/ConfigMonitor.java
@@ -3,95 +3,101 @@
 import java.util.EnumSet;
 import java.util.Set;
 import java.util.concurrent.CompletionException;
-import org.cornelramp.bench.gateway.Disturbances.Target;
+import org.cornelramp.bench.gateway.FaultHistory.Target;
 import org.cornelramp.bench.soak.Violations;
 import org.cornelramp.platform.standin.StandInCaller;
 import org.cornelramp.platform.standin.StandInFleet;
 
 /**
- * Asks one gateway again and again which version it goes by: within one life never an older one than before, and the
- * newest soon after it was published. Owned by its thread.
+ * Polls one gateway for the configuration version that it applies. From one start of its process to the next, the
+ * version must never go back, and the newest must be applied soon after it was published. Confined to its thread, but
+ * for {@link #stop}.
  */
-final class ConfigWatch implements Runnable {
-    /** Bound of the users' deployments, and a second for a busy machine. */
-    private static final long APPLY_MILLIS = 3_000;
+final class ConfigMonitor implements Runnable {
+    /** Bound on the users' deployments, plus a second for a busy machine. */
+    private static final long MAX_APPLY_MILLIS = 3_000;
 
-    /** Calm before a bound holds again, as on the users' deployments. */
+    /** Time without a fault after which the bound applies again, as on the users' deployments. */
     private static final long STABLE_MILLIS = 3_000;
 
-    private static final long PAUSE_MILLIS = 150;
+    private static final long POLL_MILLIS = 150;
     private static final int OK = 200;
     private static final int NOT_FOUND = 404;
     private static final long DEADLINE_MILLIS = 1_500;
-    private static final Set<Target> STRIKING = EnumSet.of(Target.PROCESS, Target.STOP, Target.STORE);
+    private static final Set<Target> RELEVANT_TARGETS = EnumSet.of(Target.PROCESS, Target.STOP, Target.STORE);
 
     private final SoakGateway gateway;
-    private final GatewayWorld world;
+    private final GatewayEnvironment environment;
     private final Violations violations;
     private final StandInCaller caller = new StandInCaller();
-    private volatile boolean over;
-    private int life;
-    private int seen;
-    private int number;
+    private volatile boolean stopped;
+    private int startCount;
+    private int newestApplied;
+    private int requestCount;
 
-    ConfigWatch(SoakGateway gateway, GatewayWorld world, Violations violations) {
+    ConfigMonitor(SoakGateway gateway, GatewayEnvironment environment, Violations violations) {
         this.gateway = gateway;
-        this.world = world;
+        this.environment = environment;
         this.violations = violations;
     }
 
-    /** Lets {@link #run} return. */
-    void end() {
-        over = true;
+    /** Makes {@link #run} return; may be called from any thread. */
+    void stop() {
+        stopped = true;
     }
 
     @Override
     public void run() {
         try {
-            while (!over) {
-                look();
-                Thread.sleep(PAUSE_MILLIS);
+            while (!stopped) {
+                check();
+                Thread.sleep(POLL_MILLIS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void look() {
-        int lifeBefore = gateway.lives();
-        if (lifeBefore != life) {
-            life = lifeBefore;
-            seen = 0;
+    private void check() {
+        int startCountBefore = gateway.startCount();
+        if (startCountBefore != startCount) {
+            startCount = startCountBefore;
+            newestApplied = 0;
         }
-        ConfigVersions.Newest newest = world.versions().newest();
-        long asked = StandInFleet.nowMillis();
-        int status = ask(newest.version());
-        boolean sameLife = gateway.lives() == lifeBefore;
-        if (status == OK && sameLife) {
-            seen = Math.max(seen, newest.version());
+        ConfigVersions.Newest newest = environment.versions().newest();
+        long askedMillis = StandInFleet.nowMillis();
+        int status = requestStatus(newest.version());
+        boolean notRestarted = gateway.startCount() == startCountBefore;
+        if (status == OK && notRestarted) {
+            newestApplied = Math.max(newestApplied, newest.version());
         }
-        boolean calm = !world.disturbances()
-                .struck(STRIKING, gateway.number(), newest.publishedMillis() - STABLE_MILLIS, StandInFleet.nowMillis());
-        if (status == NOT_FOUND && calm && asked - newest.publishedMillis() > APPLY_MILLIS) {
+        boolean undisturbed = !environment
+                .faultHistory()
+                .isAffected(
+                        RELEVANT_TARGETS,
+                        gateway.number(),
+                        newest.publishedMillis() - STABLE_MILLIS,
+                        StandInFleet.nowMillis());
+        if (status == NOT_FOUND && undisturbed && askedMillis - newest.publishedMillis() > MAX_APPLY_MILLIS) {
             violations.add(
                     "configuration",
                     gateway.name() + " does not know version " + newest.version() + " after "
-                            + (asked - newest.publishedMillis()) + " ms");
+                            + (askedMillis - newest.publishedMillis()) + " ms");
         }
-        int older = seen - 1;
-        if (older > 0 && sameLife && ask(older) == OK && gateway.lives() == lifeBefore) {
-            violations.add("configuration", gateway.name() + " serves version " + older + " after " + seen);
+        int older = newestApplied - 1;
+        if (older > 0 && notRestarted && requestStatus(older) == OK && gateway.startCount() == startCountBefore) {
+            violations.add("configuration", gateway.name() + " serves version " + older + " after " + newestApplied);
         }
     }
 
-    private int ask(int version) {
-        String id = "mark-" + gateway.name() + "-" + version + "-" + number++;
+    private int requestStatus(int version) {
+        String id = "mark-" + gateway.name() + "-" + version + "-" + requestCount++;
         try {
-            return caller.send(gateway.direct(), ConfigVersions.mark(version), id, DEADLINE_MILLIS)
+            return caller.send(gateway.directAddress(), ConfigVersions.versionPath(version), id, DEADLINE_MILLIS)
                     .join()
                     .status();
         } catch (CompletionException e) {
-            return 0; // no answer tells nothing of the version
+            return 0; // without an answer, the version is not known
         }
     }
 }
--- a/bench/src/main/java/org/cornelramp/bench/gateway/ConfigVersions.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/ConfigVersions.java
@@ -4,8 +4,8 @@
 import org.cornelramp.platform.standin.StandInStore;
 
 /**
- * Publishes configurations. Each version has a path of its own, which its successor takes away, so that a request tells
- * from outside which version a gateway goes by. Safe for use by any thread.
+ * Publishes configurations. Each version serves a path that no other version does, so that a request to it shows from
+ * outside whether a gateway applies that version. Safe for use by any thread.
  */
 final class ConfigVersions {
     private final StandInStore store;
@@ -16,7 +16,7 @@
     /**
      * The newest version. Immutable.
      *
-     * @param publishedMillis when the store took it
+     * @param publishedMillis when the store accepted it
      */
     record Newest(int version, long publishedMillis) {}
 
@@ -26,13 +26,13 @@
     }
 
     /** Path that only this version serves. */
-    static String mark(int version) {
+    static String versionPath(int version) {
         return "/only-" + version + "/";
     }
 
     synchronized void publishNext(long nowMillis) {
         version++;
-        store.publishConfig(first.withVersion(version, mark(version)).json());
+        store.publishConfig(first.withVersion(version, versionPath(version)).json());
         publishedMillis = nowMillis;
     }
 
--- a/bench/src/main/java/org/cornelramp/bench/gateway/GatewayChecks.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/GatewayChecks.java
@@ -11,63 +11,67 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import org.cornelramp.bench.gateway.Disturbances.Target;
+import org.cornelramp.bench.gateway.FaultHistory.Target;
 import org.cornelramp.bench.soak.Violations;
 import org.cornelramp.platform.standin.Arrival;
 import org.cornelramp.platform.standin.StandInConfig;
 import org.cornelramp.platform.standin.StandInHop;
 
 /**
- * Checks the promises of the product on what clients and backend servers saw in a run. Confined to one thread.
+ * Checks the guarantees of the product against what clients and backend servers observed in a run. Confined to one
+ * thread.
  *
- * <p>What must hold always is checked without exception. Bounds in time hold only for a gateway that no fault strikes:
- * whoever stands still cannot hurry.
+ * <p>Safety properties are checked without exception. Time bounds are checked only for a gateway that no fault affects,
+ * since a paused process cannot meet them.
  */
 final class GatewayChecks {
     private static final int OK = 200;
 
-    /** Answers that promise that the request has not run and will not run. */
+    /** Statuses that guarantee that the request has not run and will not run. */
     private static final Set<Integer> NOT_RUN = Set.of(408, 421, 429, 503);
 
-    /** Answers that a proper request may get: the server's own, or the gateway's that promise nothing. */
-    private static final Set<Integer> POSSIBLE = Set.of(0, OK, 500, 502, 503, 504);
+    /**
+     * Statuses that a valid request may get: the backend server's, or those of the gateway that guarantee nothing; 0
+     * for none.
+     */
+    private static final Set<Integer> ALLOWED_STATUSES = Set.of(0, OK, 500, 502, 503, 504);
 
-    /** Calm before a bound in time holds again, as on the users' deployments. */
+    /** Time without a fault after which a time bound applies again, as on the users' deployments. */
     private static final long STABLE_MILLIS = 3_000;
 
-    /** Half a second, as on the users' deployments, and the delays of a busy machine. */
-    private static final long LEFT_MILLIS = 2_000;
+    /** Half a second, as on the users' deployments, plus a margin for a busy machine. */
+    private static final long DISCONNECT_GRACE_MILLIS = 2_000;
 
-    private static final long OVERDUE_MILLIS = 2_000;
+    private static final long DEADLINE_GRACE_MILLIS = 2_000;
     private static final double RETRY_RATIO = 0.2;
     private static final int RETRY_RESERVE = 20;
     private static final long RETRY_WINDOW_MILLIS = 10_000;
-    private static final Set<Target> NO_BACKEND = EnumSet.complementOf(EnumSet.of(Target.BACKEND));
-    private static final Set<Target> NO_STOP = EnumSet.complementOf(EnumSet.of(Target.STOP));
+    private static final Set<Target> ALL_BUT_BACKEND = EnumSet.complementOf(EnumSet.of(Target.BACKEND));
+    private static final Set<Target> ALL_BUT_STOP = EnumSet.complementOf(EnumSet.of(Target.STOP));
 
     private final List<Call> calls;
     private final List<Arrival> arrivals;
-    private final Disturbances disturbances;
+    private final FaultHistory faultHistory;
     private final Violations violations;
-    private final Map<String, List<Arrival>> byRequest;
-    private final Map<String, Call> byId;
+    private final Map<String, List<Arrival>> arrivalsByRequest;
+    private final Map<String, Call> callsById;
 
-    GatewayChecks(List<Call> calls, List<Arrival> arrivals, Disturbances disturbances, Violations violations) {
+    GatewayChecks(List<Call> calls, List<Arrival> arrivals, FaultHistory faultHistory, Violations violations) {
         this.calls = calls;
         this.arrivals = arrivals;
-        this.disturbances = disturbances;
+        this.faultHistory = faultHistory;
         this.violations = violations;
-        this.byRequest = arrivals.stream().collect(Collectors.groupingBy(Arrival::requestId));
-        this.byId = calls.stream().collect(Collectors.toMap(Call::id, call -> call));
+        this.arrivalsByRequest = arrivals.stream().collect(Collectors.groupingBy(Arrival::requestId));
+        this.callsById = calls.stream().collect(Collectors.toMap(Call::id, call -> call));
     }
 
-    /** Checks all. */
+    /** Runs all checks and adds what they find to the violations. */
     void run() {
         for (Call call : calls) {
             checkAnswer(call);
-            checkRuns(call);
-            checkInTime(call);
-            checkLeft(call);
+            checkExecutions(call);
+            checkDeadline(call);
+            checkDisconnect(call);
             checkStop(call);
         }
         arrivals.forEach(this::checkArrival);
@@ -75,36 +79,40 @@
         checkRetries(StandInConfig.PLAIN, EnumSet.of(CallKind.LOOK, CallKind.BOOK));
     }
 
-    /** The whole answer to its own request, with every event once and in order, or one that does not look whole. */
+    /**
+     * An answer that ended regularly must be the complete answer to its own request, with every event once and in
+     * order; one that was cut must be a prefix of it.
+     */
     private void checkAnswer(Call call) {
         if (call.answer().isEmpty()) {
             return;
         }
-        List<String> got = call.answer().get().lines();
-        List<String> due = call.kind().wholeAnswer(call.id());
-        if (!POSSIBLE.contains(call.status())) {
+        List<String> received = call.answer().get().lines();
+        List<String> expected = call.kind().completeAnswer(call.id());
+        if (!ALLOWED_STATUSES.contains(call.status())) {
             violations.add("denied", call.id() + " got status " + call.status());
         }
-        boolean ofServer = call.status() == OK || call.status() == 500;
-        if (ofServer && call.isWhole() && !got.equals(due)) {
+        boolean fromServer = call.status() == OK || call.status() == 500;
+        if (fromServer && call.isComplete() && !received.equals(expected)) {
             violations.add(
-                    "whole", call.id() + " got " + got.size() + " lines of " + due.size() + " as a whole answer");
+                    "whole",
+                    call.id() + " received " + received.size() + " lines of " + expected.size() + " as a whole answer");
         }
-        boolean partWrong = !got.isEmpty() && !isStartOf(got, due);
-        if (ofServer && !call.isWhole() && partWrong) {
-            violations.add("order", call.id() + " got lines that are not the start of its answer: " + got);
+        boolean wrongPrefix = !received.isEmpty() && !isPrefixOf(received, expected);
+        if (fromServer && !call.isComplete() && wrongPrefix) {
+            violations.add("order", call.id() + " got lines that are not the start of its answer: " + received);
         }
     }
 
-    private static boolean isStartOf(List<String> got, List<String> due) {
-        int last = got.size() - 1;
-        return got.size() <= due.size()
-                && got.subList(0, last).equals(due.subList(0, last))
-                && due.get(last).startsWith(got.get(last));
+    private static boolean isPrefixOf(List<String> received, List<String> expected) {
+        int last = received.size() - 1;
+        return received.size() <= expected.size()
+                && received.subList(0, last).equals(expected.subList(0, last))
+                && expected.get(last).startsWith(received.get(last));
     }
 
-    private void checkRuns(Call call) {
-        long runs = byRequest.getOrDefault(call.id(), List.of()).stream()
+    private void checkExecutions(Call call) {
+        long runs = arrivalsByRequest.getOrDefault(call.id(), List.of()).stream()
                 .filter(Arrival::hasRun)
                 .count();
         if (call.kind() == CallKind.BOOK && runs > 1) {
@@ -114,38 +122,41 @@
             violations.add("refused", call.id() + " was refused with " + call.status() + " and ran " + runs + " times");
         }
         if (call.status() == 503 && !call.answer().orElseThrow().retryAfter()) {
-            violations.add("refused", call.id() + " was not told when to come back");
+            violations.add("refused", call.id() + " was refused without a Retry-After header");
         }
     }
 
-    private void checkInTime(Call call) {
-        long due = call.startMillis() + call.kind().deadlineMillis() + OVERDUE_MILLIS;
-        boolean calm = !disturbances.struck(NO_BACKEND, call.gateway(), call.startMillis() - STABLE_MILLIS, due);
-        if (!call.hasLeft() && call.endMillis() > due && calm) {
+    private void checkDeadline(Call call) {
+        long latestMillis = call.startMillis() + call.kind().deadlineMillis() + DEADLINE_GRACE_MILLIS;
+        boolean undisturbed = !faultHistory.isAffected(
+                ALL_BUT_BACKEND, call.gateway(), call.startMillis() - STABLE_MILLIS, latestMillis);
+        if (!call.hasDisconnected() && call.endMillis() > latestMillis && undisturbed) {
             violations.add("answer", call.id() + " has no final answer two seconds after its deadline");
         }
     }
 
-    private void checkLeft(Call call) {
-        long limit = call.hasLeft() ? call.leftMillis() + LEFT_MILLIS : Long.MAX_VALUE;
-        for (Arrival arrival : byRequest.getOrDefault(call.id(), List.of())) {
+    private void checkDisconnect(Call call) {
+        long limit = call.hasDisconnected() ? call.disconnectMillis() + DISCONNECT_GRACE_MILLIS : Long.MAX_VALUE;
+        for (Arrival arrival : arrivalsByRequest.getOrDefault(call.id(), List.of())) {
             boolean late = arrival.endMillis() > limit || arrival.millis() > limit;
             Set<Target> any = EnumSet.allOf(Target.class);
-            if (late && !disturbances.struck(any, call.gateway(), call.startMillis() - STABLE_MILLIS, limit)) {
-                violations.add("left", arrival.server() + " works on " + call.id() + " though its client has left");
+            if (late && !faultHistory.isAffected(any, call.gateway(), call.startMillis() - STABLE_MILLIS, limit)) {
+                violations.add(
+                        "left", arrival.server() + " still worked on " + call.id() + " after its client disconnected");
             }
         }
     }
 
-    /** A planned stop cuts nothing that it has taken, where it is the only thing that happens. */
+    /** A planned stop must not cut a request that the gateway has accepted, unless another fault occurs as well. */
     private void checkStop(Call call) {
-        boolean broken = !call.hasLeft() && (!call.isWhole() || call.status() == 502 || call.status() == 504);
+        boolean broken =
+                !call.hasDisconnected() && (!call.isComplete() || call.status() == 502 || call.status() == 504);
         boolean stopped =
-                disturbances.struck(EnumSet.of(Target.STOP), call.gateway(), call.startMillis(), call.endMillis());
-        boolean other =
-                disturbances.struck(NO_STOP, call.gateway(), call.startMillis() - STABLE_MILLIS, call.endMillis());
-        boolean taken = byRequest.containsKey(call.id());
-        if (broken && stopped && taken && !other) {
+                faultHistory.isAffected(EnumSet.of(Target.STOP), call.gateway(), call.startMillis(), call.endMillis());
+        boolean otherFault = faultHistory.isAffected(
+                ALL_BUT_STOP, call.gateway(), call.startMillis() - STABLE_MILLIS, call.endMillis());
+        boolean accepted = arrivalsByRequest.containsKey(call.id());
+        if (broken && stopped && accepted && !otherFault) {
             violations.add("stop", call.id() + " was cut by a planned stop: " + call.answer());
         }
     }
@@ -153,13 +164,14 @@
     private void checkArrival(Arrival arrival) {
         String what = arrival.requestId() + " at " + arrival.server();
         if (arrival.isKeyShown() || !arrival.organisation().equals(StandInConfig.ORGANISATION)) {
-            violations.add("organisation", what + " came with a key or for " + arrival.organisation());
+            violations.add(
+                    "organisation", what + " arrived with a caller key or for organisation " + arrival.organisation());
         }
         boolean engine = arrival.service().equals(StandInConfig.ENGINES);
-        if (engine && arrival.hasRun() && !StandInHop.coverOnce(arrival.hops(), GatewayWorld.LAYERS)) {
+        if (engine && arrival.hasRun() && !StandInHop.coverOnce(arrival.hops(), GatewayEnvironment.LAYERS)) {
             violations.add("layers", what + " passed " + arrival.hops());
         }
-        Call call = byId.get(arrival.requestId());
+        Call call = callsById.get(arrival.requestId());
         if (call != null) {
             checkDrain(call, arrival);
         }
@@ -167,8 +179,9 @@
 
     private void checkDrain(Call call, Arrival arrival) {
         long since = arrival.leavingSinceMillis();
-        boolean late = since != Long.MAX_VALUE && arrival.millis() - since > GatewayWorld.DRAIN_MILLIS;
-        if (late && !disturbances.struck(NO_BACKEND, call.gateway(), since - STABLE_MILLIS, arrival.millis())) {
+        boolean late = since != Long.MAX_VALUE && arrival.millis() - since > GatewayEnvironment.DRAIN_MILLIS;
+        if (late
+                && !faultHistory.isAffected(ALL_BUT_BACKEND, call.gateway(), since - STABLE_MILLIS, arrival.millis())) {
             violations.add(
                     "drain",
                     call.id() + " reached " + arrival.server() + " " + (arrival.millis() - since)
@@ -176,7 +189,7 @@
         }
     }
 
-    /** Repeats of all gateways together keep to a share of the requests, in every window. */
+    /** The retries of all gateways together must stay within a share of the requests, in every time window. */
     private void checkRetries(String service, Set<CallKind> kinds) {
         List<Long> requests = calls.stream()
                 .filter(call -> kinds.contains(call.kind()))
@@ -185,38 +198,38 @@
                 .toList();
         Deque<Arrival> window = new ArrayDeque<>();
         Set<String> seen = new HashSet<>();
-        Map<Arrival, Boolean> repeats = new HashMap<>();
+        Map<Arrival, Boolean> retries = new HashMap<>();
         List<Arrival> ordered = new ArrayList<>(arrivals);
         ordered.sort(Comparator.comparingLong(Arrival::millis));
         int inWindow = 0;
-        int worst = 0;
+        int maxExcess = 0;
         for (Arrival arrival : ordered) {
             if (!arrival.service().equals(service) || !arrival.requestId().startsWith("r")) {
                 continue;
             }
-            boolean repeat = !seen.add(arrival.requestId());
-            repeats.put(arrival, repeat);
+            boolean retry = !seen.add(arrival.requestId());
+            retries.put(arrival, retry);
             window.add(arrival);
-            inWindow += repeat ? 1 : 0;
+            inWindow += retry ? 1 : 0;
             while (window.peek().millis() <= arrival.millis() - RETRY_WINDOW_MILLIS) {
-                inWindow -= repeats.get(window.remove()) ? 1 : 0;
+                inWindow -= retries.get(window.remove()) ? 1 : 0;
             }
             double allowed = RETRY_RATIO * requestsBefore(requests, arrival.millis()) + RETRY_RESERVE;
-            worst = inWindow > allowed ? Math.max(worst, inWindow) : worst;
+            maxExcess = inWindow > allowed ? Math.max(maxExcess, inWindow) : maxExcess;
         }
-        if (worst > 0) {
-            violations.add("retries", worst + " repeats at " + service + " within ten seconds");
+        if (maxExcess > 0) {
+            violations.add("retries", maxExcess + " repeats at " + service + " within ten seconds");
         }
     }
 
-    /** The most requests of this window and of the one before it. */
+    /** The larger of the request counts of the current window and of the one before it. */
     private static long requestsBefore(List<Long> requests, long now) {
-        long here = requests.stream()
+        long current = requests.stream()
                 .filter(at -> at > now - RETRY_WINDOW_MILLIS && at <= now)
                 .count();
-        long before = requests.stream()
+        long previous = requests.stream()
                 .filter(at -> at > now - 2 * RETRY_WINDOW_MILLIS && at <= now - RETRY_WINDOW_MILLIS)
                 .count();
-        return Math.max(here, before);
+        return Math.max(current, previous);
     }
 }
--- a/bench/src/main/java/org/cornelramp/bench/gateway/GatewayEnvironment.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/GatewayEnvironment.java
@@ -14,22 +14,25 @@
 import org.cornelramp.platform.standin.StandInFleet;
 import org.cornelramp.platform.standin.StandInStore;
 
-/** Everything that runs in one randomised run. Closed by the thread that made it, else safe for use by any thread. */
-final class GatewayWorld implements AutoCloseable {
-    /** Grace time of a planned stop, as on the deployments of the users. */
+/**
+ * The store, backend servers and gateways of one randomised run. Closed by the thread that created it, otherwise safe
+ * for use by any thread.
+ */
+final class GatewayEnvironment implements AutoCloseable {
+    /** Grace period of a planned stop, as on the users' deployments. */
     static final long GRACE_SECONDS = 8;
 
-    /** Time after which a leaving server gets nothing new, the gateways' default. */
+    /** Time after which a leaving server gets no new requests, the gateways' default. */
     static final long DRAIN_MILLIS = 2_000;
 
-    /** Layers of the model; an engine's card holds nine of them. */
+    /** Layers of the model; the memory of one engine's accelerator holds nine of them. */
     static final int LAYERS = 24;
 
-    private static final int CARD_MB = 100;
+    private static final int ACCELERATOR_MB = 100;
     private static final int DATA_CENTRES = 2;
-    private static final int ENGINES_EACH = 4;
+    private static final int ENGINES_PER_DATA_CENTRE = 4;
     private static final int PLAIN_SERVERS = 3;
-    private static final Duration START = Duration.ofSeconds(60);
+    private static final Duration START_LIMIT = Duration.ofSeconds(60);
     private static final long POLL_MILLIS = 50;
 
     private final StandInStore store = new StandInStore();
@@ -37,22 +40,22 @@
     private final StandInCaller caller = new StandInCaller();
     private final List<SoakGateway> gateways = new ArrayList<>();
     private final List<SoakBackend> backends = new ArrayList<>();
-    private final Disturbances disturbances = new Disturbances();
+    private final FaultHistory faultHistory = new FaultHistory();
     private final ConfigVersions versions;
 
     /**
      * @param home folder of the checkout with the built jars
-     * @param folder takes settings and logs
+     * @param folder folder for settings and logs
      * @param gateways number of gateways
      */
-    GatewayWorld(Path home, Path folder, int gateways) throws Exception {
+    GatewayEnvironment(Path home, Path folder, int gateways) throws Exception {
         Files.createDirectories(folder);
-        StandInConfig config = new StandInConfig(1, CallKind.CHAT.path(), LAYERS, CARD_MB, "");
+        StandInConfig config = new StandInConfig(1, CallKind.CHAT.path(), LAYERS, ACCELERATOR_MB, "");
         versions = new ConfigVersions(store, config);
         versions.publishNext(StandInFleet.nowMillis());
         Ports ports = new Ports();
         for (int at = 0; at < DATA_CENTRES; at++) {
-            for (int i = 0; i < ENGINES_EACH; i++) {
+            for (int i = 0; i < ENGINES_PER_DATA_CENTRE; i++) {
                 String name = "engine-" + at + i;
                 backends.add(new SoakBackend(store, fleet, config, name, dataCentre(at), true, ports));
             }
@@ -61,8 +64,8 @@
             String at = dataCentre(i % DATA_CENTRES);
             backends.add(new SoakBackend(store, fleet, config, "plain-" + i, at, false, ports));
         }
-        SoakGateway.Common common =
-                new SoakGateway.Common(home, folder, store.address().port(), GRACE_SECONDS);
+        SoakGateway.SharedSettings common =
+                new SoakGateway.SharedSettings(home, folder, store.address().port(), GRACE_SECONDS);
         for (int i = 0; i < gateways; i++) {
             this.gateways.add(new SoakGateway(i, dataCentre(i % DATA_CENTRES), common, ports));
         }
@@ -72,14 +75,16 @@
         return "dc" + (number + 1);
     }
 
-    /** Starts all processes and waits until each gateway serves a stream. */
+    /** Starts all processes and waits until each gateway serves every kind of request. */
     void start() throws InterruptedException, IOException {
         backends.forEach(backend -> backend.server().begin());
         gateways.forEach(SoakGateway::launch);
-        awaitServing(START);
+        awaitServing(START_LIMIT);
     }
 
-    /** Waits until each gateway is ready and serves every kind of request; fails if that takes too long. */
+    /**
+     * Waits until each gateway is ready and serves every kind of request; throws a {@link FleetException} at the limit.
+     */
     void awaitServing(Duration limit) throws InterruptedException {
         for (SoakGateway gateway : gateways) {
             await(gateway.name() + " is ready", limit, () -> isReady(gateway));
@@ -100,7 +105,7 @@
 
     private boolean serves(SoakGateway gateway, CallKind kind) {
         String id = "check-" + StandInFleet.nowMillis() + "-" + gateway.name();
-        return caller.send(gateway.direct(), kind.path() + "check", id, kind.deadlineMillis())
+        return caller.send(gateway.directAddress(), kind.path() + "check", id, kind.deadlineMillis())
                 .thenApply(answer -> answer.status() == 200 && answer.whole())
                 .join();
     }
@@ -109,7 +114,7 @@
         long until = StandInFleet.nowMillis() + limit.toMillis();
         while (!condition.getAsBoolean()) {
             if (StandInFleet.nowMillis() > until) {
-                throw new FleetException("Not within " + limit.toSeconds() + " s: " + what);
+                throw new FleetException("Not reached within " + limit.toSeconds() + " s: " + what);
             }
             Thread.sleep(POLL_MILLIS);
         }
@@ -131,8 +136,8 @@
         return backends;
     }
 
-    Disturbances disturbances() {
-        return disturbances;
+    FaultHistory faultHistory() {
+        return faultHistory;
     }
 
     ConfigVersions versions() {
--- a/bench/src/main/java/org/cornelramp/bench/gateway/GatewayFault.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/GatewayFault.java
@@ -2,42 +2,43 @@
 
 import java.time.Duration;
 import java.util.SplittableRandom;
-import org.cornelramp.bench.gateway.Disturbances.Target;
+import org.cornelramp.bench.gateway.FaultHistory.Target;
 import org.cornelramp.platform.standin.StandInBackend;
 import org.cornelramp.platform.standin.StandInFleet;
 
 /**
- * What may go wrong in a run, and how it is brought about from outside. Immutable, safe for use by any thread.
+ * The kinds of faults in a run and how each is injected from outside. Immutable, safe for use by any thread.
  *
- * <p>Faults overlap, also at one process. Those that start and end a process or a server's life take turns at it.
+ * <p>Faults overlap, also on one process. Those that stop and start the same process or server exclude each other by
+ * its monitor, except that KILL_HALF kills without it.
  */
 enum GatewayFault {
     KILL(Target.PROCESS) {
         @Override
-        void strike(Struck at) throws InterruptedException {
-            SoakGateway gateway = at.gateway();
+        void inject(ScheduledFault fault) throws InterruptedException {
+            SoakGateway gateway = fault.gateway();
             synchronized (gateway) {
                 gateway.process().kill();
-                at.last();
+                fault.sleepForDuration();
                 gateway.launch();
             }
         }
     },
     KILL_HALF(Target.PROCESS) {
         @Override
-        boolean strikesAll() {
+        boolean affectsAllGateways() {
             return true;
         }
 
         @Override
-        void strike(Struck at) throws InterruptedException {
-            for (SoakGateway gateway : at.world().gateways()) {
+        void inject(ScheduledFault fault) throws InterruptedException {
+            for (SoakGateway gateway : fault.environment().gateways()) {
                 if (gateway.number() % 2 == 0) {
                     gateway.process().kill();
                 }
             }
-            at.last();
-            for (SoakGateway gateway : at.world().gateways()) {
+            fault.sleepForDuration();
+            for (SoakGateway gateway : fault.environment().gateways()) {
                 synchronized (gateway) {
                     if (!gateway.process().isAlive()) {
                         gateway.launch();
@@ -48,11 +49,11 @@
     },
     STOP(Target.STOP) {
         @Override
-        void strike(Struck at) {
-            SoakGateway gateway = at.gateway();
+        void inject(ScheduledFault fault) {
+            SoakGateway gateway = fault.gateway();
             synchronized (gateway) {
                 gateway.process().terminate();
-                if (!gateway.process().awaitEnd(Duration.ofSeconds(GatewayWorld.GRACE_SECONDS))) {
+                if (!gateway.process().awaitEnd(Duration.ofSeconds(GatewayEnvironment.GRACE_SECONDS))) {
                     gateway.process().kill();
                 }
                 gateway.launch();
@@ -61,198 +62,198 @@
     },
     FREEZE(Target.PROCESS) {
         @Override
-        void strike(Struck at) throws InterruptedException {
-            at.gateway().process().freeze();
-            at.last();
-            at.gateway().process().wake();
+        void inject(ScheduledFault fault) throws InterruptedException {
+            fault.gateway().process().freeze();
+            fault.sleepForDuration();
+            fault.gateway().process().wake();
         }
     },
     HANG_UP(Target.STOP) {
         @Override
-        void strike(Struck at) {
-            at.gateway().process().hangUp();
+        void inject(ScheduledFault fault) {
+            fault.gateway().process().requestReload();
         }
     },
     RESET_CLIENTS(Target.CLIENTS) {
         @Override
-        void strike(Struck at) {
-            at.gateway().clients().cut();
+        void inject(ScheduledFault fault) {
+            fault.gateway().clientRelay().cut();
         }
     },
     SILENCE_CLIENTS(Target.CLIENTS) {
         @Override
-        void strike(Struck at) {
-            at.gateway().clients().silence();
+        void inject(ScheduledFault fault) {
+            fault.gateway().clientRelay().silence();
         }
     },
     CUT_STORE_LINK(Target.STORE) {
         @Override
-        void strike(Struck at) throws InterruptedException {
-            at.gateway().store().refuse(true);
-            at.gateway().store().cut();
-            at.last();
-            at.gateway().store().refuse(false);
+        void inject(ScheduledFault fault) throws InterruptedException {
+            fault.gateway().storeRelay().setRefusing(true);
+            fault.gateway().storeRelay().cut();
+            fault.sleepForDuration();
+            fault.gateway().storeRelay().setRefusing(false);
         }
     },
     SILENCE_STORE_LINK(Target.STORE) {
         @Override
-        void strike(Struck at) {
-            at.gateway().store().silence();
+        void inject(ScheduledFault fault) {
+            fault.gateway().storeRelay().silence();
         }
     },
     ONE_WAY_STORE_LINK(Target.STORE) {
         @Override
-        void strike(Struck at) throws InterruptedException {
-            at.gateway().store().mute(true);
-            at.last();
-            at.gateway().store().mute(false);
-            at.gateway().store().cut();
+        void inject(ScheduledFault fault) throws InterruptedException {
+            fault.gateway().storeRelay().setDroppingResponses(true);
+            fault.sleepForDuration();
+            fault.gateway().storeRelay().setDroppingResponses(false);
+            fault.gateway().storeRelay().cut();
         }
     },
     STORE_REFUSES(Target.STORE) {
         @Override
-        boolean strikesAll() {
+        boolean affectsAllGateways() {
             return true;
         }
 
         @Override
-        void strike(Struck at) throws InterruptedException {
-            at.world().store().setRefuses(true);
-            at.last();
-            at.world().store().setRefuses(false);
+        void inject(ScheduledFault fault) throws InterruptedException {
+            fault.environment().store().setRefuses(true);
+            fault.sleepForDuration();
+            fault.environment().store().setRefuses(false);
         }
     },
     STORE_SLOW(Target.STORE) {
         @Override
-        boolean strikesAll() {
+        boolean affectsAllGateways() {
             return true;
         }
 
         @Override
-        void strike(Struck at) throws InterruptedException {
-            at.world().store().setDelayMillis(200 + at.draw(400));
-            at.last();
-            at.world().store().setDelayMillis(0);
+        void inject(ScheduledFault fault) throws InterruptedException {
+            fault.environment().store().setDelayMillis(200 + fault.nextInt(400));
+            fault.sleepForDuration();
+            fault.environment().store().setDelayMillis(0);
         }
     },
     STORE_LOSES_ANSWERS(Target.STORE) {
         @Override
-        boolean strikesAll() {
+        boolean affectsAllGateways() {
             return true;
         }
 
         @Override
-        void strike(Struck at) throws InterruptedException {
-            at.world().store().setLosesAnswers(true);
-            at.last();
-            at.world().store().setLosesAnswers(false);
+        void inject(ScheduledFault fault) throws InterruptedException {
+            fault.environment().store().setLosesAnswers(true);
+            fault.sleepForDuration();
+            fault.environment().store().setLosesAnswers(false);
         }
     },
     CONFIG_STORM(Target.BACKEND) {
         @Override
-        void strike(Struck at) throws InterruptedException {
-            for (int i = 0; i < STORM; i++) {
-                at.world().versions().publishNext(StandInFleet.nowMillis());
-                Thread.sleep(STORM_GAP_MILLIS);
+        void inject(ScheduledFault fault) throws InterruptedException {
+            for (int i = 0; i < CONFIG_STORM_VERSIONS; i++) {
+                fault.environment().versions().publishNext(StandInFleet.nowMillis());
+                Thread.sleep(CONFIG_STORM_INTERVAL_MILLIS);
             }
         }
     },
     BACKEND_DIES(Target.BACKEND) {
         @Override
-        void strike(Struck at) throws InterruptedException {
-            synchronized (at.backend()) {
-                StandInBackend server = at.backend().server();
-                at.backend().relay().refuse(true);
+        void inject(ScheduledFault fault) throws InterruptedException {
+            synchronized (fault.backend()) {
+                StandInBackend server = fault.backend().server();
+                fault.backend().relay().setRefusing(true);
                 server.die();
-                at.backend().relay().cut();
-                Thread.sleep(LAPSE_MILLIS);
+                fault.backend().relay().cut();
+                Thread.sleep(REGISTRATION_TIMEOUT_MILLIS);
                 server.unregister();
-                at.last();
-                at.backend().relay().refuse(false);
+                fault.sleepForDuration();
+                fault.backend().relay().setRefusing(false);
                 server.begin();
             }
         }
     },
     BACKEND_DARK(Target.BACKEND) {
         @Override
-        void strike(Struck at) throws InterruptedException {
-            at.backend().relay().darken(true);
-            at.last();
-            at.backend().relay().darken(false);
-            at.backend().relay().cut();
+        void inject(ScheduledFault fault) throws InterruptedException {
+            fault.backend().relay().setBlackholed(true);
+            fault.sleepForDuration();
+            fault.backend().relay().setBlackholed(false);
+            fault.backend().relay().cut();
         }
     },
     BACKEND_LEAVES(Target.BACKEND) {
         @Override
-        void strike(Struck at) throws InterruptedException {
-            synchronized (at.backend()) {
-                StandInBackend server = at.backend().server();
+        void inject(ScheduledFault fault) throws InterruptedException {
+            synchronized (fault.backend()) {
+                StandInBackend server = fault.backend().server();
                 server.leave();
-                Thread.sleep(GatewayWorld.DRAIN_MILLIS + at.draw(LAPSE_MILLIS));
+                Thread.sleep(GatewayEnvironment.DRAIN_MILLIS + fault.nextInt(REGISTRATION_TIMEOUT_MILLIS));
                 server.unregister();
-                Thread.sleep(at.draw(LAPSE_MILLIS));
+                Thread.sleep(fault.nextInt(REGISTRATION_TIMEOUT_MILLIS));
                 server.die();
-                at.backend().relay().cut();
+                fault.backend().relay().cut();
                 server.begin();
             }
         }
     },
     BACKEND_SLOW(Target.BACKEND) {
         @Override
-        void strike(Struck at) throws InterruptedException {
-            at.backend().server().setPace(2 + at.draw(4));
-            at.last();
-            at.backend().server().setPace(1);
+        void inject(ScheduledFault fault) throws InterruptedException {
+            fault.backend().server().setPace(2 + fault.nextInt(4));
+            fault.sleepForDuration();
+            fault.backend().server().setPace(1);
         }
     },
     BACKEND_FAILS(Target.BACKEND) {
         @Override
-        void strike(Struck at) throws InterruptedException {
-            at.backend().server().setFailing(0.5);
-            at.last();
-            at.backend().server().setFailing(0);
+        void inject(ScheduledFault fault) throws InterruptedException {
+            fault.backend().server().setFailing(0.5);
+            fault.sleepForDuration();
+            fault.backend().server().setFailing(0);
         }
     },
     BACKEND_LOSES_ANSWERS(Target.BACKEND) {
         @Override
-        void strike(Struck at) throws InterruptedException {
-            at.backend().server().setLosing(0.3);
-            at.last();
-            at.backend().server().setLosing(0);
+        void inject(ScheduledFault fault) throws InterruptedException {
+            fault.backend().server().setLosing(0.3);
+            fault.sleepForDuration();
+            fault.backend().server().setLosing(0);
         }
     },
     BACKEND_SILENCED(Target.BACKEND) {
         @Override
-        void strike(Struck at) {
-            at.backend().relay().silence();
+        void inject(ScheduledFault fault) {
+            fault.backend().relay().silence();
         }
     },
     BACKEND_RESET(Target.BACKEND) {
         @Override
-        void strike(Struck at) {
-            at.backend().relay().cut();
+        void inject(ScheduledFault fault) {
+            fault.backend().relay().cut();
         }
     },
     BACKEND_DELAYED(Target.BACKEND) {
         @Override
-        void strike(Struck at) throws InterruptedException {
-            at.backend().relay().delay(20 + at.draw(100));
-            at.last();
-            at.backend().relay().delay(0);
+        void inject(ScheduledFault fault) throws InterruptedException {
+            fault.backend().relay().setDelayMillis(20 + fault.nextInt(100));
+            fault.sleepForDuration();
+            fault.backend().relay().setDelayMillis(0);
         }
     },
     STRAY_ANSWER(Target.BACKEND) {
         @Override
-        void strike(Struck at) {
-            at.backend().relay().strayAfterNext(StandInBackend.strayAnswer());
+        void inject(ScheduledFault fault) {
+            fault.backend().relay().injectAfterNextData(StandInBackend.strayAnswer());
         }
     };
 
-    private static final int STORM = 8;
-    private static final long STORM_GAP_MILLIS = 150;
+    private static final int CONFIG_STORM_VERSIONS = 8;
+    private static final long CONFIG_STORM_INTERVAL_MILLIS = 150;
 
     /** A registration lapses after three heartbeats of 1.2 s without one. */
-    private static final int LAPSE_MILLIS = 3_600;
+    private static final int REGISTRATION_TIMEOUT_MILLIS = 3_600;
 
     private final Target target;
 
@@ -260,66 +261,71 @@
         this.target = target;
     }
 
-    /** What it strikes. */
+    /** What it affects. */
     Target target() {
         return target;
     }
 
-    /** Whether it strikes every gateway at once. */
-    boolean strikesAll() {
+    /** Whether it affects every gateway at once. */
+    boolean affectsAllGateways() {
         return false;
     }
 
-    /** Brings it about, waits, and ends it. */
-    abstract void strike(Struck at) throws InterruptedException;
+    /** Injects the fault, waits for its duration and ends it. */
+    abstract void inject(ScheduledFault fault) throws InterruptedException;
 
     /**
-     * One fault of a run. Immutable but for its draws, which belong to the thread of the fault.
+     * One scheduled fault of a run. Immutable except for its random generator, which is confined to the thread of the
+     * fault.
      *
-     * @param fault what happens
-     * @param world where
-     * @param member index of the gateway or of the backend server that it strikes, whichever it is
-     * @param atMillis when, from the start of the load
-     * @param lastsMillis for how long, where it lasts
-     * @param random draws of this fault alone
+     * @param fault kind of the fault
+     * @param environment gateways, backend servers and store of the run
+     * @param targetIndex index of the gateway or of the backend server that it affects, modulo their number
+     * @param startMillis start, in milliseconds from the start of the load
+     * @param durationMillis duration in milliseconds, for faults that have one
+     * @param random random generator of this fault alone
      */
-    record Struck(
+    record ScheduledFault(
             GatewayFault fault,
-            GatewayWorld world,
-            int member,
-            long atMillis,
-            long lastsMillis,
+            GatewayEnvironment environment,
+            int targetIndex,
+            long startMillis,
+            long durationMillis,
             SplittableRandom random) {
 
         SoakGateway gateway() {
-            return world.gateways().get(member % world.gateways().size());
+            return environment
+                    .gateways()
+                    .get(targetIndex % environment.gateways().size());
         }
 
         SoakBackend backend() {
-            return world.backends().get(member % world.backends().size());
+            return environment
+                    .backends()
+                    .get(targetIndex % environment.backends().size());
         }
 
-        int draw(int bound) {
+        int nextInt(int bound) {
             return random.nextInt(bound);
         }
 
-        /** Waits for as long as the fault lasts. */
-        void last() throws InterruptedException {
-            Thread.sleep(lastsMillis);
+        /** Sleeps for the duration of the fault. */
+        void sleepForDuration() throws InterruptedException {
+            Thread.sleep(durationMillis);
         }
 
-        /** Number of the gateway that it strikes, for the checks. */
+        /** Number of the gateway that it affects, for the checks; {@link FaultHistory#ALL} for all of them. */
         int gatewayNumber() {
-            boolean all = fault.strikesAll() || fault.target() == Target.BACKEND;
-            return all ? Disturbances.ALL : gateway().number();
+            boolean all = fault.affectsAllGateways() || fault.target() == Target.BACKEND;
+            return all ? FaultHistory.ALL : gateway().number();
         }
 
         @Override
         public String toString() {
             String where = fault.target() == Target.BACKEND
                     ? backend().server().name()
-                    : fault.strikesAll() ? "all" : gateway().name();
-            return "at=" + atMillis + "ms lasts=" + lastsMillis + "ms fault=" + fault + " at " + where;
+                    : fault.affectsAllGateways() ? "all" : gateway().name();
+            return "at=" + startMillis + "ms lasts=" + durationMillis + "ms fault=" + fault + " at " + where;
         }
     }
 }
--- a/bench/src/main/java/org/cornelramp/bench/gateway/GatewayFaultInjector.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/GatewayFaultInjector.java
@@ -7,67 +7,70 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 import org.cornelramp.bench.fleet.FleetException;
-import org.cornelramp.bench.gateway.Disturbances.Disturbance;
+import org.cornelramp.bench.gateway.FaultHistory.FaultPeriod;
 import org.cornelramp.bench.soak.Violations;
 import org.cornelramp.platform.standin.StandInFleet;
 
-/** The faults of a run: drawn from its seed before it starts, then brought about, each on a thread of its own. */
-final class GatewayFaults {
-    private static final long FIRST_MILLIS = 500;
+/** Draws the faults of a run from its seed before the run starts, then injects each on a separate thread. */
+final class GatewayFaultInjector {
+    private static final long EARLIEST_START_MILLIS = 500;
     private static final int MEAN_GAP_MILLIS = 700;
-    private static final int SHORTEST_MILLIS = 200;
-    private static final int LONGEST_MILLIS = 3_500;
+    private static final int MIN_DURATION_MILLIS = 200;
+    private static final int MAX_DURATION_MILLIS = 3_500;
 
-    /** One fault in four strikes where the last one did: in series, or while it still lasts. */
-    private static final double SAME_PLACE = 0.25;
+    /** One fault in four hits the same target as the previous one, after it or while it is still active. */
+    private static final double SAME_TARGET_PROBABILITY = 0.25;
 
-    private static final int MOST_MEMBERS = 1 << 20;
+    private static final int TARGET_INDEX_BOUND = 1 << 20;
 
-    private final GatewayWorld world;
+    private final GatewayEnvironment environment;
     private final Violations violations;
-    private final List<GatewayFault.Struck> planned;
+    private final List<GatewayFault.ScheduledFault> planned;
     private final ExecutorService threads = Executors.newCachedThreadPool(work -> {
         Thread thread = new Thread(work, "fault");
         thread.setDaemon(true);
         return thread;
     });
 
-    GatewayFaults(GatewayWorld world, Violations violations, long seed, long millis) {
-        this.world = world;
+    GatewayFaultInjector(GatewayEnvironment environment, Violations violations, long seed, long millis) {
+        this.environment = environment;
         this.violations = violations;
-        this.planned = draw(world, seed, millis);
+        this.planned = draw(environment, seed, millis);
     }
 
-    private static List<GatewayFault.Struck> draw(GatewayWorld world, long seed, long millis) {
+    private static List<GatewayFault.ScheduledFault> draw(GatewayEnvironment environment, long seed, long millis) {
         SplittableRandom random = new SplittableRandom(seed);
         GatewayFault[] kinds = GatewayFault.values();
-        List<GatewayFault.Struck> faults = new ArrayList<>();
-        int member = random.nextInt(MOST_MEMBERS);
-        long at = FIRST_MILLIS + random.nextInt(MEAN_GAP_MILLIS);
-        while (at < millis) {
-            member = random.nextDouble() < SAME_PLACE ? member : random.nextInt(MOST_MEMBERS);
-            long lasts = (long) SHORTEST_MILLIS + random.nextInt(LONGEST_MILLIS - SHORTEST_MILLIS);
+        List<GatewayFault.ScheduledFault> faults = new ArrayList<>();
+        int targetIndex = random.nextInt(TARGET_INDEX_BOUND);
+        long startMillis = EARLIEST_START_MILLIS + random.nextInt(MEAN_GAP_MILLIS);
+        while (startMillis < millis) {
+            targetIndex =
+                    random.nextDouble() < SAME_TARGET_PROBABILITY ? targetIndex : random.nextInt(TARGET_INDEX_BOUND);
+            long durationMillis =
+                    (long) MIN_DURATION_MILLIS + random.nextInt(MAX_DURATION_MILLIS - MIN_DURATION_MILLIS);
             GatewayFault fault = kinds[random.nextInt(kinds.length)];
-            faults.add(new GatewayFault.Struck(fault, world, member, at, lasts, random.split()));
-            at += 1 + random.nextInt(2 * MEAN_GAP_MILLIS);
+            faults.add(new GatewayFault.ScheduledFault(
+                    fault, environment, targetIndex, startMillis, durationMillis, random.split()));
+            startMillis += 1 + random.nextInt(2 * MEAN_GAP_MILLIS);
         }
         return List.copyOf(faults);
     }
 
-    /** The faults in the order of their begin. */
-    List<GatewayFault.Struck> planned() {
+    /** The faults in the order of their start. */
+    List<GatewayFault.ScheduledFault> planned() {
         return planned;
     }
 
-    /** Brings all faults about and waits until the last one has ended. */
+    /** Injects all faults and waits until the last one has ended. */
     void run() throws InterruptedException {
         long begin = StandInFleet.nowMillis();
-        for (GatewayFault.Struck fault : planned) {
-            long wait = begin + fault.atMillis() - StandInFleet.nowMillis();
+        for (GatewayFault.ScheduledFault fault : planned) {
+            long wait = begin + fault.startMillis() - StandInFleet.nowMillis();
             if (wait > 0) {
                 Thread.sleep(wait);
             }
-            threads.execute(() -> strike(fault));
+            threads.execute(() -> inject(fault));
         }
         threads.shutdown();
         if (!threads.awaitTermination(2, TimeUnit.MINUTES)) {
@@ -75,16 +78,17 @@
         }
     }
 
-    private void strike(GatewayFault.Struck fault) {
-        Disturbance open =
-                world.disturbances().begin(fault.fault().target(), fault.gatewayNumber(), StandInFleet.nowMillis());
+    private void inject(GatewayFault.ScheduledFault fault) {
+        FaultPeriod open = environment
+                .faultHistory()
+                .begin(fault.fault().target(), fault.gatewayNumber(), StandInFleet.nowMillis());
         try {
-            fault.fault().strike(fault);
+            fault.fault().inject(fault);
         } catch (FleetException e) {
-            violations.add("fault", fault + " could not be brought about: " + e.getMessage());
+            violations.add("fault", fault + " could not be injected: " + e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        world.disturbances().end(open, StandInFleet.nowMillis());
+        environment.faultHistory().end(open, StandInFleet.nowMillis());
     }
 }
--- a/bench/src/main/java/org/cornelramp/bench/gateway/GatewayLoad.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/GatewayLoad.java
@@ -8,33 +8,34 @@
 import org.cornelramp.platform.standin.StandInFleet;
 
 /**
- * Sends requests at a steady rate, whatever becomes of them; some clients leave early. Clients keep their connections
- * to a gateway for as long as those last. Owned by its thread.
+ * Sends requests at a constant rate that does not depend on the answers; some clients disconnect early. Clients keep
+ * their connections to a gateway open until these fail. Confined to its thread.
  */
 final class GatewayLoad {
-    private static final long GAP_MILLIS = 20;
-    private static final double CHATS = 0.5;
-    private static final double LOOKS = 0.75;
-    private static final double LEAVING = 0.05;
-    private static final int LONGEST_STAY_MILLIS = 300;
+    private static final long SEND_INTERVAL_MILLIS = 20;
+    private static final double CHAT_SHARE = 0.5;
+    private static final double CHAT_AND_LOOK_SHARE = 0.75;
+    private static final double DISCONNECT_PROBABILITY = 0.05;
+    private static final int MAX_DISCONNECT_DELAY_MILLIS = 300;
 
-    private final GatewayWorld world;
-    private final Calls calls;
+    private final GatewayEnvironment environment;
+    private final CallRecords calls;
     private final SplittableRandom random;
     private final List<StandInCaller> callers;
 
-    GatewayLoad(GatewayWorld world, Calls calls, long seed) {
-        this.world = world;
+    GatewayLoad(GatewayEnvironment environment, CallRecords calls, long seed) {
+        this.environment = environment;
         this.calls = calls;
         this.random = new SplittableRandom(seed);
-        this.callers = world.gateways().stream().map(any -> new StandInCaller()).toList();
+        this.callers =
+                environment.gateways().stream().map(any -> new StandInCaller()).toList();
     }
 
-    /** Sends for so long. */
+    /** Sends requests for the given time. */
     void run(long millis) throws InterruptedException {
         long begin = StandInFleet.nowMillis();
-        for (long sent = 0; sent * GAP_MILLIS < millis; sent++) {
-            long wait = begin + sent * GAP_MILLIS - StandInFleet.nowMillis();
+        for (long sent = 0; sent * SEND_INTERVAL_MILLIS < millis; sent++) {
+            long wait = begin + sent * SEND_INTERVAL_MILLIS - StandInFleet.nowMillis();
             if (wait > 0) {
                 Thread.sleep(wait);
             }
@@ -44,20 +45,21 @@
 
     private void send(String id) {
         SoakGateway gateway =
-                world.gateways().get(random.nextInt(world.gateways().size()));
+                environment.gateways().get(random.nextInt(environment.gateways().size()));
         double draw = random.nextDouble();
-        CallKind kind = draw < CHATS ? CallKind.CHAT : draw < LOOKS ? CallKind.LOOK : CallKind.BOOK;
-        boolean leaves = random.nextDouble() < LEAVING;
-        long stay = 1L + random.nextInt(LONGEST_STAY_MILLIS);
-        calls.begin(id, kind, gateway.number(), StandInFleet.nowMillis());
-        CompletableFuture<StandInCaller.Answer> answer =
-                callers.get(gateway.number()).send(gateway.seen(), kind.path() + id, id, kind.deadlineMillis());
-        var unused = answer.thenAccept(got -> calls.end(id, got, StandInFleet.nowMillis()));
-        if (leaves) {
-            CompletableFuture.delayedExecutor(stay, TimeUnit.MILLISECONDS).execute(() -> {
-                calls.left(id, StandInFleet.nowMillis());
-                answer.cancel(true);
-            });
+        CallKind kind = draw < CHAT_SHARE ? CallKind.CHAT : draw < CHAT_AND_LOOK_SHARE ? CallKind.LOOK : CallKind.BOOK;
+        boolean disconnects = random.nextDouble() < DISCONNECT_PROBABILITY;
+        long disconnectDelayMillis = 1L + random.nextInt(MAX_DISCONNECT_DELAY_MILLIS);
+        calls.recordStart(id, kind, gateway.number(), StandInFleet.nowMillis());
+        CompletableFuture<StandInCaller.Answer> answer = callers.get(gateway.number())
+                .send(gateway.clientAddress(), kind.path() + id, id, kind.deadlineMillis());
+        var unused = answer.thenAccept(received -> calls.recordAnswer(id, received, StandInFleet.nowMillis()));
+        if (disconnects) {
+            CompletableFuture.delayedExecutor(disconnectDelayMillis, TimeUnit.MILLISECONDS)
+                    .execute(() -> {
+                        calls.recordDisconnect(id, StandInFleet.nowMillis());
+                        answer.cancel(true);
+                    });
         }
     }
 }
--- a/bench/src/main/java/org/cornelramp/bench/gateway/GatewaySoakCommand.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/GatewaySoakCommand.java
@@ -19,18 +19,21 @@
 import org.cornelramp.platform.standin.StandInFleet;
 
 /**
- * {@code soak --seed N --seconds S [--gateways G]}: gateways as processes of their own under random faults, with the
- * promises checked. Prints the schedule, every violation and where the logs are, then one line of figures; the status is
- * 1 after a violation. Stateless.
+ * {@code soak --seed N --seconds S [--gateways G]}: runs gateways as separate processes under random faults and checks
+ * the guarantees of the product. After a violation it prints the schedule, the folder of the logs and every violation,
+ * and exits with status 1. The last line holds the figures of the run. Stateless.
  */
 public final class GatewaySoakCommand implements BenchCommand {
-    private static final String GATEWAYS = "gateways";
-    private static final String USUAL_GATEWAYS = "6";
-    private static final Duration HEALED = Duration.ofSeconds(40);
-    private static final long LAST_ANSWERS_MILLIS = 12_000;
+    private static final String GATEWAYS_OPTION = "gateways";
+    private static final String DEFAULT_GATEWAYS = "6";
+    private static final Duration RECOVERY_LIMIT = Duration.ofSeconds(40);
+    private static final long FINAL_ANSWERS_MILLIS = 12_000;
     private static final long POLL_MILLIS = 50;
 
-    /** Held here, since a logger that nobody holds forgets its level. What breaks on purpose is no news. */
+    /**
+     * Strong reference: the level of a logger is lost when the logger is garbage collected. It is silenced because the
+     * injected faults make it log expected failures.
+     */
     private static final Logger HTTP_LOGGER = Logger.getLogger("org.eclipse.jetty");
 
     @Override
@@ -41,12 +44,12 @@
     @Override
     public Options options() {
         return new Options()
-                .addOption(Option.builder().longOpt(GATEWAYS).hasArg().get());
+                .addOption(Option.builder().longOpt(GATEWAYS_OPTION).hasArg().get());
     }
 
     @Override
     public int run(BenchContext context, CommandLine line) throws Exception {
-        int gateways = Integer.parseInt(line.getOptionValue(GATEWAYS, USUAL_GATEWAYS));
+        int gateways = Integer.parseInt(line.getOptionValue(GATEWAYS_OPTION, DEFAULT_GATEWAYS));
         return run(context.home(), context.seed(), context.seconds(), gateways)
                         .all()
                         .isEmpty()
@@ -54,20 +57,21 @@
                 : 1;
     }
 
-    /** Runs once; gives what broke a promise. */
+    /** Runs once and returns the violations of the guarantees. */
     public static Violations run(Path home, long seed, int seconds, int gateways) throws Exception {
         HTTP_LOGGER.setLevel(Level.OFF);
         Violations violations = new Violations();
         Path folder = home.resolve("out").resolve("soak-" + seed);
         deleteFiles(folder);
-        Calls calls = new Calls();
-        GatewayFaults faults;
-        try (GatewayWorld world = new GatewayWorld(home, folder, gateways)) {
-            world.start();
-            faults = new GatewayFaults(world, violations, seed, seconds * 1_000L);
-            underLoad(world, faults, calls, violations, seed, seconds * 1_000L);
-            heal(world, violations);
-            new GatewayChecks(calls.all(), world.fleet().arrivals(), world.disturbances(), violations).run();
+        CallRecords calls = new CallRecords();
+        GatewayFaultInjector faults;
+        try (GatewayEnvironment environment = new GatewayEnvironment(home, folder, gateways)) {
+            environment.start();
+            faults = new GatewayFaultInjector(environment, violations, seed, seconds * 1_000L);
+            runLoad(environment, faults, calls, violations, seed, seconds * 1_000L);
+            awaitRecovery(environment, violations);
+            new GatewayChecks(calls.all(), environment.fleet().arrivals(), environment.faultHistory(), violations)
+                    .run();
         }
         report(seed, folder, faults, calls.all(), violations);
         return violations;
@@ -83,31 +87,36 @@
         }
     }
 
-    private static void underLoad(
-            GatewayWorld world, GatewayFaults faults, Calls calls, Violations violations, long seed, long millis)
+    private static void runLoad(
+            GatewayEnvironment environment,
+            GatewayFaultInjector faults,
+            CallRecords calls,
+            Violations violations,
+            long seed,
+            long millis)
             throws InterruptedException {
-        List<ConfigWatch> watches = new ArrayList<>();
-        List<Thread> watching = new ArrayList<>();
-        for (SoakGateway gateway : world.gateways()) {
-            ConfigWatch watch = new ConfigWatch(gateway, world, violations);
-            watches.add(watch);
-            watching.add(start("watch-" + gateway.name(), watch));
+        List<ConfigMonitor> monitors = new ArrayList<>();
+        List<Thread> monitorThreads = new ArrayList<>();
+        for (SoakGateway gateway : environment.gateways()) {
+            ConfigMonitor monitor = new ConfigMonitor(gateway, environment, violations);
+            monitors.add(monitor);
+            monitorThreads.add(start("watch-" + gateway.name(), monitor));
         }
-        Thread striking = start("faults", () -> {
+        Thread faultThread = start("faults", () -> {
             try {
                 faults.run();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        new GatewayLoad(world, calls, seed).run(millis);
-        striking.join();
-        long until = StandInFleet.nowMillis() + LAST_ANSWERS_MILLIS;
-        while (calls.open() > 0 && StandInFleet.nowMillis() < until) {
+        new GatewayLoad(environment, calls, seed).run(millis);
+        faultThread.join();
+        long until = StandInFleet.nowMillis() + FINAL_ANSWERS_MILLIS;
+        while (calls.openCount() > 0 && StandInFleet.nowMillis() < until) {
             Thread.sleep(POLL_MILLIS);
         }
-        watches.forEach(ConfigWatch::end);
-        for (Thread thread : watching) {
+        monitors.forEach(ConfigMonitor::stop);
+        for (Thread thread : monitorThreads) {
             thread.join();
         }
     }
@@ -119,22 +128,24 @@
         return thread;
     }
 
-    /** When all faults are over, every gateway serves again, and none has ended by itself. */
-    private static void heal(GatewayWorld world, Violations violations) throws InterruptedException {
-        for (SoakGateway gateway : world.gateways()) {
+    /** Checks that after all faults every gateway serves again and that none has exited by itself. */
+    private static void awaitRecovery(GatewayEnvironment environment, Violations violations)
+            throws InterruptedException {
+        for (SoakGateway gateway : environment.gateways()) {
             if (!gateway.process().isAlive()) {
                 violations.add("process", gateway.name() + " ended by itself");
                 gateway.launch();
             }
         }
         try {
-            world.awaitServing(HEALED);
+            environment.awaitServing(RECOVERY_LIMIT);
         } catch (FleetException e) {
             violations.add("healed", e.getMessage());
         }
     }
 
-    private static void report(long seed, Path folder, GatewayFaults faults, List<Call> calls, Violations violations) {
+    private static void report(
+            long seed, Path folder, GatewayFaultInjector faults, List<Call> calls, Violations violations) {
         if (!violations.all().isEmpty()) {
             System.out.println("schedule of seed " + seed + ", logs in " + folder + ":");
             faults.planned().forEach(fault -> System.out.println("  " + fault));
@@ -147,13 +158,13 @@
                 violations.all().size(),
                 calls.size(),
                 calls.stream()
-                        .filter(call -> call.status() == 200 && call.isWhole())
+                        .filter(call -> call.status() == 200 && call.isComplete())
                         .count(),
                 calls.stream().filter(call -> call.status() == 503).count(),
                 calls.stream()
                         .filter(call -> call.status() == 502 || call.status() == 504)
                         .count(),
-                calls.stream().filter(Call::hasLeft).count(),
+                calls.stream().filter(Call::hasDisconnected).count(),
                 faults.planned().size());
     }
 }
--- a/bench/src/main/java/org/cornelramp/bench/gateway/SoakBackend.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/SoakBackend.java
@@ -8,7 +8,9 @@
 import org.cornelramp.platform.standin.StandInFleet;
 import org.cornelramp.platform.standin.StandInStore;
 
-/** A backend server behind a relay. Safe for use by any thread; a fault of its life holds its monitor. */
+/**
+ * A backend server behind a relay. Safe for use by any thread; a fault that stops and restarts it holds its monitor.
+ */
 final class SoakBackend implements AutoCloseable {
     private final StandInBackend server;
     private final Relay relay;
@@ -23,12 +25,12 @@
             boolean engine,
             Ports ports)
             throws Exception {
-        int port = ports.take();
-        int seen = ports.take();
+        int port = ports.allocate();
+        int relayPort = ports.allocate();
         this.engine = engine;
-        this.relay = new Relay(seen, port);
+        this.relay = new Relay(relayPort, port);
         this.server = new StandInBackend(
-                store, fleet, config, name, dataCentre, engine, port, new HostPort("127.0.0.1", seen));
+                store, fleet, config, name, dataCentre, engine, port, new HostPort("127.0.0.1", relayPort));
     }
 
     StandInBackend server() {
--- a/bench/src/main/java/org/cornelramp/bench/gateway/SoakGateway.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/SoakGateway.java
@@ -11,36 +11,36 @@
 import org.cornelramp.core.settings.HostPort;
 
 /**
- * One gateway as a process of its own, with relays between it and its clients, and between it and the store. Safe for
- * use by any thread; whoever starts and ends its process holds its monitor.
+ * One gateway as a separate process, with a relay between it and its clients and one between it and the store. Safe for
+ * use by any thread; a thread that starts or ends the process holds the monitor of this object.
  */
 final class SoakGateway implements AutoCloseable {
     private static final String HOST = "127.0.0.1";
 
     private final int number;
     private final Path folder;
-    private final Relay clients;
-    private final Relay store;
-    private final HostPort seen;
-    private final HostPort requests;
+    private final Relay clientRelay;
+    private final Relay storeRelay;
+    private final HostPort clientAddress;
+    private final HostPort requestAddress;
     private final HostPort readiness;
     private final ManagedProcess process;
-    private int lives;
+    private int startCount;
 
-    /** What the processes of a run have in common. Immutable. */
-    record Common(Path home, Path folder, int storePort, long graceSeconds) {}
+    /** Settings that all gateway processes of a run share. Immutable. */
+    record SharedSettings(Path home, Path folder, int storePort, long graceSeconds) {}
 
-    SoakGateway(int number, String dataCentre, Common common, Ports ports) throws IOException {
+    SoakGateway(int number, String dataCentre, SharedSettings common, Ports ports) throws IOException {
         this.number = number;
         this.folder = common.folder();
-        int requestPort = ports.take();
-        int seenPort = ports.take();
-        int storePort = ports.take();
-        this.requests = new HostPort(HOST, requestPort);
-        this.seen = new HostPort(HOST, seenPort);
-        this.readiness = new HostPort(HOST, ports.take());
-        this.clients = new Relay(seenPort, requestPort);
-        this.store = new Relay(storePort, common.storePort());
+        int requestPort = ports.allocate();
+        int clientPort = ports.allocate();
+        int storePort = ports.allocate();
+        this.requestAddress = new HostPort(HOST, requestPort);
+        this.clientAddress = new HostPort(HOST, clientPort);
+        this.readiness = new HostPort(HOST, ports.allocate());
+        this.clientRelay = new Relay(clientPort, requestPort);
+        this.storeRelay = new Relay(storePort, common.storePort());
         String name = name();
         Path settings = folder.resolve(name + ".json");
         Files.writeString(
@@ -52,12 +52,12 @@
                         .formatted(
                                 name,
                                 dataCentre,
-                                requests,
+                                requestAddress,
                                 readiness,
                                 HOST,
-                                ports.take(),
+                                ports.allocate(),
                                 HOST,
-                                ports.take(),
+                                ports.allocate(),
                                 HOST,
                                 storePort,
                                 common.graceSeconds()));
@@ -86,48 +86,48 @@
         return "g" + number;
     }
 
-    /** Where clients reach it. */
-    HostPort seen() {
-        return seen;
+    /** Address at which clients reach the gateway, which is that of the relay. */
+    HostPort clientAddress() {
+        return clientAddress;
     }
 
-    /** Where it takes requests, without a relay between. */
-    HostPort direct() {
-        return requests;
+    /** Address at which the gateway itself accepts requests, without the relay. */
+    HostPort directAddress() {
+        return requestAddress;
     }
 
     HostPort readiness() {
         return readiness;
     }
 
-    Relay clients() {
-        return clients;
+    Relay clientRelay() {
+        return clientRelay;
     }
 
-    Relay store() {
-        return store;
+    Relay storeRelay() {
+        return storeRelay;
     }
 
     ManagedProcess process() {
         return process;
     }
 
-    /** Starts the process; what its last life printed is kept beside. */
+    /** Starts the process; the output of the previous start is kept in a file of its own. */
     synchronized void launch() {
         try {
             if (Files.exists(process.output())) {
-                Files.move(process.output(), folder.resolve(name() + "." + lives + ".out"));
+                Files.move(process.output(), folder.resolve(name() + "." + startCount + ".out"));
             }
         } catch (IOException e) {
             throw new FleetException("Could not keep the output of " + name(), e);
         }
-        lives++;
+        startCount++;
         process.launch();
     }
 
-    /** Starts of the process so far. */
-    synchronized int lives() {
-        return lives;
+    /** Number of times that the process has been started. */
+    synchronized int startCount() {
+        return startCount;
     }
 
     @Override
@@ -135,7 +135,7 @@
         if (process.isAlive()) {
             process.kill();
         }
-        clients.close();
-        store.close();
+        clientRelay.close();
+        storeRelay.close();
     }
 }
--- a/bench/src/main/java/org/cornelramp/bench/gateway/package-info.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/package-info.java
@@ -1,2 +1,4 @@
-/** Randomised runs of gateways as separate processes, with faults from outside and the promises checked. */
+/**
+ * Randomised runs of gateways as separate processes, with injected faults and checks of the guarantees of the product.
+ */
 package org.cornelramp.bench.gateway;
