--- a/bench/src/main/java/org/cornelramp/bench/recovery/DuplicateEffects.java
+++ b/bench/src/main/java/org/cornelramp/bench/recovery/DuplicateEffects.java
@@ -7,11 +7,11 @@
 import org.cornelramp.bench.fleet.Member;
 
 /** Counts bookings that took effect more than once at the stand-in services. Stateless. */
-final class Effects {
-    private Effects() {}
+final class DuplicateEffects {
+    private DuplicateEffects() {}
 
-    /** Number of keys with more than one effect over all services. */
-    static long doubled(Fleet fleet) {
+    /** Returns the number of keys with more than one effect over all services. */
+    static long count(Fleet fleet) {
         Map<String, Integer> byKey = new HashMap<>();
         for (Member service : fleet.services()) {
             for (JsonNode effect : fleet.trace(service.backendUrl())) {
--- a/bench/src/main/java/org/cornelramp/bench/recovery/Recovery.java
+++ b/bench/src/main/java/org/cornelramp/bench/recovery/Recovery.java
@@ -8,19 +8,19 @@
 import org.cornelramp.bench.load.Samples;
 
 /**
- * How the callers got over one fault. Immutable if the map is not changed.
+ * The effect of one fault on the callers. Immutable if the map is not changed.
  *
- * @param millis time from the fault until the last moment at which answers could still be short of
- *     {@value #ENOUGH} of the steady rate; 0 if they never were
+ * @param millis time from the fault until the last moment at which the rate of prompt answers could still be
+ *     below {@value #RECOVERED_SHARE} of the rate of due requests; 0 if it never was
  * @param promptMillis time within which an answer counts as prompt: the steady 99th percentile and a margin
  * @param worstMillis longest time of any answer to a request that was due around the fault
  * @param ends how the requests ended that were due around the fault
- * @param details problems given, and how often
+ * @param details number of requests by the problem that their callers got
  */
 record Recovery(
         double millis, double promptMillis, double worstMillis, Map<String, Long> ends, Map<String, Long> details) {
     /** Share of the steady rate that counts as recovered. */
-    static final double ENOUGH = 0.95;
+    static final double RECOVERED_SHARE = 0.95;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long BUCKET_NANOS = 250 * NANOS_PER_MILLI;
@@ -29,34 +29,35 @@
     private static final int TAIL = 99;
 
     /**
-     * Works out the recovery. A request counts for the time at which it was due, so that a burst of late answers does
-     * not make up for a gap.
+     * Computes the recovery. A request counts at the time at which it was due, so that a burst of late answers does not
+     * compensate for a gap.
      *
      * @param steady requests due before the fault
      * @param around requests due from shortly before the fault on
      * @param faultNanos time of the fault
      */
     static Recovery of(List<Sample> steady, List<Sample> around, long faultNanos) {
-        double prompt = Samples.whole(steady).getValueAtPercentile(TAIL) / MICROS_PER_MILLI + MARGIN_MILLIS;
+        double prompt =
+                Samples.completeAnswerTimes(steady).getValueAtPercentile(TAIL) / MICROS_PER_MILLI + MARGIN_MILLIS;
         long lastBad = Long.MIN_VALUE;
         long first = around.stream().mapToLong(Sample::plannedNanos).min().orElse(faultNanos);
         long last = around.stream().mapToLong(Sample::plannedNanos).max().orElse(faultNanos);
         for (long from = first; from <= last; from += BUCKET_NANOS) {
-            if (isShort(around, from, prompt)) {
+            if (isBelowRecoveredShare(around, from, prompt)) {
                 lastBad = from + BUCKET_NANOS;
             }
         }
         double millis = lastBad == Long.MIN_VALUE ? 0 : (lastBad - faultNanos) / (double) NANOS_PER_MILLI + prompt;
-        Histogram whole = Samples.whole(around);
+        Histogram whole = Samples.completeAnswerTimes(around);
         return new Recovery(
                 Math.max(0, millis),
                 prompt,
                 whole.getMaxValue() / MICROS_PER_MILLI,
-                Samples.ends(around),
-                Samples.details(around));
+                Samples.countsByEnd(around),
+                Samples.countsByDetail(around));
     }
 
-    /** Requests that had no whole, right answer in time. */
+    /** Number of requests without a complete, correct answer before their deadline. */
     long lost() {
         return ends.entrySet().stream()
                 .filter(end -> !end.getKey().equalsIgnoreCase(CallEnd.IN_TIME.name()))
@@ -64,7 +65,7 @@
                 .sum();
     }
 
-    private static boolean isShort(List<Sample> samples, long from, double promptMillis) {
+    private static boolean isBelowRecoveredShare(List<Sample> samples, long from, double promptMillis) {
         long due = 0;
         long prompt = 0;
         for (Sample sample : samples) {
@@ -74,6 +75,6 @@
                 prompt += sample.end() == CallEnd.IN_TIME && took <= promptMillis ? 1 : 0;
             }
         }
-        return prompt < ENOUGH * due;
+        return prompt < RECOVERED_SHARE * due;
     }
 }
--- a/bench/src/main/java/org/cornelramp/bench/recovery/RecoveryCommand.java
+++ b/bench/src/main/java/org/cornelramp/bench/recovery/RecoveryCommand.java
@@ -24,8 +24,8 @@
 import org.cornelramp.bench.measure.Results;
 
 /**
- * {@code bench recovery}: time from a fault until in-deadline answers are back at 95% of the steady rate, for each
- * fault with the log up and down. Stateless.
+ * {@code bench recovery}: measures the time from a fault until in-deadline answers are back at 95% of the steady rate,
+ * for each fault with the log service up and down. Stateless.
  *
  * <p>Callers send chats and bookings at an even rate well below the capacity, and go to the next entry when a
  * connection is refused or cut.
@@ -36,7 +36,7 @@
     private static final int PROMPT = 24;
     private static final int TOKENS = 12;
     private static final long DEADLINE_MILLIS = 5_000;
-    private static final double JIT_SECONDS = 5;
+    private static final double JIT_WARM_UP_SECONDS = 5;
     private static final double STEADY_SECONDS = 2;
     private static final double AFTER_SECONDS = 3;
     private static final Duration END_LIMIT = Duration.ofSeconds(8);
@@ -52,7 +52,7 @@
     public int run(BenchContext context, CommandLine line) throws Exception {
         Results results = context.results(name());
         Map<String, Recovery> recoveries = new LinkedHashMap<>();
-        long doubled;
+        long duplicateEffects;
         try (Fleet fleet = Fleet.start(context.home(), plan())) {
             warmUp(context, fleet);
             for (boolean logDown : new boolean[] {false, true}) {
@@ -63,9 +63,9 @@
                     System.out.printf(Locale.ROOT, "%s: %s%n", key, recovery);
                 }
             }
-            doubled = Effects.doubled(fleet);
+            duplicateEffects = DuplicateEffects.count(fleet);
         }
-        report(results, recoveries, doubled);
+        report(results, recoveries, duplicateEffects);
         return 0;
     }
 
@@ -79,47 +79,51 @@
         return new FleetPlan(2, stages, 2, 10, DEMAND.length, 1, true);
     }
 
-    /** Processes that have just started compile their code; the first fault must not be charged for it. */
+    /**
+     * Warms up the JIT compilers of new processes, so that compilation does not count in the recovery from the first
+     * fault.
+     */
     private static void warmUp(BenchContext context, Fleet fleet) {
         Samples samples = new Samples();
         List<String> urls = fleet.entries().stream().map(Member::url).toList();
         try (Callers callers = new Callers(urls, Fleet::callerKey, new ExpectedText(LAYERS))) {
             Load load = new Load(callers, samples, context.seed() + 1);
-            new OpenLoop(context.seed()).runEvenly(REQUESTS_PER_SECOND, System.nanoTime(), JIT_SECONDS, load::send);
-            Fleet.await("all requests of the warm-up ended", END_LIMIT, () -> samples.open() == 0);
+            new OpenLoop(context.seed())
+                    .runEvenly(REQUESTS_PER_SECOND, System.nanoTime(), JIT_WARM_UP_SECONDS, load::send);
+            Fleet.await("all requests of the warm-up ended", END_LIMIT, () -> samples.openCount() == 0);
         }
     }
 
     private static Recovery measure(BenchContext context, Fleet fleet, Fault fault, boolean logDown) {
-        Fault.awaitWhole(fleet);
+        Fault.awaitRecovered(fleet);
         fleet.faults(fleet.logUrl(), Map.of("outage", logDown ? "true" : ""));
         Samples samples = new Samples();
         List<String> urls = fleet.entries().stream().map(Member::url).toList();
         long start;
-        long struck;
+        long faultNanos;
         try (Callers callers = new Callers(urls, Fleet::callerKey, new ExpectedText(LAYERS))) {
             Load load = new Load(callers, samples, context.seed());
             OpenLoop loop = new OpenLoop(context.seed());
             load.warmUp(loop);
             start = System.nanoTime();
             loop.runEvenly(REQUESTS_PER_SECOND, start, STEADY_SECONDS, load::send);
-            struck = System.nanoTime();
-            Thread striker = new Thread(() -> fault.strike(fleet), "striker");
-            striker.start();
-            loop.runEvenly(REQUESTS_PER_SECOND, struck, AFTER_SECONDS, load::send);
-            Fleet.await("all requests ended", END_LIMIT, () -> samples.open() == 0);
+            faultNanos = System.nanoTime();
+            Thread faultThread = new Thread(() -> fault.inject(fleet), "striker");
+            faultThread.start();
+            loop.runEvenly(REQUESTS_PER_SECOND, faultNanos, AFTER_SECONDS, load::send);
+            Fleet.await("all requests ended", END_LIMIT, () -> samples.openCount() == 0);
         } finally {
             fleet.faults(fleet.logUrl(), Map.of("outage", ""));
-            fault.mend(fleet);
+            fault.end(fleet);
         }
-        long before = struck - (long) (NANOS_PER_SECOND / 2);
+        long before = faultNanos - (long) (NANOS_PER_SECOND / 2);
         return Recovery.of(
                 samples.plannedIn(start, before),
-                samples.plannedIn(before, struck + (long) (AFTER_SECONDS * NANOS_PER_SECOND)),
-                struck);
+                samples.plannedIn(before, faultNanos + (long) (AFTER_SECONDS * NANOS_PER_SECOND)),
+                faultNanos);
     }
 
-    private static void report(Results results, Map<String, Recovery> recoveries, long doubled) {
+    private static void report(Results results, Map<String, Recovery> recoveries, long duplicateEffects) {
         double worst = 0;
         long lost = 0;
         double[] places = new double[recoveries.size()];
@@ -135,7 +139,7 @@
             places[place] = place;
             millis[place++] = recovery.millis();
         }
-        results.figure("doubled_effects", (double) doubled);
+        results.figure("doubled_effects", (double) duplicateEffects);
         results.figure("lost", (double) lost);
         results.figure("recovery_ms", worst);
         Plot plot = new Plot("Time to recover", "fault, in the order of the results", "milliseconds");
@@ -144,7 +148,7 @@
         results.finish();
     }
 
-    /** Chats and bookings in turn. Confined to one thread. */
+    /** Sends chats and bookings alternately. Confined to one thread. */
     private static final class Load {
         private static final double WARM_UP_SECONDS = 0.7;
 
@@ -165,7 +169,7 @@
 
         void send(long due) {
             int next = number.getAndIncrement();
-            samples.sent();
+            samples.countSent();
             if (next % 2 == 0) {
                 callers.chat(mix.next(), due, samples::add);
             } else {
--- a/bench/src/main/java/org/cornelramp/bench/recovery/package-info.java
+++ b/bench/src/main/java/org/cornelramp/bench/recovery/package-info.java
@@ -1,2 +1,2 @@
-/** Measures the time from a fault until answers are as prompt as before. */
+/** Measures the time from a fault until the rate of prompt answers is back near its value before the fault. */
 package org.cornelramp.bench.recovery;
--- a/bench/src/test/java/org/cornelramp/bench/recovery/RecoveryTest.java
+++ b/bench/src/test/java/org/cornelramp/bench/recovery/RecoveryTest.java
@@ -10,8 +10,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Answers stop for 700 ms after a fault, then all that waited come in one burst. Callers were without answers for the
- * whole time, so the burst must not make the recovery look shorter.
+ * Answers stop for 700 ms after a fault, then all delayed ones come in one burst. Callers have no answers for the whole
+ * time, so the burst must not shorten the measured recovery.
  */
 public class RecoveryTest {
     private static final long MILLI = 1_000_000;
