--- a/bench/src/main/java/org/cornelramp/bench/scale/AgentLinkCost.java
+++ b/bench/src/main/java/org/cornelramp/bench/scale/AgentLinkCost.java
@@ -6,8 +6,8 @@
 import org.cornelramp.bench.fleet.FleetPlan;
 import org.cornelramp.bench.fleet.Member;
 
-/** One agent with 1 to 16 entries, all of which share the same load. Confined to one thread. */
-final class AgentLinks {
+/** Measures one agent with 1 to 16 entries that share a constant load. Confined to one thread. */
+final class AgentLinkCost {
     private static final int[] ENTRIES = {1, 2, 4, 8, 16};
     private static final double WINDOW_SECONDS = 1.2;
     private static final double CALLS_PER_SECOND = 100;
@@ -17,19 +17,19 @@
     private final BenchContext context;
     private final double window;
 
-    AgentLinks(BenchContext context, double share) {
+    AgentLinkCost(BenchContext context, double share) {
         this.context = context;
         this.window = WINDOW_SECONDS * share;
     }
 
-    List<Series> measure() throws Exception {
-        Series idle = new Series("agent_idle_per_link");
-        Series loaded = new Series("agent_loaded_per_link");
+    List<CostSeries> measure() throws Exception {
+        CostSeries idle = new CostSeries("agent_idle_per_link");
+        CostSeries loaded = new CostSeries("agent_loaded_per_link");
         FleetPlan plan = new FleetPlan(1, List.of(), 1, SERVICE_MILLIS, 2, 1, false);
         try (Fleet fleet = Fleet.start(context.home(), plan)) {
             Member agent = fleet.services().get(0);
             for (int entries : ENTRIES) {
-                grow(fleet, entries);
+                growTo(fleet, entries);
                 try (ScaleLoad load = new ScaleLoad(fleet, fleet.entries(), context.seed())) {
                     load.run(CALLS_PER_SECOND, window / 4);
                     CostMeter meter = new CostMeter(fleet.http(), agent);
@@ -44,7 +44,7 @@
         return List.of(idle, loaded);
     }
 
-    private static void grow(Fleet fleet, int entries) throws InterruptedException {
+    private static void growTo(Fleet fleet, int entries) throws InterruptedException {
         for (int i = fleet.entries().size(); i < entries; i++) {
             fleet.launchEntry("entry-" + i);
         }
--- a/bench/src/main/java/org/cornelramp/bench/scale/Cost.java
+++ b/bench/src/main/java/org/cornelramp/bench/scale/Cost.java
@@ -1,7 +1,7 @@
 package org.cornelramp.bench.scale;
 
 /**
- * What one process cost over a time window. Immutable, safe for use by any thread.
+ * The resource usage of one process over a time window. Immutable, safe for use by any thread.
  *
  * @param cpuPercent processor time, in percent of one core
  * @param residentBytes resident memory at the end of the window, in bytes
--- a/bench/src/main/java/org/cornelramp/bench/scale/CostMeter.java
+++ b/bench/src/main/java/org/cornelramp/bench/scale/CostMeter.java
@@ -6,7 +6,7 @@
 import org.cornelramp.bench.measure.Meters;
 import org.cornelramp.bench.measure.ProcessUsage;
 
-/** Measures the cost of one daemon from one reading to the next. Confined to one thread. */
+/** Measures the resource usage of one daemon between successive readings. Confined to one thread. */
 final class CostMeter {
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double PERCENT = 100;
@@ -22,7 +22,7 @@
         this.last = read();
     }
 
-    /** The cost since the reading before. */
+    /** The cost since the previous reading. */
     Cost sinceLast() {
         Reading now = read();
         double seconds = (now.atNanos - last.atNanos) / NANOS_PER_SECOND;
--- a/bench/src/main/java/org/cornelramp/bench/scale/CostSeries.java
+++ b/bench/src/main/java/org/cornelramp/bench/scale/CostSeries.java
@@ -10,14 +10,14 @@
 import org.cornelramp.bench.measure.Plot;
 import org.cornelramp.bench.measure.Results;
 
-/** The cost of one process at several sizes of one thing. Confined to one thread. */
-final class Series {
+/** The resource usage of one process at several values of one parameter. Confined to one thread. */
+final class CostSeries {
     private final String name;
     private final List<Double> sizes = new ArrayList<>();
     private final List<Cost> costs = new ArrayList<>();
 
-    /** @param name what was measured against what, such as {@code entry_idle_per_link} */
-    Series(String name) {
+    /** @param name the process, its state and the parameter, such as {@code entry_idle_per_link} */
+    CostSeries(String name) {
         this.name = name;
     }
 
@@ -35,7 +35,7 @@
                 cost.bytesPerSecond());
     }
 
-    /** Puts points and slopes into the results. */
+    /** Adds the points and slopes to the results and the plot. */
     void report(Results results, Plot plot) {
         List<Map<String, Object>> points = new ArrayList<>();
         for (int i = 0; i < costs.size(); i++) {
--- a/bench/src/main/java/org/cornelramp/bench/scale/LinkCheck.java
+++ b/bench/src/main/java/org/cornelramp/bench/scale/LinkCheck.java
@@ -7,7 +7,7 @@
 import org.cornelramp.bench.fleet.Member;
 import org.cornelramp.bench.measure.Meters;
 
-/** Waits until a daemon has a link over which heartbeats come. Confined to one thread. */
+/** Waits until a daemon has a link over which it receives heartbeats. Confined to one thread. */
 final class LinkCheck {
     private static final Duration LIMIT = Duration.ofSeconds(15);
     private static final int FRAMES = 4;
@@ -19,10 +19,10 @@
     }
 
     void awaitLinked(Member member) {
-        Fleet.await("a live link at " + member.name(), LIMIT, () -> framesIn(member) >= FRAMES);
+        Fleet.await("a live link at " + member.name(), LIMIT, () -> receivedFrames(member) >= FRAMES);
     }
 
-    private double framesIn(Member member) {
+    private double receivedFrames(Member member) {
         try {
             String page = fleet.http()
                     .send("GET", member.url() + "/metrics", Map.of(), "")
--- a/bench/src/main/java/org/cornelramp/bench/scale/ScaleCommand.java
+++ b/bench/src/main/java/org/cornelramp/bench/scale/ScaleCommand.java
@@ -9,8 +9,8 @@
 import org.cornelramp.bench.measure.Results;
 
 /**
- * {@code bench scale}: what an entry and an agent cost, idle and loaded, against links, rows of the table and changes
- * of the table. The slopes are printed last and feed the capacity page. Stateless.
+ * {@code bench scale}: measures the resource usage of an entry and an agent, idle and under load, against the number of
+ * links, of table rows and of table changes. The slopes are printed last, for the capacity page. Stateless.
  */
 public final class ScaleCommand implements BenchCommand {
 
@@ -24,11 +24,11 @@
         Results results = context.results(name());
         Plot plot =
                 new Plot("Processor time of one process", "links, hundreds of rows or changes a second", "% of a core");
-        List<Series> series = new ArrayList<>();
+        List<CostSeries> series = new ArrayList<>();
         double share = context.seconds() / 90.0;
-        series.addAll(new EntryLinks(context, share).measure());
-        series.addAll(new AgentLinks(context, share).measure());
-        series.addAll(new TableSizes(context, share).measure());
+        series.addAll(new EntryLinkCost(context, share).measure());
+        series.addAll(new AgentLinkCost(context, share).measure());
+        series.addAll(new TableCost(context, share).measure());
         series.forEach(one -> one.report(results, plot));
         plot.write(results.file(".png"));
         results.finish();
--- a/bench/src/main/java/org/cornelramp/bench/scale/ScaleLoad.java
+++ b/bench/src/main/java/org/cornelramp/bench/scale/ScaleLoad.java
@@ -11,7 +11,7 @@
 import org.cornelramp.bench.load.Samples;
 import org.cornelramp.bench.load.ServiceCallPlan;
 
-/** Bookings at a steady rate through the entries of a fleet. Confined to one thread. */
+/** Sends bookings at a constant mean rate through the entries of a fleet. Confined to one thread. */
 final class ScaleLoad implements AutoCloseable {
     private static final int LAYERS = 24;
     private static final long DEADLINE_MILLIS = 5_000;
@@ -30,22 +30,22 @@
         this.loop = new OpenLoop(seed);
     }
 
-    /** Sends bookings for a while; returns when all have ended, so that none is left over for an idle window. */
+    /** Sends bookings and returns when all have ended, so that none extends into an idle window. */
     void run(double perSecond, double seconds) {
         loop.run(perSecond, System.nanoTime(), seconds, due -> {
             int number = next.getAndIncrement();
-            samples.sent();
+            samples.countSent();
             callers.book(
                     new ServiceCallPlan(number % organisations, number, "{\"sofa\":" + number + "}", DEADLINE_MILLIS),
                     due,
                     samples::add);
         });
-        Fleet.await("all bookings ended", END_LIMIT, () -> samples.open() == 0);
+        Fleet.await("all bookings ended", END_LIMIT, () -> samples.openCount() == 0);
     }
 
-    /** How the bookings ended, for the results. */
+    /** Counts of how the bookings ended, as text. */
     String ends() {
-        return Samples.ends(samples.all()) + " " + Samples.details(samples.all());
+        return Samples.countsByEnd(samples.all()) + " " + Samples.countsByDetail(samples.all());
     }
 
     @Override
--- a/bench/src/main/java/org/cornelramp/bench/scale/TableCost.java
+++ b/bench/src/main/java/org/cornelramp/bench/scale/TableCost.java
@@ -8,10 +8,10 @@
 import org.cornelramp.bench.load.OpenLoop;
 
 /**
- * One entry and one agent, idle, with more and more rows in the table (an organisation each), and then with changes of
- * the table at several rates. Sizes of rows are given in hundreds. Confined to one thread.
+ * Measures one idle entry and one idle agent with a growing number of table rows (one for each organisation), and then
+ * with table changes at several rates. Row counts are reported in hundreds. Confined to one thread.
  */
-final class TableSizes {
+final class TableCost {
     private static final int[] ROWS = {100, 1_000, 2_000, 4_000};
     private static final double[] CHANGES = {1, 5, 20};
     private static final int HUNDRED = 100;
@@ -21,16 +21,16 @@
     private final BenchContext context;
     private final double window;
 
-    TableSizes(BenchContext context, double share) {
+    TableCost(BenchContext context, double share) {
         this.context = context;
         this.window = WINDOW_SECONDS * share;
     }
 
-    List<Series> measure() throws Exception {
-        Series entryRows = new Series("entry_idle_per_hundred_rows");
-        Series agentRows = new Series("agent_idle_per_hundred_rows");
-        Series entryChanges = new Series("entry_per_table_change_a_second");
-        Series agentChanges = new Series("agent_per_table_change_a_second");
+    List<CostSeries> measure() throws Exception {
+        CostSeries entryRows = new CostSeries("entry_idle_per_hundred_rows");
+        CostSeries agentRows = new CostSeries("agent_idle_per_hundred_rows");
+        CostSeries entryChanges = new CostSeries("entry_per_table_change_a_second");
+        CostSeries agentChanges = new CostSeries("agent_per_table_change_a_second");
         FleetPlan plan = new FleetPlan(1, List.of(), 1, 1, 2, 1, false);
         try (Fleet fleet = Fleet.start(context.home(), plan)) {
             Member entry = fleet.entries().get(0);
@@ -59,7 +59,7 @@
         return List.of(entryRows, agentRows, entryChanges, agentChanges);
     }
 
-    /** Each change adds a row, which costs what any accepted edit does. */
+    /** Each change adds a row, which costs as much as any accepted edit. */
     private void change(TableEdits edits, double rate) {
         new OpenLoop(context.seed()).run(rate, System.nanoTime(), window, due -> edits.add(1));
     }
--- a/bench/src/main/java/org/cornelramp/bench/scale/TableEdits.java
+++ b/bench/src/main/java/org/cornelramp/bench/scale/TableEdits.java
@@ -7,7 +7,7 @@
 import org.cornelramp.bench.fleet.Fleet;
 import org.cornelramp.bench.fleet.FleetPlan;
 
-/** Appends edits that each add one row for an organisation of its own. Confined to one thread. */
+/** Appends edits that each add one row for a new organisation. Confined to one thread. */
 final class TableEdits {
     private static final int BATCH = 250;
     private static final int WEIGHT = 10;
@@ -19,14 +19,14 @@
         this.fleet = fleet;
     }
 
-    /** Adds rows until there are so many. */
+    /** Adds rows until their number is {@code target}. */
     void growTo(int target) {
         while (rows < target) {
             add(Math.min(BATCH, target - rows));
         }
     }
 
-    /** Adds rows with one append. */
+    /** Adds {@code count} rows with one append. */
     void add(int count) {
         List<Map<String, Object>> records = new ArrayList<>();
         for (int i = 0; i < count; i++) {
--- a/bench/src/main/java/org/cornelramp/bench/scale/package-info.java
+++ b/bench/src/main/java/org/cornelramp/bench/scale/package-info.java
@@ -1,2 +1,2 @@
-/** Measures what each role costs against links, rows of the table and changes of it. */
+/** Measures the resource usage of each role against links, table rows and table changes. */
 package org.cornelramp.bench.scale;
