--- a/bench/src/main/java/org/cornelramp/bench/overload/OverloadCommand.java
+++ b/bench/src/main/java/org/cornelramp/bench/overload/OverloadCommand.java
@@ -24,11 +24,11 @@
 import org.cornelramp.bench.measure.Results;
 
 /**
- * {@code bench overload}: in-deadline goodput at three times the capacity over that at capacity, and the share of each
- * organisation against its weight. Stateless.
+ * {@code bench overload}: measures the ratio of in-deadline goodput at three times the capacity to that at capacity,
+ * and the share of each organisation against its weight. Stateless.
  *
- * <p>Four organisations of weights 1 to 4 ask for the same amount each, so that at three times the capacity every one
- * asks for more than its share.
+ * <p>Four organisations with weights in the ratio 1 to 4 send the same load each, so that at three times the capacity
+ * each demands more than its share.
  */
 public final class OverloadCommand implements BenchCommand {
     private static final int LAYERS = 24;
@@ -36,7 +36,7 @@
     private static final int PROMPT = 32;
     private static final int TOKENS = 16;
     private static final long DEADLINE_MILLIS = 6_000;
-    private static final double TIMES = 3;
+    private static final double OVERLOAD_FACTOR = 3;
     private static final int[] WEIGHTS = {10, 20, 30, 40};
     private static final int[] DEMAND = {1, 1, 1, 1};
     private static final double WARM_SECONDS = 6;
@@ -64,14 +64,17 @@
         try (Fleet fleet = Fleet.start(context.home(), new FleetPlan(2, stages, 0, 1, WEIGHTS.length, 1, false))) {
             setWeights(fleet);
             atCapacity = measure(context, fleet, bound);
-            over = measure(context, fleet, TIMES * bound);
+            over = measure(context, fleet, OVERLOAD_FACTOR * bound);
         }
         report(results, atCapacity, over, WINDOW_SECONDS * context.seconds() / 90.0);
         results.finish();
         return 0;
     }
 
-    /** The fleet's first edits lie at offsets 0 on, two for each organisation; a version is the offset of its edit. */
+    /**
+     * The first edits of the fleet have the offsets from 0 on, two for each organisation; the version of a row is the
+     * offset of its edit.
+     */
     private static void setWeights(Fleet fleet) throws InterruptedException {
         for (int i = 0; i < WEIGHTS.length; i++) {
             fleet.appendEdit("org-" + i, FleetPlan.MODEL, 2L * i, Fleet.rowValues(i, WEIGHTS[i]));
@@ -88,25 +91,29 @@
             long start = System.nanoTime();
             double seconds = (WARM_SECONDS + WINDOW_SECONDS) * share;
             new OpenLoop(context.seed()).run(perSecond, start, seconds, due -> {
-                samples.sent();
+                samples.countSent();
                 callers.chat(mix.next(), due, samples::add);
             });
-            Fleet.await("all requests ended", DRAIN_LIMIT, () -> samples.open() == 0);
+            Fleet.await("all requests ended", DRAIN_LIMIT, () -> samples.openCount() == 0);
             long from = start + (long) (WARM_SECONDS * share * NANOS_PER_SECOND);
             long to = from + (long) (WINDOW_SECONDS * share * NANOS_PER_SECOND);
             List<Sample> ended = samples.all().stream()
                     .filter(sample -> sample.endNanos() >= from && sample.endNanos() < to)
                     .toList();
             System.out.printf(
-                    Locale.ROOT, "offered %.1f/s: %s %s%n", perSecond, Samples.ends(ended), Samples.details(ended));
+                    Locale.ROOT,
+                    "offered %.1f/s: %s %s%n",
+                    perSecond,
+                    Samples.countsByEnd(ended),
+                    Samples.countsByDetail(ended));
             return ended;
         }
     }
 
     private static void report(Results results, List<Sample> atCapacity, List<Sample> over, double seconds) {
-        results.put("at_capacity", Samples.ends(atCapacity));
-        results.put("over_capacity", Samples.ends(over));
-        results.put("problems_over_capacity", Samples.details(over));
+        results.put("at_capacity", Samples.countsByEnd(atCapacity));
+        results.put("over_capacity", Samples.countsByEnd(over));
+        results.put("problems_over_capacity", Samples.countsByDetail(over));
         results.figure("goodput_tokens_per_second_at_capacity", Samples.tokensInTime(atCapacity) / seconds);
         results.figure("goodput_tokens_per_second_over_capacity", Samples.tokensInTime(over) / seconds);
         double[] shares = shares(over);
--- a/bench/src/main/java/org/cornelramp/bench/throughput/PolicyResult.java
+++ b/bench/src/main/java/org/cornelramp/bench/throughput/PolicyResult.java
@@ -7,15 +7,15 @@
 import org.cornelramp.bench.load.Samples;
 
 /**
- * What one choice of backend servers reached. Immutable if the maps are not changed.
+ * Throughput and latency with one policy for choosing backend servers. Immutable if the maps are not changed.
  *
  * @param tokensPerSecond tokens in whole, in-deadline answers that ended in the window
- * @param ratio the same over the engines' bound
+ * @param ratio {@code tokensPerSecond} divided by the bound of the engines
  * @param firstTokenP50Millis median time to the first token
  * @param firstTokenP99Millis 99th percentile of the time to the first token
  * @param wholeP50Millis median time to the whole answer
  * @param ends how all requests ended
- * @param details problems given, and how often
+ * @param details number of requests by their problem
  */
 record PolicyResult(
         double tokensPerSecond,
@@ -30,20 +30,20 @@
     private static final int MEDIAN = 50;
     private static final int TAIL = 99;
 
-    /** Sums up the requests that ended in a window; they were due in it or before. */
+    /** Summarises the requests that ended in a window; they were due in it or before. */
     static PolicyResult of(List<Sample> all, long fromNanos, long toNanos, double boundTokens) {
         List<Sample> ended = all.stream()
                 .filter(sample -> sample.endNanos() - fromNanos >= 0 && sample.endNanos() - toNanos < 0)
                 .toList();
         double tokens = Samples.tokensInTime(ended) / ((toNanos - fromNanos) / NANOS_PER_SECOND);
-        Histogram first = Samples.firstToken(ended);
+        Histogram first = Samples.firstTokenTimes(ended);
         return new PolicyResult(
                 tokens,
                 tokens / boundTokens,
                 first.getValueAtPercentile(MEDIAN) / MICROS_PER_MILLI,
                 first.getValueAtPercentile(TAIL) / MICROS_PER_MILLI,
-                Samples.whole(ended).getValueAtPercentile(MEDIAN) / MICROS_PER_MILLI,
-                Samples.ends(ended),
-                Samples.details(ended));
+                Samples.completeAnswerTimes(ended).getValueAtPercentile(MEDIAN) / MICROS_PER_MILLI,
+                Samples.countsByEnd(ended),
+                Samples.countsByDetail(ended));
     }
 }
--- a/bench/src/main/java/org/cornelramp/bench/throughput/ThroughputCommand.java
+++ b/bench/src/main/java/org/cornelramp/bench/throughput/ThroughputCommand.java
@@ -23,11 +23,12 @@
 import org.cornelramp.core.route.ChoicePolicy;
 
 /**
- * {@code bench throughput}: tokens a second in whole, in-deadline answers over the bound that the engines' speeds
- * allow, for the choice of backend servers and for each baseline, on the same engines in the same run. Stateless.
+ * {@code bench throughput}: measures the tokens per second in complete, in-deadline answers, divided by the upper bound
+ * from the engines' speeds, for the policy of the product and for each baseline policy, on the same engines in the same
+ * run. Stateless.
  *
- * <p>Three stages of three engines each, one of them half as fast; two entries for each choice; four organisations.
- * The load is a little above the bound, so that engines never lack work.
+ * <p>Three stages of three engines each, one of them half as fast; two entries for each policy; four organisations.
+ * The load is a little above the bound, so that engines are never idle.
  */
 public final class ThroughputCommand implements BenchCommand {
     private static final int LAYERS = 24;
@@ -36,7 +37,7 @@
     private static final int PROMPT = 32;
     private static final int TOKENS = 16;
     private static final long DEADLINE_MILLIS = 8_000;
-    private static final double OFFERED = 1.1;
+    private static final double OFFERED_OVER_BOUND = 1.1;
     private static final int[] DEMAND = {4, 3, 2, 1};
     private static final StagePlan FAST = new StagePlan("", "a100", 30_000, 750);
     private static final StagePlan SLOW = new StagePlan("", "l40", 60_000, 1_500);
@@ -59,20 +60,20 @@
         double bound = new EngineBound(stages, SLOTS).requestsPerSecond(PROMPT, TOKENS);
         Results results = context.results(name());
         results.put("bound_tokens_per_second", bound * TOKENS);
-        results.put("offered_over_bound", OFFERED);
-        Map<ChoicePolicy, PolicyResult> reached = new EnumMap<>(ChoicePolicy.class);
+        results.put("offered_over_bound", OFFERED_OVER_BOUND);
+        Map<ChoicePolicy, PolicyResult> resultsByPolicy = new EnumMap<>(ChoicePolicy.class);
         FleetPlan plan = new FleetPlan(0, stages, 0, 1, DEMAND.length, 1, false);
         try (Fleet fleet = Fleet.start(context.home(), plan)) {
             for (ChoicePolicy policy : ChoicePolicy.values()) {
                 List<Member> entries = launch(fleet, policy);
                 PolicyResult result = measure(context, entries, bound);
-                reached.put(policy, result);
+                resultsByPolicy.put(policy, result);
                 results.put(policy.text(), result);
                 System.out.printf(Locale.ROOT, "%s: %s%n", policy.text(), result);
                 entries.forEach(entry -> stop(fleet, entry));
             }
         }
-        report(results, reached);
+        report(results, resultsByPolicy);
         return 0;
     }
 
@@ -92,7 +93,7 @@
 
     private static void stop(Fleet fleet, Member entry) {
         entry.daemon().kill();
-        fleet.forget(entry.name());
+        fleet.removeMember(entry.name());
     }
 
     private static PolicyResult measure(BenchContext context, List<Member> entries, double bound) {
@@ -102,22 +103,23 @@
         List<String> urls = entries.stream().map(Member::url).toList();
         try (Callers callers = new Callers(urls, Fleet::callerKey, new ExpectedText(LAYERS))) {
             long start = System.nanoTime();
-            new OpenLoop(context.seed()).run(OFFERED * bound, start, (WARM_SECONDS + WINDOW_SECONDS) * share, due -> {
-                samples.sent();
-                callers.chat(mix.next(), due, samples::add);
-            });
-            Fleet.await("all requests ended", DRAIN_LIMIT, () -> samples.open() == 0);
+            new OpenLoop(context.seed())
+                    .run(OFFERED_OVER_BOUND * bound, start, (WARM_SECONDS + WINDOW_SECONDS) * share, due -> {
+                        samples.countSent();
+                        callers.chat(mix.next(), due, samples::add);
+                    });
+            Fleet.await("all requests ended", DRAIN_LIMIT, () -> samples.openCount() == 0);
             long from = start + (long) (WARM_SECONDS * share * NANOS_PER_SECOND);
             long to = from + (long) (WINDOW_SECONDS * share * NANOS_PER_SECOND);
             return PolicyResult.of(samples.all(), from, to, bound * TOKENS);
         }
     }
 
-    private static void report(Results results, Map<ChoicePolicy, PolicyResult> reached) {
-        double[] places = new double[reached.size()];
-        double[] ratios = new double[reached.size()];
-        reached.forEach((policy, result) -> {
-            int place = List.copyOf(reached.keySet()).indexOf(policy);
+    private static void report(Results results, Map<ChoicePolicy, PolicyResult> resultsByPolicy) {
+        double[] places = new double[resultsByPolicy.size()];
+        double[] ratios = new double[resultsByPolicy.size()];
+        resultsByPolicy.forEach((policy, result) -> {
+            int place = List.copyOf(resultsByPolicy.keySet()).indexOf(policy);
             places[place] = place;
             ratios[place] = result.ratio();
             if (policy != ChoicePolicy.EXPECTED_COMPLETION) {
@@ -126,9 +128,9 @@
                         "first_token_p99_millis_" + policy.text().replace('-', '_'), result.firstTokenP99Millis());
             }
         });
-        PolicyResult own = reached.get(ChoicePolicy.EXPECTED_COMPLETION);
-        results.figure("first_token_p99_millis", own.firstTokenP99Millis());
-        results.figure("throughput_ratio", own.ratio());
+        PolicyResult productResult = resultsByPolicy.get(ChoicePolicy.EXPECTED_COMPLETION);
+        results.figure("first_token_p99_millis", productResult.firstTokenP99Millis());
+        results.figure("throughput_ratio", productResult.ratio());
         Plot plot = new Plot("Throughput over the engines' bound", "choice, in the order of the results", "ratio");
         plot.line("ratio", places, ratios);
         plot.write(results.file(".png"));
--- a/bench/src/main/java/org/cornelramp/bench/throughput/package-info.java
+++ b/bench/src/main/java/org/cornelramp/bench/throughput/package-info.java
@@ -1,2 +1,2 @@
-/** Measures throughput against what the engines' speeds allow, beside the baselines of the choice. */
+/** Measures throughput against the bound from the engines' speeds, for each policy of choosing backend servers. */
 package org.cornelramp.bench.throughput;
