--- a/bench/src/main/java/org/cornelramp/bench/start/StartCommand.java
+++ b/bench/src/main/java/org/cornelramp/bench/start/StartCommand.java
@@ -24,21 +24,21 @@
 import org.cornelramp.platform.standin.StandInStore;
 
 /**
- * {@code start [--runs N] [--jvm "OPTION ..."]}: starts the gateway as the deploy file says, against stand-ins, and prints
- * the processor time that the process took until its first and its fiftieth served stream, as medians. On the users'
- * machines a gateway has about half of a core, so this time decides how long clients wait after a crash; the wall time of a
- * developer's machine does not. Needs the build that the deploy file names. Stateless.
+ * {@code start [--runs N] [--jvm "OPTION ..."]}: starts the gateway with the command of the deploy file, against
+ * stand-ins, and prints the median processor time until its first and until its fiftieth served stream. On the users'
+ * machines a gateway has about half of a core, so this time and not the wall time on a developer's machine decides how
+ * long clients wait after a crash. Needs the build that the deploy file names. Stateless.
  */
 public final class StartCommand implements BenchCommand {
-    private static final String RUNS = "runs";
-    private static final String JVM = "jvm";
+    private static final String RUNS_OPTION = "runs";
+    private static final String JVM_OPTION = "jvm";
     private static final Pattern RUN_LINE = Pattern.compile("(?m)^run = \"([^\"]+)\"");
     private static final int STREAMS = 50;
     private static final int OK = 200;
-    private static final long LONGEST_NANOS = 30_000_000_000L;
+    private static final long START_LIMIT_NANOS = 30_000_000_000L;
 
-    /** What one start took. Immutable. */
-    private record Taken(Duration first, Duration all) {}
+    /** Processor times of one start. Immutable. */
+    private record StartTimes(Duration firstStream, Duration allStreams) {}
 
     @Override
     public String name() {
@@ -48,54 +48,54 @@
     @Override
     public Options options() {
         return new Options()
-                .addOption(Option.builder().longOpt(RUNS).hasArg().get())
-                .addOption(Option.builder().longOpt(JVM).hasArg().get());
+                .addOption(Option.builder().longOpt(RUNS_OPTION).hasArg().get())
+                .addOption(Option.builder().longOpt(JVM_OPTION).hasArg().get());
     }
 
     @Override
     public int run(BenchContext context, CommandLine line) throws Exception {
-        int runs = Integer.parseInt(line.getOptionValue(RUNS, "7"));
-        List<String> command = command(context.home(), line.getOptionValue(JVM, ""));
-        List<Taken> taken = new ArrayList<>();
+        int runs = Integer.parseInt(line.getOptionValue(RUNS_OPTION, "7"));
+        List<String> command = command(context.home(), line.getOptionValue(JVM_OPTION, ""));
+        List<StartTimes> times = new ArrayList<>();
         try (StandInStore store = new StandInStore()) {
             store.publishConfig(StandInConfig.small(1).json());
             try (StandInServer engine = new StandInServer(store, "e1", "llm", "dc1", "big")) {
-                start(context.home(), command, store.address()); // places the layers, and reads the archive once
+                start(context.home(), command, store.address()); // warm-up: places the layers and reads the archive
                 for (int i = 0; i < runs; i++) {
-                    taken.add(start(context.home(), command, store.address()));
+                    times.add(start(context.home(), command, store.address()));
                 }
             }
         }
         System.out.printf(
                 Locale.ROOT,
                 "start: processor time until the first stream %d ms, until stream %d %d ms (medians of %d)%n",
-                median(taken.stream().map(Taken::first).toList()),
+                median(times.stream().map(StartTimes::firstStream).toList()),
                 STREAMS,
-                median(taken.stream().map(Taken::all).toList()),
+                median(times.stream().map(StartTimes::allStreams).toList()),
                 runs);
         return 0;
     }
 
-    /** The command of the deploy file, with more options for the virtual machine before its others. */
-    private static List<String> command(Path home, String more) throws IOException {
+    /** The command of the deploy file, with additional JVM options before its own. */
+    private static List<String> command(Path home, String jvmOptions) throws IOException {
         Matcher found = RUN_LINE.matcher(Files.readString(home.resolve("deploy/system.toml")));
         if (!found.find()) {
             throw new IOException("deploy/system.toml has no line that begins with run = \"; give the command there");
         }
         List<String> command = new ArrayList<>(List.of(found.group(1).split(" ")));
-        if (!more.isBlank()) {
-            command.addAll(1, List.of(more.trim().split(" ")));
+        if (!jvmOptions.isBlank()) {
+            command.addAll(1, List.of(jvmOptions.trim().split(" ")));
         }
         return command;
     }
 
-    private static Taken start(Path home, List<String> command, HostPort store) throws Exception {
+    private static StartTimes start(Path home, List<String> command, HostPort store) throws Exception {
         List<Integer> ports = FreePorts.take(4);
         String json = StandInSettings.gateway("start", ports, store);
         Path settings = Files.writeString(Files.createTempFile("start", ".json"), json);
-        List<String> words = new ArrayList<>(command);
-        words.addAll(List.of("--settings", settings.toString()));
-        Process process = new ProcessBuilder(words)
+        List<String> arguments = new ArrayList<>(command);
+        arguments.addAll(List.of("--settings", settings.toString()));
+        Process process = new ProcessBuilder(arguments)
                 .directory(home.toFile())
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
@@ -107,7 +107,7 @@
             for (int i = 1; i < STREAMS; i++) {
                 client.send("/chat/a", "start-" + i, "x");
             }
-            return new Taken(first, processorTime(process));
+            return new StartTimes(first, processorTime(process));
         } finally {
             process.destroyForcibly().waitFor();
             Files.delete(settings);
@@ -115,7 +115,7 @@
     }
 
     private static void awaitServed(StandInClient client, Process process) throws Exception {
-        long until = System.nanoTime() + LONGEST_NANOS;
+        long until = System.nanoTime() + START_LIMIT_NANOS;
         for (int i = 0; !isServed(client, i); i++) {
             if (System.nanoTime() > until || !process.isAlive()) {
                 throw new IOException(
@@ -129,7 +129,7 @@
         try {
             return client.send("/chat/a", "first-" + number, "x").statusCode() == OK;
         } catch (IOException e) {
-            return false; // it does not listen yet
+            return false; // the gateway does not listen yet
         }
     }
 
