--- a/bench/src/main/java/org/cornelramp/bench/BenchContext.java
+++ b/bench/src/main/java/org/cornelramp/bench/BenchContext.java
@@ -4,7 +4,7 @@
 import org.cornelramp.bench.measure.Results;
 
 /**
- * What every command is given. Immutable, safe for use by any thread.
+ * The common options of all commands. Immutable, safe for use by any thread.
  *
  * @param home folder of the checkout with the built jars
  * @param seconds longest time of the whole run, in seconds
@@ -12,7 +12,7 @@
  */
 public record BenchContext(Path home, int seconds, long seed) {
 
-    /** New results of a benchmark. */
+    /** Creates the results of a benchmark. */
     public Results results(String name) {
         return new Results(home.resolve("out"), name);
     }
--- a/bench/src/main/java/org/cornelramp/bench/Main.java
+++ b/bench/src/main/java/org/cornelramp/bench/Main.java
@@ -12,13 +12,13 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** Benchmarks, the demo and the randomised runs; the first argument names the command. */
+/** Runs benchmarks, the demo and the randomised runs; the first argument selects the command. */
 public final class Main {
     private static final int USAGE_STATUS = 2;
     private static final String SECONDS = "90";
     private static final String SEED = "1";
 
-    /** Held here, since a logger that nobody holds forgets its level. */
+    /** Strong reference: the level of a logger is lost when the logger is garbage collected. */
     private static final Logger HTTP_LOGGER = Logger.getLogger("org.eclipse.jetty");
 
     private Main() {}
--- a/bench/src/main/java/org/cornelramp/bench/demo/CommandLineTool.java
+++ b/bench/src/main/java/org/cornelramp/bench/demo/CommandLineTool.java
@@ -18,11 +18,11 @@
         this.entryUrl = entryUrl;
     }
 
-    /** Runs a command and gives what it prints. */
-    String run(String... words) {
+    /** Runs a command and returns its output; throws a {@link FleetException} if it fails. */
+    String run(String... arguments) {
         List<String> command =
                 new ArrayList<>(List.of(home.resolve("bin/cornelramp").toString()));
-        command.addAll(List.of(words));
+        command.addAll(List.of(arguments));
         command.addAll(List.of("--entry", entryUrl));
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().put("CORNELRAMP_OPERATOR_KEY", Fleet.OPERATOR_KEY);
@@ -30,7 +30,7 @@
             Process process = builder.start();
             String text = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             if (process.waitFor() != 0) {
-                throw new FleetException("cornelramp " + String.join(" ", words) + " failed:\n" + text);
+                throw new FleetException("cornelramp " + String.join(" ", arguments) + " failed:\n" + text);
             }
             return text;
         } catch (IOException e) {
--- a/bench/src/main/java/org/cornelramp/bench/demo/DemoCommand.java
+++ b/bench/src/main/java/org/cornelramp/bench/demo/DemoCommand.java
@@ -22,8 +22,9 @@
 import org.cornelramp.bench.load.Sample;
 
 /**
- * {@code demo}: a streamed model request over three stages, a booking by ticket, a table edit seen at both entries, a
- * stage killed in mid-request, the layer trace, and a planned stop of everything. Stateless.
+ * {@code demo}: shows a streamed model request over three stages, a booking with a minted ticket, a table edit that
+ * both entries show, a stage that is killed during a request, the layer trace, and a planned stop of all daemons.
+ * Stateless.
  */
 public final class DemoCommand implements BenchCommand {
     private static final int LAYERS = 24;
@@ -147,9 +148,9 @@
         say("stopped " + daemons.size() + " daemons, each with exit status 0");
     }
 
-    private static void check(boolean holds, String otherwise) {
+    private static void check(boolean holds, String failure) {
         if (!holds) {
-            throw new FleetException("Not as promised: " + otherwise);
+            throw new FleetException("Unexpected result: " + failure);
         }
     }
 
--- a/bench/src/main/java/org/cornelramp/bench/demo/LayerTrace.java
+++ b/bench/src/main/java/org/cornelramp/bench/demo/LayerTrace.java
@@ -14,7 +14,7 @@
         this.lines = lines;
     }
 
-    /** Reads the runs of the newest session from every engine that still answers. */
+    /** Reads the steps of the newest session from the given engines, all of which must answer. */
     static LayerTrace ofNewest(Fleet fleet, List<Member> stages) {
         String session = "";
         long newest = -1;
--- a/bench/src/main/java/org/cornelramp/bench/demo/package-info.java
+++ b/bench/src/main/java/org/cornelramp/bench/demo/package-info.java
@@ -1,2 +1,2 @@
-/** Shows the system at work, step by step, as separate processes on loopback. */
+/** Demonstrates the system step by step, with separate processes on loopback. */
 package org.cornelramp.bench.demo;
