--- a/bench/src/main/java/org/cornelramp/bench/gateway/Call.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/Call.java
@@ -35,6 +35,6 @@
 
     /** Whether the answer ended regularly and was not cut. */
     boolean isComplete() {
-        return answer.map(StandInCaller.Answer::whole).orElse(false);
+        return answer.map(StandInCaller.Answer::complete).orElse(false);
     }
 }
--- a/bench/src/main/java/org/cornelramp/bench/gateway/GatewayChecks.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/GatewayChecks.java
@@ -13,7 +13,7 @@
 import java.util.stream.Collectors;
 import org.cornelramp.bench.gateway.FaultHistory.Target;
 import org.cornelramp.bench.soak.Violations;
-import org.cornelramp.platform.standin.Arrival;
+import org.cornelramp.platform.standin.ObservedRequest;
 import org.cornelramp.platform.standin.StandInConfig;
 import org.cornelramp.platform.standin.StandInHop;
 
@@ -50,18 +50,18 @@
     private static final Set<Target> ALL_BUT_STOP = EnumSet.complementOf(EnumSet.of(Target.STOP));
 
     private final List<Call> calls;
-    private final List<Arrival> arrivals;
+    private final List<ObservedRequest> arrivals;
     private final FaultHistory faultHistory;
     private final Violations violations;
-    private final Map<String, List<Arrival>> arrivalsByRequest;
+    private final Map<String, List<ObservedRequest>> arrivalsByRequest;
     private final Map<String, Call> callsById;
 
-    GatewayChecks(List<Call> calls, List<Arrival> arrivals, FaultHistory faultHistory, Violations violations) {
+    GatewayChecks(List<Call> calls, List<ObservedRequest> arrivals, FaultHistory faultHistory, Violations violations) {
         this.calls = calls;
         this.arrivals = arrivals;
         this.faultHistory = faultHistory;
         this.violations = violations;
-        this.arrivalsByRequest = arrivals.stream().collect(Collectors.groupingBy(Arrival::requestId));
+        this.arrivalsByRequest = arrivals.stream().collect(Collectors.groupingBy(ObservedRequest::requestId));
         this.callsById = calls.stream().collect(Collectors.toMap(Call::id, call -> call));
     }
 
@@ -113,7 +113,7 @@
 
     private void checkExecutions(Call call) {
         long runs = arrivalsByRequest.getOrDefault(call.id(), List.of()).stream()
-                .filter(Arrival::hasRun)
+                .filter(ObservedRequest::hasRun)
                 .count();
         if (call.kind() == CallKind.BOOK && runs > 1) {
             violations.add("twice", call.id() + " ran " + runs + " times");
@@ -137,8 +137,8 @@
 
     private void checkDisconnect(Call call) {
         long limit = call.hasDisconnected() ? call.disconnectMillis() + DISCONNECT_GRACE_MILLIS : Long.MAX_VALUE;
-        for (Arrival arrival : arrivalsByRequest.getOrDefault(call.id(), List.of())) {
-            boolean late = arrival.endMillis() > limit || arrival.millis() > limit;
+        for (ObservedRequest arrival : arrivalsByRequest.getOrDefault(call.id(), List.of())) {
+            boolean late = arrival.endMillis() > limit || arrival.arrivalMillis() > limit;
             Set<Target> any = EnumSet.allOf(Target.class);
             if (late && !faultHistory.isAffected(any, call.gateway(), call.startMillis() - STABLE_MILLIS, limit)) {
                 violations.add(
@@ -161,14 +161,14 @@
         }
     }
 
-    private void checkArrival(Arrival arrival) {
+    private void checkArrival(ObservedRequest arrival) {
         String what = arrival.requestId() + " at " + arrival.server();
-        if (arrival.isKeyShown() || !arrival.organisation().equals(StandInConfig.ORGANISATION)) {
+        if (arrival.isKeyLeaked() || !arrival.organisation().equals(StandInConfig.ORGANISATION)) {
             violations.add(
                     "organisation", what + " arrived with a caller key or for organisation " + arrival.organisation());
         }
         boolean engine = arrival.service().equals(StandInConfig.ENGINES);
-        if (engine && arrival.hasRun() && !StandInHop.coverOnce(arrival.hops(), GatewayEnvironment.LAYERS)) {
+        if (engine && arrival.hasRun() && !StandInHop.coverAllLayersOnce(arrival.hops(), GatewayEnvironment.LAYERS)) {
             violations.add("layers", what + " passed " + arrival.hops());
         }
         Call call = callsById.get(arrival.requestId());
@@ -177,14 +177,14 @@
         }
     }
 
-    private void checkDrain(Call call, Arrival arrival) {
+    private void checkDrain(Call call, ObservedRequest arrival) {
         long since = arrival.leavingSinceMillis();
-        boolean late = since != Long.MAX_VALUE && arrival.millis() - since > GatewayEnvironment.DRAIN_MILLIS;
+        boolean late = since != Long.MAX_VALUE && arrival.arrivalMillis() - since > GatewayEnvironment.DRAIN_MILLIS;
         if (late
-                && !faultHistory.isAffected(ALL_BUT_BACKEND, call.gateway(), since - STABLE_MILLIS, arrival.millis())) {
+                && !faultHistory.isAffected(ALL_BUT_BACKEND, call.gateway(), since - STABLE_MILLIS, arrival.arrivalMillis())) {
             violations.add(
                     "drain",
-                    call.id() + " reached " + arrival.server() + " " + (arrival.millis() - since)
+                    call.id() + " reached " + arrival.server() + " " + (arrival.arrivalMillis() - since)
                             + " ms after that was registered as leaving");
         }
     }
@@ -196,14 +196,14 @@
                 .map(Call::startMillis)
                 .sorted()
                 .toList();
-        Deque<Arrival> window = new ArrayDeque<>();
+        Deque<ObservedRequest> window = new ArrayDeque<>();
         Set<String> seen = new HashSet<>();
-        Map<Arrival, Boolean> retries = new HashMap<>();
-        List<Arrival> ordered = new ArrayList<>(arrivals);
-        ordered.sort(Comparator.comparingLong(Arrival::millis));
+        Map<ObservedRequest, Boolean> retries = new HashMap<>();
+        List<ObservedRequest> ordered = new ArrayList<>(arrivals);
+        ordered.sort(Comparator.comparingLong(ObservedRequest::arrivalMillis));
         int inWindow = 0;
         int maxExcess = 0;
-        for (Arrival arrival : ordered) {
+        for (ObservedRequest arrival : ordered) {
             if (!arrival.service().equals(service) || !arrival.requestId().startsWith("r")) {
                 continue;
             }
@@ -211,10 +211,10 @@
             retries.put(arrival, retry);
             window.add(arrival);
             inWindow += retry ? 1 : 0;
-            while (window.peek().millis() <= arrival.millis() - RETRY_WINDOW_MILLIS) {
+            while (window.peek().arrivalMillis() <= arrival.arrivalMillis() - RETRY_WINDOW_MILLIS) {
                 inWindow -= retries.get(window.remove()) ? 1 : 0;
             }
-            double allowed = RETRY_RATIO * requestsBefore(requests, arrival.millis()) + RETRY_RESERVE;
+            double allowed = RETRY_RATIO * requestsBefore(requests, arrival.arrivalMillis()) + RETRY_RESERVE;
             maxExcess = inWindow > allowed ? Math.max(maxExcess, inWindow) : maxExcess;
         }
         if (maxExcess > 0) {
--- a/bench/src/main/java/org/cornelramp/bench/gateway/GatewayEnvironment.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/GatewayEnvironment.java
@@ -77,7 +77,7 @@
 
     /** Starts all processes and waits until each gateway serves every kind of request. */
     void start() throws InterruptedException, IOException {
-        backends.forEach(backend -> backend.server().begin());
+        backends.forEach(backend -> backend.server().startIncarnation());
         gateways.forEach(SoakGateway::launch);
         awaitServing(START_LIMIT);
     }
@@ -106,7 +106,7 @@
     private boolean serves(SoakGateway gateway, CallKind kind) {
         String id = "check-" + StandInFleet.nowMillis() + "-" + gateway.name();
         return caller.send(gateway.directAddress(), kind.path() + "check", id, kind.deadlineMillis())
-                .thenApply(answer -> answer.status() == 200 && answer.whole())
+                .thenApply(answer -> answer.status() == 200 && answer.complete())
                 .join();
     }
 
--- a/bench/src/main/java/org/cornelramp/bench/gateway/GatewayFault.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/GatewayFault.java
@@ -118,9 +118,9 @@
 
         @Override
         void inject(ScheduledFault fault) throws InterruptedException {
-            fault.environment().store().setRefuses(true);
+            fault.environment().store().setUnavailable(true);
             fault.sleepForDuration();
-            fault.environment().store().setRefuses(false);
+            fault.environment().store().setUnavailable(false);
         }
     },
     STORE_SLOW(Target.STORE) {
@@ -144,9 +144,9 @@
 
         @Override
         void inject(ScheduledFault fault) throws InterruptedException {
-            fault.environment().store().setLosesAnswers(true);
+            fault.environment().store().setDropsAnswers(true);
             fault.sleepForDuration();
-            fault.environment().store().setLosesAnswers(false);
+            fault.environment().store().setDropsAnswers(false);
         }
     },
     CONFIG_STORM(Target.BACKEND) {
@@ -164,13 +164,13 @@
             synchronized (fault.backend()) {
                 StandInBackend server = fault.backend().server();
                 fault.backend().relay().setRefusing(true);
-                server.die();
+                server.crash();
                 fault.backend().relay().cut();
                 Thread.sleep(REGISTRATION_TIMEOUT_MILLIS);
                 server.unregister();
                 fault.sleepForDuration();
                 fault.backend().relay().setRefusing(false);
-                server.begin();
+                server.startIncarnation();
             }
         }
     },
@@ -188,38 +188,38 @@
         void inject(ScheduledFault fault) throws InterruptedException {
             synchronized (fault.backend()) {
                 StandInBackend server = fault.backend().server();
-                server.leave();
+                server.registerLeaving();
                 Thread.sleep(GatewayEnvironment.DRAIN_MILLIS + fault.nextInt(REGISTRATION_TIMEOUT_MILLIS));
                 server.unregister();
                 Thread.sleep(fault.nextInt(REGISTRATION_TIMEOUT_MILLIS));
-                server.die();
+                server.crash();
                 fault.backend().relay().cut();
-                server.begin();
+                server.startIncarnation();
             }
         }
     },
     BACKEND_SLOW(Target.BACKEND) {
         @Override
         void inject(ScheduledFault fault) throws InterruptedException {
-            fault.backend().server().setPace(2 + fault.nextInt(4));
+            fault.backend().server().setSlowdown(2 + fault.nextInt(4));
             fault.sleepForDuration();
-            fault.backend().server().setPace(1);
+            fault.backend().server().setSlowdown(1);
         }
     },
     BACKEND_FAILS(Target.BACKEND) {
         @Override
         void inject(ScheduledFault fault) throws InterruptedException {
-            fault.backend().server().setFailing(0.5);
+            fault.backend().server().setFailureRate(0.5);
             fault.sleepForDuration();
-            fault.backend().server().setFailing(0);
+            fault.backend().server().setFailureRate(0);
         }
     },
     BACKEND_LOSES_ANSWERS(Target.BACKEND) {
         @Override
         void inject(ScheduledFault fault) throws InterruptedException {
-            fault.backend().server().setLosing(0.3);
+            fault.backend().server().setAnswerLossRate(0.3);
             fault.sleepForDuration();
-            fault.backend().server().setLosing(0);
+            fault.backend().server().setAnswerLossRate(0);
         }
     },
     BACKEND_SILENCED(Target.BACKEND) {
--- a/bench/src/main/java/org/cornelramp/bench/start/StartCommand.java
+++ b/bench/src/main/java/org/cornelramp/bench/start/StartCommand.java
@@ -90,7 +90,7 @@
     }
 
     private static StartTimes start(Path home, List<String> command, HostPort store) throws Exception {
-        List<Integer> ports = FreePorts.take(4);
+        List<Integer> ports = FreePorts.find(4);
         String json = StandInSettings.gateway("start", ports, store);
         Path settings = Files.writeString(Files.createTempFile("start", ".json"), json);
         List<String> arguments = new ArrayList<>(command);
--- a/bench/src/test/java/org/cornelramp/bench/gateway/GatewayChecksTest.java
+++ b/bench/src/test/java/org/cornelramp/bench/gateway/GatewayChecksTest.java
@@ -9,7 +9,7 @@
 import org.cornelramp.bench.gateway.FaultHistory.Target;
 import org.cornelramp.bench.soak.Violations;
 import org.cornelramp.core.settings.HostPort;
-import org.cornelramp.platform.standin.Arrival;
+import org.cornelramp.platform.standin.ObservedRequest;
 import org.cornelramp.platform.standin.StandInCaller;
 import org.cornelramp.platform.standin.StandInConfig;
 import org.cornelramp.platform.standin.StandInHop;
@@ -39,22 +39,22 @@
         return call(kind, 200, kind.completeAnswer("r1"), true);
     }
 
-    private static Arrival arrival(CallKind kind, boolean ran, List<StandInHop> hops, long millis, long leavingSince) {
+    private static ObservedRequest arrival(CallKind kind, boolean ran, List<StandInHop> hops, long millis, long leavingSince) {
         String service = kind == CallKind.CHAT ? StandInConfig.ENGINES : StandInConfig.PLAIN;
-        return new Arrival("s1", service, "r1", StandInConfig.ORGANISATION, false, ran, hops, millis, leavingSince);
+        return new ObservedRequest("s1", service, "r1", StandInConfig.ORGANISATION, false, ran, hops, millis, leavingSince);
     }
 
-    private static Arrival executed(CallKind kind) {
+    private static ObservedRequest executed(CallKind kind) {
         return arrival(kind, true, kind == CallKind.CHAT ? COMPLETE_PATH : List.of(), SENT + 5, NEVER);
     }
 
-    private List<String> check(Call call, Arrival... arrivals) {
+    private List<String> check(Call call, ObservedRequest... arrivals) {
         Violations violations = new Violations();
         new GatewayChecks(List.of(call), List.of(arrivals), faultHistory, violations).run();
         return violations.all();
     }
 
-    private void assertViolation(String promise, Call call, Arrival... arrivals) {
+    private void assertViolation(String promise, Call call, ObservedRequest... arrivals) {
         List<String> broken = check(call, arrivals);
         assertTrue(broken.stream().anyMatch(one -> one.startsWith(promise + ": ")), promise + " not in " + broken);
     }
@@ -114,11 +114,11 @@
         assertViolation(
                 "organisation",
                 complete(CallKind.LOOK),
-                new Arrival("s1", StandInConfig.PLAIN, "r1", "other", false, true, List.of(), SENT + 5, NEVER));
+                new ObservedRequest("s1", StandInConfig.PLAIN, "r1", "other", false, true, List.of(), SENT + 5, NEVER));
         assertViolation(
                 "organisation",
                 complete(CallKind.LOOK),
-                new Arrival(
+                new ObservedRequest(
                         "s1",
                         StandInConfig.PLAIN,
                         "r1",
@@ -132,7 +132,7 @@
 
     @Test
     public void reportsRequestToLeavingServerUnlessStoreFailed() {
-        Arrival late = arrival(CallKind.LOOK, true, List.of(), SENT + 5, SENT - GatewayEnvironment.DRAIN_MILLIS);
+        ObservedRequest late = arrival(CallKind.LOOK, true, List.of(), SENT + 5, SENT - GatewayEnvironment.DRAIN_MILLIS);
         assertViolation("drain", complete(CallKind.LOOK), late);
         faultHistory.begin(Target.STORE, FaultHistory.ALL, SENT - 1_000);
         assertEquals(check(complete(CallKind.LOOK), late), List.of());
@@ -165,7 +165,7 @@
 
     @Test
     public void reportsTooManyRetries() {
-        Arrival[] arrivals = new Arrival[30];
+        ObservedRequest[] arrivals = new ObservedRequest[30];
         for (int i = 0; i < arrivals.length; i++) {
             arrivals[i] = arrival(CallKind.LOOK, false, List.of(), SENT + i, NEVER);
         }
--- a/cli/src/main/java/org/cornelramp/cli/CliException.java
+++ b/cli/src/main/java/org/cornelramp/cli/CliException.java
@@ -11,7 +11,7 @@
         this.code = code;
     }
 
-    /** How the program ends. */
+    /** The exit code of the process. */
     public ExitCode code() {
         return code;
     }
--- a/cli/src/main/java/org/cornelramp/cli/ExitCode.java
+++ b/cli/src/main/java/org/cornelramp/cli/ExitCode.java
@@ -1,37 +1,37 @@
 package org.cornelramp.cli;
 
-/** How the command line ends. */
+/** Exit codes of the command line. */
 public enum ExitCode {
-    /** Done. */
+    /** The command succeeded. */
     DONE(0, "done"),
-    /** Refused, and nothing was changed. */
+    /** An entry refused the request, or what was asked for does not exist; nothing was changed. */
     REFUSED(1, "refused, nothing was changed"),
-    /** The command line or a file is faulty; nothing was sent. */
-    USAGE(2, "faulty command line, settings or file; nothing was sent"),
+    /** The command line, the settings or a file is invalid; no change was sent. */
+    USAGE(2, "invalid command line, settings or file; nothing was sent"),
     /** At least one edit was rejected. */
     REJECTED(3, "at least one edit was rejected; the others were accepted"),
-    /** It is not known what became of the request. */
-    UNKNOWN(4, "not known what became of it; the message says how to find out"),
-    /** No entry answered. */
+    /** It is not known whether the request took effect. */
+    UNKNOWN(4, "outcome unknown; the message says how to find it out"),
+    /** No entry answered, or at least one entry is missing from a report over all entries. */
     UNREACHABLE(5, "no entry answered; nothing was changed"),
-    /** Accepted, but not yet applied everywhere within the time. */
-    NOT_APPLIED(6, "accepted, but not applied by every live process within the time");
+    /** The edits were accepted, but not every live process applied them within the time given. */
+    NOT_APPLIED(6, "accepted, but not applied by every live process within the time given");
 
     private final int code;
-    private final String meaning;
+    private final String description;
 
-    ExitCode(int code, String meaning) {
+    ExitCode(int code, String description) {
         this.code = code;
-        this.meaning = meaning;
+        this.description = description;
     }
 
-    /** The process's exit code. */
+    /** The number that the process exits with. */
     public int code() {
         return code;
     }
 
-    /** What it means, for the help. */
-    public String meaning() {
-        return meaning;
+    /** A short description for the help text. */
+    public String description() {
+        return description;
     }
 }
--- a/cli/src/main/java/org/cornelramp/cli/Help.java
+++ b/cli/src/main/java/org/cornelramp/cli/Help.java
@@ -6,23 +6,23 @@
 import org.cornelramp.cli.command.Command;
 import org.cornelramp.cli.text.TextTable;
 
-/** Writes the help. Stateless, safe for use by any thread. */
+/** Formats the help texts. Stateless, safe for use by any thread. */
 final class Help {
     private Help() {}
 
-    /** Help on all commands and exit codes. */
-    static String all(List<Command> commands) {
+    /** Lists all commands and exit codes. */
+    static String allCommands(List<Command> commands) {
         TextTable table = new TextTable("command", "");
         commands.forEach(command -> table.add(List.of(usage(command), command.summary())));
         TextTable codes = new TextTable("exit", "");
         for (ExitCode code : ExitCode.values()) {
-            codes.add(List.of(Integer.toString(code.code()), code.meaning()));
+            codes.add(List.of(Integer.toString(code.code()), code.description()));
         }
         return "usage: cornelramp COMMAND [ARGUMENT ...] [--help]\n\n" + table + "\n" + codes;
     }
 
-    /** Help on one command. */
-    static String of(Command command, Options options) {
+    /** Describes one command and its options. */
+    static String oneCommand(Command command, Options options) {
         TextTable table = new TextTable("option", "");
         for (Option option : options.getOptions()) {
             String value = option.hasArg() ? " " + option.getArgName() : "";
@@ -32,6 +32,6 @@
     }
 
     private static String usage(Command command) {
-        return command.arguments().isEmpty() ? command.words() : command.words() + " " + command.arguments();
+        return command.arguments().isEmpty() ? command.name() : command.name() + " " + command.arguments();
     }
 }
--- a/cli/src/main/java/org/cornelramp/cli/Main.java
+++ b/cli/src/main/java/org/cornelramp/cli/Main.java
@@ -14,10 +14,10 @@
 import org.apache.commons.cli.Option;
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
-import org.cornelramp.cli.client.Entries;
-import org.cornelramp.cli.client.HttpCaller;
+import org.cornelramp.cli.client.EntryClient;
+import org.cornelramp.cli.client.OperatorHttpClient;
 import org.cornelramp.cli.command.Command;
-import org.cornelramp.cli.command.Context;
+import org.cornelramp.cli.command.CommandContext;
 import org.cornelramp.cli.command.Drain;
 import org.cornelramp.cli.command.Explain;
 import org.cornelramp.cli.command.KeyHash;
@@ -51,12 +51,12 @@
     private static final String KEY_VARIABLE = "CORNELRAMP_OPERATOR_KEY";
     private static final String DEFAULT_ENTRY = "http://127.0.0.1:8080";
 
-    /** Held here, since a logger that nobody holds forgets its level. */
+    /** {@link Logger} instances are held weakly; without this reference the logger and its level could be collected. */
     private static final Logger HTTP_LOGGER = Logger.getLogger("org.eclipse.jetty");
 
     private Main() {}
 
-    /** Runs one command and ends the process. */
+    /** Runs one command and exits the process with its code. */
     public static void main(String[] args) {
         HTTP_LOGGER.setLevel(Level.OFF);
         PrintStream out = new PrintStream(System.out, false, StandardCharsets.UTF_8);
@@ -69,40 +69,41 @@
     /**
      * Runs one command.
      *
-     * @param variables the environment
-     * @param out where results go
-     * @param progress where progress and faults go
+     * @param variables the environment variables
+     * @param out receives results
+     * @param progress receives progress and error messages
      */
     public static ExitCode run(String[] args, Map<String, String> variables, PrintStream out, PrintStream progress) {
         Optional<Command> command = COMMANDS.stream()
-                .filter(one -> startsWith(args, one.words().split(" ")))
+                .filter(candidate -> startsWith(args, candidate.name().split(" ")))
                 .findFirst();
         if (command.isEmpty()) {
-            out.print(Help.all(COMMANDS));
+            out.print(Help.allCommands(COMMANDS));
             return args.length > 0 && args[0].equals("help") ? ExitCode.DONE : ExitCode.USAGE;
         }
-        int words = command.get().words().split(" ").length;
-        Options options = options(command.get());
+        int nameLength = command.get().name().split(" ").length;
+        Options options = allOptions(command.get());
         try {
-            CommandLine line = new DefaultParser().parse(options, Arrays.copyOfRange(args, words, args.length));
+            CommandLine line = new DefaultParser().parse(options, Arrays.copyOfRange(args, nameLength, args.length));
             if (line.hasOption("help")) {
-                out.print(Help.of(command.get(), options));
+                out.print(Help.oneCommand(command.get(), options));
                 return ExitCode.DONE;
             }
             return run(command.get(), line, variables, out, progress);
         } catch (ParseException e) {
             progress.println("cornelramp: " + e.getMessage() + "; see cornelramp "
-                    + command.get().words() + " --help");
+                    + command.get().name() + " --help");
             return ExitCode.USAGE;
         }
     }
 
     private static ExitCode run(
             Command command, CommandLine line, Map<String, String> variables, PrintStream out, PrintStream progress) {
-        try (HttpCaller caller = new HttpCaller(key(line, variables))) {
-            Entries entries = new Entries(urls(line, variables), caller);
-            String by = line.getOptionValue("by", variables.getOrDefault("USER", "operator"));
-            Context context = new Context(out, progress, Clock.systemUTC(), line.hasOption("json"), by, entries);
+        try (OperatorHttpClient http = new OperatorHttpClient(operatorKey(line, variables))) {
+            EntryClient entryClient = new EntryClient(entryUrls(line, variables), http);
+            String operatorName = line.getOptionValue("by", variables.getOrDefault("USER", "operator"));
+            CommandContext context = new CommandContext(
+                    out, progress, Clock.systemUTC(), line.hasOption("json"), operatorName, entryClient);
             return command.run(context, line);
         } catch (CliException e) {
             progress.println("cornelramp: " + e.getMessage());
@@ -110,53 +111,57 @@
         }
     }
 
-    private static boolean startsWith(String[] args, String[] words) {
-        return args.length >= words.length && Arrays.equals(Arrays.copyOf(args, words.length), words);
+    private static boolean startsWith(String[] args, String[] name) {
+        return args.length >= name.length && Arrays.equals(Arrays.copyOf(args, name.length), name);
     }
 
-    private static Options options(Command command) {
+    private static Options allOptions(Command command) {
         return command.options()
                 .addOption(Option.builder()
                         .longOpt("entry")
                         .hasArg()
                         .argName("URL")
-                        .desc("an entry, may be given several times; else " + ENTRY_VARIABLE + ", separated by commas")
+                        .desc("base URL of an entry, may be given several times; default: " + ENTRY_VARIABLE
+                                + ", separated by commas")
                         .get())
                 .addOption(Option.builder()
                         .longOpt("key-file")
                         .hasArg()
                         .argName("FILE")
-                        .desc("file that holds the operator's key; else the variable " + KEY_VARIABLE)
+                        .desc("file that holds the operator's key; default: the variable " + KEY_VARIABLE)
                         .get())
                 .addOption(Option.builder()
                         .longOpt("by")
                         .hasArg()
                         .argName("NAME")
-                        .desc("who edits, for the history")
+                        .desc("name of the operator, recorded in the history")
                         .get())
                 .addOption(Option.builder()
                         .longOpt("json")
-                        .desc("give the result as JSON")
+                        .desc("print the result as JSON")
                         .get())
                 .addOption(
                         Option.builder().longOpt("help").desc("show this help").get());
     }
 
-    private static List<String> urls(CommandLine line, Map<String, String> variables) {
-        String[] named = line.getOptionValues("entry");
-        String[] urls = named != null
-                ? named
+    private static List<String> entryUrls(CommandLine line, Map<String, String> variables) {
+        String[] given = line.getOptionValues("entry");
+        String[] urls = given != null
+                ? given
                 : variables.getOrDefault(ENTRY_VARIABLE, DEFAULT_ENTRY).split(",");
-        return Arrays.stream(urls).map(String::strip).map(Main::withoutSlash).toList();
+        return Arrays.stream(urls)
+                .map(String::strip)
+                .map(Main::withoutTrailingSlash)
+                .toList();
     }
 
-    private static String withoutSlash(String url) {
+    private static String withoutTrailingSlash(String url) {
         return url.endsWith("/") ? url.substring(0, url.length() - 1) : url;
     }
 
-    private static String key(CommandLine line, Map<String, String> variables) throws CliException {
+    private static String operatorKey(CommandLine line, Map<String, String> variables) throws CliException {
         return line.hasOption("key-file")
-                ? Context.readFile(line.getOptionValue("key-file")).strip()
+                ? CommandContext.readFile(line.getOptionValue("key-file")).strip()
                 : variables.getOrDefault(KEY_VARIABLE, "");
     }
 }
--- a/cli/src/main/java/org/cornelramp/cli/client/HttpCaller.java
+++ b/cli/src/main/java/org/cornelramp/cli/client/OperatorHttpClient.java
@@ -13,11 +13,11 @@
 import org.eclipse.jetty.http.HttpMethod;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** Makes single HTTP calls with an operator's key. Confined to one thread. */
-public final class HttpCaller implements AutoCloseable {
-    private static final int MAX_ANSWER_BYTES = 128 << 20;
-    private static final long CONNECT_MILLIS = 2_000;
-    private static final long ANSWER_MILLIS = 30_000;
+/** Sends HTTP requests with an operator's key, without retries. Confined to one thread. */
+public final class OperatorHttpClient implements AutoCloseable {
+    private static final int MAX_RESPONSE_BYTES = 128 << 20;
+    private static final long CONNECT_TIMEOUT_MILLIS = 2_000;
+    private static final long RESPONSE_TIMEOUT_MILLIS = 30_000;
     private static final int MAX_THREADS = 8;
     private static final int MIN_THREADS = 1;
 
@@ -27,44 +27,50 @@
     /**
      * @param key the operator's key
      */
-    public HttpCaller(String key) {
+    public OperatorHttpClient(String key) {
         this.key = key;
         QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
         threads.setDaemon(true);
         http.setExecutor(threads);
-        http.setConnectTimeout(CONNECT_MILLIS);
+        http.setConnectTimeout(CONNECT_TIMEOUT_MILLIS);
         http.setFollowRedirects(false);
         http.setUserAgentField(null);
     }
 
-    /** Makes one call, once. */
-    public Answer call(HttpMethod method, String entry, String path, String body) throws CallFailure {
+    /**
+     * Sends one request and waits for the response.
+     *
+     * @param entry base URL of the entry
+     * @param body JSON body; empty for a request without a body
+     * @throws CallException if no complete response came within the time limits
+     */
+    public EntryResponse call(HttpMethod method, String entry, String path, String body) throws CallException {
         AtomicBoolean begun = new AtomicBoolean();
         try {
             if (!http.isStarted()) {
                 http.start();
-                // Without handlers for authentication and the like, nothing in the client sends a call again.
+                // Protocol handlers, such as the one for authentication, would send a request again.
                 http.getProtocolHandlers().clear();
             }
             Request request = http.newRequest(entry + path)
                     .method(method)
                     .headers(headers -> headers.put(HttpHeader.AUTHORIZATION, "Bearer " + key))
-                    .timeout(ANSWER_MILLIS, TimeUnit.MILLISECONDS)
-                    .onRequestBegin(sent -> begun.set(true));
+                    .timeout(RESPONSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                    .onRequestBegin(begunRequest -> begun.set(true));
             if (!body.isEmpty()) {
                 request.body(new StringRequestContent("application/json", body));
             }
-            ContentResponse response = new CompletableResponseListener(request, MAX_ANSWER_BYTES)
+            ContentResponse response = new CompletableResponseListener(request, MAX_RESPONSE_BYTES)
                     .send()
-                    .get(ANSWER_MILLIS + CONNECT_MILLIS, TimeUnit.MILLISECONDS);
-            return new Answer(entry, response.getStatus(), response.getContentAsString());
+                    .get(RESPONSE_TIMEOUT_MILLIS + CONNECT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            return new EntryResponse(entry, response.getStatus(), response.getContentAsString());
         } catch (ExecutionException | TimeoutException e) {
-            throw new CallFailure(begun.get(), entry + ": " + (e.getCause() == null ? e : e.getCause()).getMessage());
+            throw new CallException(begun.get(), entry + ": " + (e.getCause() == null ? e : e.getCause()).getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new CallFailure(begun.get(), entry + ": interrupted");
+            throw new CallException(begun.get(), entry + ": interrupted");
         } catch (Exception e) {
-            throw new CallFailure(begun.get(), entry + ": " + e.getMessage());
+            throw new CallException(begun.get(), entry + ": " + e.getMessage());
         }
     }
 
@@ -73,7 +79,7 @@
         try {
             http.stop();
         } catch (Exception e) {
-            throw new IllegalStateException("The HTTP client did not stop", e);
+            throw new IllegalStateException("The HTTP client could not be stopped", e);
         }
     }
 }
--- a/cli/src/main/java/org/cornelramp/cli/client/package-info.java
+++ b/cli/src/main/java/org/cornelramp/cli/client/package-info.java
@@ -1,2 +1,2 @@
-/** Calls of the operators' interface, at the first entry that answers. */
+/** HTTP client for the operators' interface of the entries. */
 package org.cornelramp.cli.client;
--- a/cli/src/main/java/org/cornelramp/cli/command/Command.java
+++ b/cli/src/main/java/org/cornelramp/cli/command/Command.java
@@ -5,25 +5,25 @@
 import org.cornelramp.cli.CliException;
 import org.cornelramp.cli.ExitCode;
 
-/** One command. Implementations are stateless. */
+/** One command of the command line. Implementations are stateless. */
 public interface Command {
 
-    /** The words that name it, such as {@code table get}. */
-    String words();
+    /** The name, one or two words such as {@code table get}. */
+    String name();
 
-    /** What follows the words, such as {@code ORGANISATION SERVICE}; empty if nothing does. */
+    /** The usage of the arguments after the name, such as {@code ORGANISATION SERVICE}; empty if there are none. */
     default String arguments() {
         return "";
     }
 
-    /** What it does, in a line. */
+    /** A description in one line, for the help text. */
     String summary();
 
-    /** Its options besides those that every command has. */
+    /** Options of this command, without those that every command has. */
     default Options options() {
         return new Options();
     }
 
-    /** Runs it; what was asked for goes to the context's output. */
-    ExitCode run(Context context, CommandLine line) throws CliException;
+    /** Runs the command and writes its result to the output of the context. */
+    ExitCode run(CommandContext context, CommandLine line) throws CliException;
 }
--- a/cli/src/main/java/org/cornelramp/cli/command/Context.java
+++ b/cli/src/main/java/org/cornelramp/cli/command/CommandContext.java
@@ -8,27 +8,33 @@
 import java.time.Clock;
 import org.cornelramp.cli.CliException;
 import org.cornelramp.cli.ExitCode;
-import org.cornelramp.cli.client.Entries;
+import org.cornelramp.cli.client.EntryClient;
 import org.cornelramp.core.operate.OperatorJson;
 
 /**
- * What a command works with. Confined to one thread.
+ * The environment that a command runs in. Confined to one thread.
  *
- * @param out where results go
- * @param progress where progress and remarks go, so that results can be piped
- * @param clock the clock
- * @param json whether results are JSON
- * @param by who edits, for the history
- * @param entries the entries
+ * @param out receives results
+ * @param progress receives progress and remarks, kept apart from results so that these can be piped
+ * @param clock the clock that waits are measured with
+ * @param json whether results are printed as JSON
+ * @param operatorName name of the operator, recorded with each edit and drain
+ * @param entryClient calls the entries
  */
-public record Context(PrintStream out, PrintStream progress, Clock clock, boolean json, String by, Entries entries) {
+public record CommandContext(
+        PrintStream out,
+        PrintStream progress,
+        Clock clock,
+        boolean json,
+        String operatorName,
+        EntryClient entryClient) {
 
     /** Writes a document as JSON. */
     public void printJson(Object document) {
         try {
             out.println(OperatorJson.STRICT.writerWithDefaultPrettyPrinter().writeValueAsString(document));
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("A document always has a JSON form", e);
+            throw new IllegalStateException("The document cannot be written as JSON", e);
         }
     }
 
@@ -41,11 +47,15 @@
         }
     }
 
-    /** The only argument of a command. */
-    public static String argument(java.util.List<String> arguments, int place, String name) throws CliException {
-        if (place >= arguments.size()) {
+    /**
+     * The argument at an index, counted from 0.
+     *
+     * @param name what the argument is, for the error message if it is missing
+     */
+    public static String argument(java.util.List<String> arguments, int index, String name) throws CliException {
+        if (index >= arguments.size()) {
             throw new CliException(ExitCode.USAGE, "give " + name);
         }
-        return arguments.get(place);
+        return arguments.get(index);
     }
 }
--- a/cli/src/main/java/org/cornelramp/cli/command/Drain.java
+++ b/cli/src/main/java/org/cornelramp/cli/command/Drain.java
@@ -3,7 +3,7 @@
 import org.apache.commons.cli.CommandLine;
 import org.cornelramp.cli.CliException;
 import org.cornelramp.cli.ExitCode;
-import org.cornelramp.cli.client.CallFailure;
+import org.cornelramp.cli.client.CallException;
 import org.cornelramp.core.operate.DrainAnswer;
 import org.cornelramp.core.operate.DrainRequest;
 
@@ -11,7 +11,7 @@
 public final class Drain implements Command {
 
     @Override
-    public String words() {
+    public String name() {
         return "drain";
     }
 
@@ -22,15 +22,15 @@
 
     @Override
     public String summary() {
-        return "begin the planned stop of an agent, or of the entry that is asked";
+        return "begin the planned stop of an agent, or of the entry that is called";
     }
 
     @Override
-    public ExitCode run(Context context, CommandLine line) throws CliException {
-        String name = Context.argument(line.getArgList(), 0, "the NAME of the backend server or entry");
+    public ExitCode run(CommandContext context, CommandLine line) throws CliException {
+        String name = CommandContext.argument(line.getArgList(), 0, "the NAME of the backend server or entry");
         try {
-            DrainAnswer answer =
-                    context.entries().post("drain", new DrainRequest(name, context.by()), DrainAnswer.class);
+            DrainAnswer answer = context.entryClient()
+                    .post("drain", new DrainRequest(name, context.operatorName()), DrainAnswer.class);
             if (context.json()) {
                 context.printJson(answer);
             } else {
@@ -39,9 +39,9 @@
                                 + "; status shows when it is gone");
             }
             return ExitCode.DONE;
-        } catch (CallFailure e) {
+        } catch (CallException e) {
             throw new CliException(
-                    ExitCode.UNKNOWN, "no answer, see status and drain again, which is harmless: " + e.getMessage());
+                    ExitCode.UNKNOWN, "no answer; check status and repeat the drain, which is safe: " + e.getMessage());
         }
     }
 }
--- a/cli/src/main/java/org/cornelramp/cli/command/Edits.java
+++ b/cli/src/main/java/org/cornelramp/cli/command/EditSender.java
@@ -9,7 +9,7 @@
 import org.apache.commons.cli.Options;
 import org.cornelramp.cli.CliException;
 import org.cornelramp.cli.ExitCode;
-import org.cornelramp.cli.client.CallFailure;
+import org.cornelramp.cli.client.CallException;
 import org.cornelramp.core.operate.EditAnswer;
 import org.cornelramp.core.operate.EditDocument;
 import org.cornelramp.core.operate.EditRequest;
@@ -18,24 +18,24 @@
 import org.cornelramp.core.operate.RowDocument;
 
 /**
- * Sends edits, tells what became of each, and waits on request until they are applied everywhere. Confined to one
- * thread.
+ * Sends edits, prints the result of each, and with {@code --wait} waits until every live process applies them. Confined
+ * to one thread.
  *
- * <p>When an entry ends before it has answered, the edits are looked for in the history under the id that they were
- * sent with; they are never sent again under another.
+ * <p>If an entry does not answer, it may have taken the edits. They are then looked up in the history under the id that
+ * they were sent with, and never sent again under another id.
  */
-final class Edits {
-    private static final int BATCH = 200;
-    private static final int HISTORY_TRIES = 5;
-    private static final long PAUSE_MILLIS = 1_000;
+final class EditSender {
+    private static final int BATCH_SIZE = 200;
+    private static final int MAX_HISTORY_READS = 5;
+    private static final long HISTORY_READ_DELAY_MILLIS = 1_000;
 
-    private final Context context;
+    private final CommandContext context;
 
-    Edits(Context context) {
+    EditSender(CommandContext context) {
         this.context = context;
     }
 
-    /** Options of the commands that edit. */
+    /** Options of the commands that send edits. */
     static Options options() {
         return new Options()
                 .addOption(Option.builder()
@@ -46,28 +46,28 @@
                         .longOpt("wait-seconds")
                         .hasArg()
                         .argName("N")
-                        .desc("longest wait, 30 if not given")
+                        .desc("longest wait in seconds; default: 30")
                         .get());
     }
 
-    /** Sends edits in batches and ends as {@link ExitCode} says. */
+    /** Sends edits in batches, prints their results and returns the exit code of the command. */
     ExitCode send(List<EditDocument> edits, CommandLine line) throws CliException {
         List<EditResult> results = new ArrayList<>();
         long offset = 0;
-        for (int from = 0; from < edits.size(); from += BATCH) {
-            List<EditDocument> batch = edits.subList(from, Math.min(edits.size(), from + BATCH));
+        for (int from = 0; from < edits.size(); from += BATCH_SIZE) {
+            List<EditDocument> batch = edits.subList(from, Math.min(edits.size(), from + BATCH_SIZE));
             EditAnswer answer = sendBatch(batch);
             results.addAll(answer.results());
             offset = Math.max(offset, answer.offset());
-            if (edits.size() > BATCH) {
+            if (edits.size() > BATCH_SIZE) {
                 context.progress().println("edited " + results.size() + " of " + edits.size());
             }
         }
-        report(new EditAnswer(offset, results));
-        ExitCode code = codeOf(results);
+        printResults(new EditAnswer(offset, results));
+        ExitCode code = exitCodeOf(results);
         boolean anyAccepted = results.stream().anyMatch(result -> result.kind() == EditResult.Kind.ACCEPTED);
         if (line.hasOption("wait") && anyAccepted) {
-            ExitCode waited = new AppliedWait(context).await(offset, line);
+            ExitCode waited = new AppliedOffsetWait(context).await(offset, line);
             return code == ExitCode.DONE ? waited : code;
         }
         return code;
@@ -76,24 +76,26 @@
     private EditAnswer sendBatch(List<EditDocument> batch) throws CliException {
         String id = UUID.randomUUID().toString();
         try {
-            return context.entries().post("edits", new EditRequest(id, context.by(), batch), EditAnswer.class);
-        } catch (CallFailure e) {
-            context.progress().println("no answer, reading back: " + e.getMessage());
+            return context.entryClient()
+                    .post("edits", new EditRequest(id, context.operatorName(), batch), EditAnswer.class);
+        } catch (CallException e) {
+            context.progress().println("no answer; reading the history: " + e.getMessage());
             List<EditResult> results = new ArrayList<>();
             for (int i = 0; i < batch.size(); i++) {
-                results.add(readBack(batch.get(i), id + "-" + i));
+                results.add(resultFromHistory(batch.get(i), id + "-" + i));
             }
             return new EditAnswer(0, results);
         }
     }
 
-    /** An edit that shows late may still be under way, so it is looked for a few times. */
-    private EditResult readBack(EditDocument edit, String id) throws CliException {
+    /** Looks an edit up in the history several times, because one that is still in progress appears there late. */
+    private EditResult resultFromHistory(EditDocument edit, String id) throws CliException {
         Optional<EditResult> found = Optional.empty();
-        for (int i = 0; i < HISTORY_TRIES && found.isEmpty(); i++) {
-            pause(i);
+        for (int i = 0; i < MAX_HISTORY_READS && found.isEmpty(); i++) {
+            pauseBeforeRead(i);
             try {
-                found = find(context.entries().get("history/" + Rows.path(edit.key()), HistoryDocument.class), id);
+                found = findEdit(
+                        context.entryClient().get("history/" + Rows.urlPath(edit.key()), HistoryDocument.class), id);
             } catch (CliException e) {
                 context.progress().println(e.getMessage());
             }
@@ -106,7 +108,7 @@
                 "No entry answered; table history shows later whether edit " + id + " was accepted."));
     }
 
-    private static Optional<EditResult> find(HistoryDocument history, String id) {
+    private static Optional<EditResult> findEdit(HistoryDocument history, String id) {
         return history.edits().stream()
                 .filter(edit -> edit.id().equals(id))
                 .findFirst()
@@ -115,25 +117,27 @@
                         id,
                         history.row(),
                         Optional.of(edit.offset()),
-                        edit.accepted() ? "" : "Another edit came first; read the row again and edit that."));
+                        edit.accepted()
+                                ? ""
+                                : "Another edit came first; read the row again and edit its current version."));
     }
 
-    private static void pause(int tries) throws CliException {
+    private static void pauseBeforeRead(int attempt) throws CliException {
         try {
-            Thread.sleep(tries == 0 ? 0 : PAUSE_MILLIS);
+            Thread.sleep(attempt == 0 ? 0 : HISTORY_READ_DELAY_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new CliException(ExitCode.UNKNOWN, "interrupted; table history shows what became of the edits");
+            throw new CliException(ExitCode.UNKNOWN, "interrupted; table history shows which edits were accepted");
         }
     }
 
-    private void report(EditAnswer answer) {
+    private void printResults(EditAnswer answer) {
         if (context.json()) {
             context.printJson(answer);
             return;
         }
         for (EditResult result : answer.results()) {
-            String offset = result.offset().map(at -> " offset=" + at).orElse("");
+            String offset = result.offset().map(value -> " offset=" + value).orElse("");
             String detail = result.detail().isEmpty() ? "" : " " + result.detail();
             context.out()
                     .println(result.kind().name().toLowerCase(java.util.Locale.ROOT) + " "
@@ -141,7 +145,7 @@
         }
     }
 
-    private static ExitCode codeOf(List<EditResult> results) {
+    private static ExitCode exitCodeOf(List<EditResult> results) {
         if (results.stream().anyMatch(result -> result.kind() == EditResult.Kind.UNKNOWN)) {
             return ExitCode.UNKNOWN;
         }
--- a/cli/src/main/java/org/cornelramp/cli/command/Explain.java
+++ b/cli/src/main/java/org/cornelramp/cli/command/Explain.java
@@ -11,11 +11,11 @@
 import org.cornelramp.cli.text.TextTable;
 import org.cornelramp.core.operate.ExplainDocument;
 
-/** Shows what was decided on one request, at each entry that saw it. Stateless. */
+/** Shows the decisions on one request, for each entry that handled it. Stateless. */
 public final class Explain implements Command {
 
     @Override
-    public String words() {
+    public String name() {
         return "explain";
     }
 
@@ -26,16 +26,17 @@
 
     @Override
     public String summary() {
-        return "show what the entries decided on one request, where and why";
+        return "show the decisions of the entries on one request, with their reasons";
     }
 
     @Override
-    public ExitCode run(Context context, CommandLine line) throws CliException {
-        String id = Context.argument(line.getArgList(), 0, "the REQUEST-ID from the answer's X-Request-Id header");
+    public ExitCode run(CommandContext context, CommandLine line) throws CliException {
+        String id =
+                CommandContext.argument(line.getArgList(), 0, "the REQUEST-ID from the answer's X-Request-Id header");
         String path = "explain/" + URLEncoder.encode(id, StandardCharsets.UTF_8);
         List<ExplainDocument> found = new ArrayList<>();
-        for (String url : context.entries().all()) {
-            context.entries().getFrom(url, path, ExplainDocument.class).ifPresent(found::add);
+        for (String url : context.entryClient().liveEntryUrls()) {
+            context.entryClient().getFrom(url, path, ExplainDocument.class).ifPresent(found::add);
         }
         if (context.json()) {
             context.printJson(found);
@@ -43,13 +44,13 @@
             print(context, found);
         }
         if (found.isEmpty()) {
-            context.progress().println("no entry remembers this request; each keeps the newest few thousand");
+            context.progress().println("no entry has a record of this request; each keeps the newest few thousand");
             return ExitCode.REFUSED;
         }
         return ExitCode.DONE;
     }
 
-    private static void print(Context context, List<ExplainDocument> found) {
+    private static void print(CommandContext context, List<ExplainDocument> found) {
         TextTable table = new TextTable("at", "entry", "step", "facts");
         for (ExplainDocument document : found) {
             document.steps()
--- a/cli/src/main/java/org/cornelramp/cli/command/KeyHash.java
+++ b/cli/src/main/java/org/cornelramp/cli/command/KeyHash.java
@@ -9,11 +9,11 @@
 import org.cornelramp.cli.CliException;
 import org.cornelramp.cli.ExitCode;
 
-/** Hashes a key, since the table and the settings hold hashes only. Stateless. */
+/** Hashes a key, because the table and the settings hold only hashes of keys. Stateless. */
 public final class KeyHash implements Command {
 
     @Override
-    public String words() {
+    public String name() {
         return "key hash";
     }
 
@@ -28,11 +28,12 @@
     }
 
     @Override
-    public ExitCode run(Context context, CommandLine line) throws CliException {
-        String key = Context.readFile(Context.argument(line.getArgList(), 0, "the FILE that holds the key"))
+    public ExitCode run(CommandContext context, CommandLine line) throws CliException {
+        String key = CommandContext.readFile(
+                        CommandContext.argument(line.getArgList(), 0, "the FILE that holds the key"))
                 .strip();
         if (key.isEmpty()) {
-            throw new CliException(ExitCode.USAGE, "the file holds no key, write one into it");
+            throw new CliException(ExitCode.USAGE, "the file holds no key; write the key into it");
         }
         String hash = hash(key);
         if (context.json()) {
@@ -48,7 +49,8 @@
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             return HexFormat.of().formatHex(digest.digest(key.getBytes(StandardCharsets.UTF_8)));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("Every Java platform has SHA-256", e);
+            throw new IllegalStateException(
+                    "SHA-256 is not available, although every Java platform must provide it", e);
         }
     }
 }
--- a/cli/src/main/java/org/cornelramp/cli/command/LogExplain.java
+++ b/cli/src/main/java/org/cornelramp/cli/command/LogExplain.java
@@ -11,14 +11,14 @@
 import org.cornelramp.cli.CliException;
 import org.cornelramp.cli.ExitCode;
 import org.cornelramp.cli.log.LogLine;
-import org.cornelramp.cli.log.RequestStory;
+import org.cornelramp.cli.log.RequestExplanation;
 import org.cornelramp.cli.text.TextTable;
 
-/** Tells from the gateways' logs what became of one request, and why. Stateless. */
+/** Explains the outcome of one request from the gateways' logs. Stateless. */
 public final class LogExplain implements Command {
 
     @Override
-    public String words() {
+    public String name() {
         return "log explain";
     }
 
@@ -29,46 +29,47 @@
 
     @Override
     public String summary() {
-        return "tell from log files of the gateways what became of one request, and why";
+        return "explain the outcome of one request from log files of the gateways";
     }
 
     @Override
-    public ExitCode run(Context context, CommandLine line) throws CliException {
+    public ExitCode run(CommandContext context, CommandLine line) throws CliException {
         List<String> arguments = line.getArgList();
-        String id = Context.argument(arguments, 0, "the REQUEST-ID that the client sent");
-        Context.argument(arguments, 1, "one FILE or more with the output of the gateways");
+        String id = CommandContext.argument(arguments, 0, "the REQUEST-ID that the client sent");
+        CommandContext.argument(arguments, 1, "one FILE or more with the output of the gateways");
         List<LogLine> log = new ArrayList<>();
         for (String file : arguments.subList(1, arguments.size())) {
-            read(Path.of(file), log);
+            readLines(Path.of(file), log);
         }
-        RequestStory story = RequestStory.of(id, log);
-        if (story.lines().isEmpty()) {
-            context.progress().println("the logs do not name this request; ordinary lines are sampled under load");
+        RequestExplanation explanation = RequestExplanation.of(id, log);
+        if (explanation.lines().isEmpty()) {
+            context.progress().println("the logs do not contain this request; under load, ordinary lines are sampled");
             return ExitCode.REFUSED;
         }
-        print(context, story);
+        print(context, explanation);
         return ExitCode.DONE;
     }
 
-    private static void read(Path file, List<LogLine> log) throws CliException {
+    private static void readLines(Path file, List<LogLine> log) throws CliException {
         try (Stream<String> lines = Files.lines(file, StandardCharsets.UTF_8)) {
             lines.forEach(text -> LogLine.parse(text).ifPresent(log::add));
         } catch (IOException e) {
-            throw new CliException(ExitCode.USAGE, file + " cannot be read, correct its path or rights; " + e);
+            throw new CliException(ExitCode.USAGE, file + " cannot be read, correct its path or permissions; " + e);
         }
     }
 
-    private static void print(Context context, RequestStory story) {
-        long begin = story.lines().get(0).millis();
+    private static void print(CommandContext context, RequestExplanation explanation) {
+        long begin = explanation.lines().get(0).timeMillis();
         TextTable table = new TextTable("ms", "gateway", "what", "facts");
-        for (LogLine line : story.lines()) {
+        for (LogLine line : explanation.lines()) {
             table.add(List.of(
-                    Long.toString(line.millis() - begin),
+                    Long.toString(line.timeMillis() - begin),
                     line.process(),
                     line.part() + ": " + line.event(),
                     line.facts()));
         }
         context.out().print(table);
-        context.out().println(story.cause().map(cause -> "cause: " + cause).orElse("it was served"));
+        context.out()
+                .println(explanation.cause().map(cause -> "cause: " + cause).orElse("the request was served"));
     }
 }
--- a/cli/src/main/java/org/cornelramp/cli/command/ReportBurn.java
+++ b/cli/src/main/java/org/cornelramp/cli/command/ReportBurn.java
@@ -16,17 +16,17 @@
 import org.cornelramp.core.burn.BurnWindow;
 import org.cornelramp.core.operate.BurnDocument;
 
-/** Shows service-level burn over all entries, as text and as a plot. Stateless. */
+/** Shows the service-level burn rates over all entries, as text and optionally as a plot. Stateless. */
 public final class ReportBurn implements Command {
 
     @Override
-    public String words() {
+    public String name() {
         return "report burn";
     }
 
     @Override
     public String summary() {
-        return "show service-level burn for each organisation and service over several windows";
+        return "show service-level burn rates for each organisation and service over several windows";
     }
 
     @Override
@@ -41,29 +41,29 @@
     }
 
     @Override
-    public ExitCode run(Context context, CommandLine line) throws CliException {
+    public ExitCode run(CommandContext context, CommandLine line) throws CliException {
         List<BurnDocument> documents = new ArrayList<>();
-        List<String> silent = new ArrayList<>();
-        for (String url : context.entries().all()) {
-            context.entries()
+        List<String> unanswered = new ArrayList<>();
+        for (String url : context.entryClient().liveEntryUrls()) {
+            context.entryClient()
                     .getFrom(url, "burn", BurnDocument.class)
-                    .ifPresentOrElse(documents::add, () -> silent.add(url));
+                    .ifPresentOrElse(documents::add, () -> unanswered.add(url));
         }
         BurnReport report =
                 BurnReport.merge(documents.stream().map(BurnDocument::rows).toList());
         if (context.json()) {
             context.printJson(report);
         } else {
-            context.out().print(text(report));
+            context.out().print(toTextTable(report));
         }
-        remarks(context, documents, silent);
+        printRemarks(context, documents, unanswered);
         if (line.hasOption("plot")) {
             BurnPlot.write(report, line.getOptionValue("plot"));
         }
-        return silent.isEmpty() ? ExitCode.DONE : ExitCode.UNREACHABLE;
+        return unanswered.isEmpty() ? ExitCode.DONE : ExitCode.UNREACHABLE;
     }
 
-    private static String text(BurnReport report) {
+    private static String toTextTable(BurnReport report) {
         TextTable table = new TextTable(
                 "organisation", "service", "objective%", "5m", "1h", "6h", "3d", "requests3d", "bad3d", "alert");
         for (BurnRow row : report.rows()) {
@@ -80,13 +80,14 @@
         return table.toString();
     }
 
-    private static void remarks(Context context, List<BurnDocument> documents, List<String> silent) {
+    private static void printRemarks(CommandContext context, List<BurnDocument> documents, List<String> unanswered) {
         for (BurnDocument document : documents) {
             String uncounted = document.uncounted() == 0 ? "" : " uncounted=" + document.uncounted();
             context.progress()
                     .println("entry " + document.entry() + " counts since " + Instant.ofEpochMilli(document.since())
                             + uncounted);
         }
-        silent.forEach(url -> context.progress().println("no answer from " + url + ": its requests are missing"));
+        unanswered.forEach(url ->
+                context.progress().println("no answer from " + url + "; its requests are missing from the report"));
     }
 }
--- a/cli/src/main/java/org/cornelramp/cli/command/SettingsCheck.java
+++ b/cli/src/main/java/org/cornelramp/cli/command/SettingsCheck.java
@@ -9,14 +9,14 @@
 import org.cornelramp.core.settings.SettingsFault;
 import org.cornelramp.core.settings.SettingsReader;
 
-/** Checks a daemon's settings file. Stateless. */
+/** Validates a daemon's settings file. Stateless. */
 public final class SettingsCheck implements Command {
 
-    /** The result as JSON. */
-    private record Checked(boolean valid, List<SettingsFault> faults) {}
+    /** The result, printed as JSON. */
+    private record CheckResult(boolean valid, List<SettingsFault> faults) {}
 
     @Override
-    public String words() {
+    public String name() {
         return "settings check";
     }
 
@@ -27,16 +27,16 @@
 
     @Override
     public String summary() {
-        return "check a daemon's settings and tell every fault";
+        return "check a daemon's settings and report every fault";
     }
 
     @Override
-    public ExitCode run(Context context, CommandLine line) throws CliException {
-        String file = Context.argument(line.getArgList(), 0, "the settings FILE");
-        Either<List<SettingsFault>, DaemonSettings> read = new SettingsReader().read(Context.readFile(file));
+    public ExitCode run(CommandContext context, CommandLine line) throws CliException {
+        String file = CommandContext.argument(line.getArgList(), 0, "the settings FILE");
+        Either<List<SettingsFault>, DaemonSettings> read = new SettingsReader().read(CommandContext.readFile(file));
         List<SettingsFault> faults = read.fold(found -> found, settings -> List.of());
         if (context.json()) {
-            context.printJson(new Checked(faults.isEmpty(), faults));
+            context.printJson(new CheckResult(faults.isEmpty(), faults));
         } else {
             faults.forEach(context.out()::println);
             context.out().println(file + ": " + (faults.isEmpty() ? "valid" : faults.size() + " faults"));
--- a/cli/src/main/java/org/cornelramp/cli/command/Status.java
+++ b/cli/src/main/java/org/cornelramp/cli/command/Status.java
@@ -8,60 +8,60 @@
 import org.cornelramp.cli.ExitCode;
 import org.cornelramp.core.operate.StatusDocument;
 
-/** Shows what each entry knows of itself, the agents and the platform. Stateless. */
+/** Shows the status that each entry reports of itself, the agents and the platform. Stateless. */
 public final class Status implements Command {
     private static final String INDENT = "  ";
 
     @Override
-    public String words() {
+    public String name() {
         return "status";
     }
 
     @Override
     public String summary() {
-        return "show VMs, backend servers, links, drains and the log's health as each entry sees them";
+        return "show VMs, backend servers, links, drains and the state of the log as each entry reports them";
     }
 
     @Override
-    public ExitCode run(Context context, CommandLine line) throws CliException {
-        List<StatusDocument> all = new ArrayList<>();
-        List<String> silent = new ArrayList<>();
-        for (String url : context.entries().all()) {
-            context.entries()
+    public ExitCode run(CommandContext context, CommandLine line) throws CliException {
+        List<StatusDocument> statuses = new ArrayList<>();
+        List<String> unanswered = new ArrayList<>();
+        for (String url : context.entryClient().liveEntryUrls()) {
+            context.entryClient()
                     .getFrom(url, "status", StatusDocument.class)
-                    .ifPresentOrElse(all::add, () -> silent.add(url));
+                    .ifPresentOrElse(statuses::add, () -> unanswered.add(url));
         }
         if (context.json()) {
-            context.printJson(all);
+            context.printJson(statuses);
         } else {
-            all.forEach(status -> print(context, status));
+            statuses.forEach(status -> print(context, status));
         }
-        silent.forEach(url -> context.progress().println("no answer from " + url));
-        return silent.isEmpty() ? ExitCode.DONE : ExitCode.UNREACHABLE;
+        unanswered.forEach(url -> context.progress().println("no answer from " + url));
+        return unanswered.isEmpty() ? ExitCode.DONE : ExitCode.UNREACHABLE;
     }
 
-    private static void print(Context context, StatusDocument status) {
+    private static void print(CommandContext context, StatusDocument status) {
         context.out().println("entry " + status.entry() + (status.ready() ? ": ready" : ": not ready"));
         status.reasons().forEach(reason -> context.out().println(INDENT + reason));
         status.sections().forEach((name, section) -> printNode(context, INDENT, name, section));
     }
 
-    /** Plain values of one object stand on one line; what is nested goes below, further in. */
-    private static void printNode(Context context, String indent, String name, JsonNode node) {
+    /** Prints the scalar fields of an object on one line, and nested objects and arrays below it, indented. */
+    private static void printNode(CommandContext context, String indent, String name, JsonNode node) {
         if (node.isValueNode()) {
             context.out().println(indent + name + "=" + node.asText());
             return;
         }
-        StringBuilder plain = new StringBuilder();
+        StringBuilder scalars = new StringBuilder();
         node.properties().forEach(field -> {
             if (field.getValue().isValueNode() && !field.getValue().asText().isEmpty()) {
-                plain.append(' ')
+                scalars.append(' ')
                         .append(field.getKey())
                         .append('=')
                         .append(field.getValue().asText());
             }
         });
-        context.out().println(indent + name + plain);
+        context.out().println(indent + name + scalars);
         node.properties().forEach(field -> {
             if (field.getValue().isContainerNode()) {
                 printNode(context, indent + INDENT, field.getKey(), field.getValue());
--- a/cli/src/main/java/org/cornelramp/cli/command/TableExport.java
+++ b/cli/src/main/java/org/cornelramp/cli/command/TableExport.java
@@ -15,7 +15,7 @@
 public final class TableExport implements Command {
 
     @Override
-    public String words() {
+    public String name() {
         return "table export";
     }
 
@@ -26,32 +26,32 @@
 
     @Override
     public String summary() {
-        return "write the table as CSV, or as JSON with --json, to a file or the output";
+        return "write the table as CSV, or as JSON with --json, to a file or to standard output";
     }
 
     @Override
-    public ExitCode run(Context context, CommandLine line) throws CliException {
-        TableDocument table = context.entries().get("table", TableDocument.class);
-        String text = context.json() ? json(table) : TableCsv.write(Rows.rows(table.rows()));
+    public ExitCode run(CommandContext context, CommandLine line) throws CliException {
+        TableDocument table = context.entryClient().get("table", TableDocument.class);
+        String text = context.json() ? toJson(table) : TableCsv.write(Rows.existingRows(table.rows()));
         if (line.getArgList().isEmpty()) {
             context.out().print(text);
         } else {
-            write(line.getArgList().get(0), text);
+            writeFile(line.getArgList().get(0), text);
         }
         context.progress()
                 .println("offset=" + table.offset() + " rows=" + table.rows().size());
         return ExitCode.DONE;
     }
 
-    private static String json(TableDocument table) {
+    private static String toJson(TableDocument table) {
         try {
             return OperatorJson.STRICT.writerWithDefaultPrettyPrinter().writeValueAsString(table) + "\n";
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("A document always has a JSON form", e);
+            throw new IllegalStateException("The document cannot be written as JSON", e);
         }
     }
 
-    private static void write(String file, String text) throws CliException {
+    private static void writeFile(String file, String text) throws CliException {
         try {
             Files.writeString(Path.of(file), text);
         } catch (IOException | IllegalArgumentException e) {
--- a/cli/src/main/java/org/cornelramp/cli/command/TableGet.java
+++ b/cli/src/main/java/org/cornelramp/cli/command/TableGet.java
@@ -12,7 +12,7 @@
 public final class TableGet implements Command {
 
     @Override
-    public String words() {
+    public String name() {
         return "table get";
     }
 
@@ -27,16 +27,18 @@
     }
 
     @Override
-    public ExitCode run(Context context, CommandLine line) throws CliException {
-        return line.getArgList().isEmpty() ? all(context) : one(context, Rows.key(line.getArgList()));
+    public ExitCode run(CommandContext context, CommandLine line) throws CliException {
+        return line.getArgList().isEmpty()
+                ? showTable(context)
+                : showRow(context, Rows.keyFromArguments(line.getArgList()));
     }
 
-    private static ExitCode all(Context context) throws CliException {
-        TableDocument table = context.entries().get("table", TableDocument.class);
+    private static ExitCode showTable(CommandContext context) throws CliException {
+        TableDocument table = context.entryClient().get("table", TableDocument.class);
         if (context.json()) {
             context.printJson(table);
         } else {
-            context.out().print(Rows.text(Rows.rows(table.rows())));
+            context.out().print(Rows.toTextTable(Rows.existingRows(table.rows())));
             context.progress()
                     .println(
                             "offset=" + table.offset() + " rows=" + table.rows().size());
@@ -44,12 +46,12 @@
         return ExitCode.DONE;
     }
 
-    private static ExitCode one(Context context, RowKey key) throws CliException {
-        RowDocument row = context.entries().get("table/" + Rows.path(key), RowDocument.class);
+    private static ExitCode showRow(CommandContext context, RowKey key) throws CliException {
+        RowDocument row = context.entryClient().get("table/" + Rows.urlPath(key), RowDocument.class);
         if (context.json()) {
             context.printJson(row);
         } else if (row.values().isPresent()) {
-            context.out().print(Rows.text(Rows.rows(List.of(row))));
+            context.out().print(Rows.toTextTable(Rows.existingRows(List.of(row))));
         } else {
             context.out().println("no such row; version=" + row.version());
         }
--- a/cli/src/main/java/org/cornelramp/cli/command/TableHistory.java
+++ b/cli/src/main/java/org/cornelramp/cli/command/TableHistory.java
@@ -9,11 +9,11 @@
 import org.cornelramp.core.operate.HistoryDocument;
 import org.cornelramp.core.table.TableRecords;
 
-/** Shows the edits of a row that the log still keeps. Stateless. */
+/** Shows the edits of a row that the log still retains. Stateless. */
 public final class TableHistory implements Command {
 
     @Override
-    public String words() {
+    public String name() {
         return "table history";
     }
 
@@ -28,9 +28,9 @@
     }
 
     @Override
-    public ExitCode run(Context context, CommandLine line) throws CliException {
-        HistoryDocument history =
-                context.entries().get("history/" + Rows.path(Rows.key(line.getArgList())), HistoryDocument.class);
+    public ExitCode run(CommandContext context, CommandLine line) throws CliException {
+        HistoryDocument history = context.entryClient()
+                .get("history/" + Rows.urlPath(Rows.keyFromArguments(line.getArgList())), HistoryDocument.class);
         if (context.json()) {
             context.printJson(history);
             return ExitCode.DONE;
--- a/cli/src/main/java/org/cornelramp/cli/command/TableImport.java
+++ b/cli/src/main/java/org/cornelramp/cli/command/TableImport.java
@@ -22,18 +22,18 @@
 import org.cornelramp.core.table.TableCsv;
 
 /**
- * Edits the rows of a file that differ from the table in force. Stateless.
+ * Sends an edit for each row of a file that differs from the table in force. Stateless.
  *
- * <p>A file with any fault edits nothing. Rows that the file lacks stay as they are: a file that was cut short must
- * not delete them.
+ * <p>A file with any fault leads to no edit. Rows that the file does not contain stay unchanged, so that a truncated
+ * file cannot delete them.
  */
 public final class TableImport implements Command {
 
-    /** What a dry run would do, as JSON. */
-    private record Planned(int rows, List<EditDocument> edits) {}
+    /** The result of a dry run, printed as JSON: how many rows the file has, and the edits that would be sent. */
+    private record ImportPlan(int rows, List<EditDocument> edits) {}
 
     @Override
-    public String words() {
+    public String name() {
         return "table import";
     }
 
@@ -49,38 +49,38 @@
 
     @Override
     public Options options() {
-        return Edits.options()
+        return EditSender.options()
                 .addOption(Option.builder()
                         .longOpt("dry-run")
-                        .desc("tell what would be edited and edit nothing")
+                        .desc("print the edits without sending them")
                         .get());
     }
 
     @Override
-    public ExitCode run(Context context, CommandLine line) throws CliException {
-        String file = Context.argument(line.getArgList(), 0, "the FILE to import");
-        List<Row> rows = read(file, Context.readFile(file));
-        TableDocument table = context.entries().get("table", TableDocument.class);
-        List<EditDocument> edits = differing(rows, table);
+    public ExitCode run(CommandContext context, CommandLine line) throws CliException {
+        String file = CommandContext.argument(line.getArgList(), 0, "the FILE to import");
+        List<Row> rows = readRows(file, CommandContext.readFile(file));
+        TableDocument table = context.entryClient().get("table", TableDocument.class);
+        List<EditDocument> edits = editsForDifferences(rows, table);
         context.progress().println("rows=" + rows.size() + " differ=" + edits.size());
         if (line.hasOption("dry-run")) {
             return dryRun(context, rows, edits);
         }
-        return edits.isEmpty() ? ExitCode.DONE : new Edits(context).send(edits, line);
+        return edits.isEmpty() ? ExitCode.DONE : new EditSender(context).send(edits, line);
     }
 
-    private static ExitCode dryRun(Context context, List<Row> rows, List<EditDocument> edits) {
+    private static ExitCode dryRun(CommandContext context, List<Row> rows, List<EditDocument> edits) {
         if (context.json()) {
-            context.printJson(new Planned(rows.size(), edits));
+            context.printJson(new ImportPlan(rows.size(), edits));
         } else {
             edits.forEach(edit -> context.out().println("would edit " + edit.key() + " against=" + edit.against()));
         }
         return ExitCode.DONE;
     }
 
-    private static List<Row> read(String file, String text) throws CliException {
+    private static List<Row> readRows(String file, String text) throws CliException {
         if (file.endsWith(".json")) {
-            return readJson(file, text);
+            return readJsonRows(file, text);
         }
         Either<List<CsvFault>, List<TableCsv.CsvRow>> read = TableCsv.read(text);
         if (read.isLeft()) {
@@ -91,25 +91,25 @@
         return read.get().stream().map(TableCsv.CsvRow::row).toList();
     }
 
-    private static List<Row> readJson(String file, String text) throws CliException {
+    private static List<Row> readJsonRows(String file, String text) throws CliException {
         try {
-            return Rows.rows(
+            return Rows.existingRows(
                     OperatorJson.STRICT.readValue(text, TableDocument.class).rows());
         } catch (JsonProcessingException e) {
             throw new CliException(
                     ExitCode.USAGE,
-                    "the file is not as table export --json writes it, nothing was edited; file=" + file + ": "
+                    "the file is not in the format of table export --json, nothing was edited; file=" + file + ": "
                             + e.getOriginalMessage());
         }
     }
 
-    private static List<EditDocument> differing(List<Row> rows, TableDocument table) {
+    private static List<EditDocument> editsForDifferences(List<Row> rows, TableDocument table) {
         Map<RowKey, RowDocument> inForce = new HashMap<>();
         table.rows().forEach(row -> inForce.put(row.key(), row));
         List<EditDocument> edits = new ArrayList<>();
         for (Row row : rows) {
-            RowDocument now = inForce.get(row.key());
-            if (now == null || !now.values().equals(Optional.of(row.values()))) {
+            RowDocument current = inForce.get(row.key());
+            if (current == null || !current.values().equals(Optional.of(row.values()))) {
                 edits.add(new EditDocument(
                         row.key().organisation(), row.key().service(), row.version(), Optional.of(row.values())));
             }
--- a/cli/src/main/java/org/cornelramp/cli/command/TableSet.java
+++ b/cli/src/main/java/org/cornelramp/cli/command/TableSet.java
@@ -18,15 +18,15 @@
 import org.cornelramp.core.table.RowValues;
 import org.cornelramp.core.table.TableRecords;
 
-/** Edits one row, or deletes it. Stateless. */
+/** Creates, edits or deletes one row. Stateless. */
 public final class TableSet implements Command {
-    /** Columns of a new row that the operator does not name. */
-    private static final RowValues NEW_ROW = new RowValues(1, 5, 0, 0, 0, 10_000, 99, List.of());
+    /** Values of those columns of a new row that the operator does not set. */
+    private static final RowValues NEW_ROW_DEFAULTS = new RowValues(1, 5, 0, 0, 0, 10_000, 99, List.of());
 
-    private static final String KEYS = "callerKeyHashes";
+    private static final String KEY_HASHES_COLUMN = "callerKeyHashes";
 
     @Override
-    public String words() {
+    public String name() {
         return "table set";
     }
 
@@ -37,17 +37,17 @@
 
     @Override
     public String summary() {
-        return "edit one row, make a new one, or delete it with --delete";
+        return "edit or create one row, or delete it with --delete";
     }
 
     @Override
     public Options options() {
-        return Edits.options()
+        return EditSender.options()
                 .addOption(Option.builder()
                         .longOpt("against")
                         .hasArg()
                         .argName("VERSION")
-                        .desc("version that you saw; if not given, the one in force now")
+                        .desc("version that the edit is based on; default: the version in force")
                         .get())
                 .addOption(Option.builder()
                         .longOpt("delete")
@@ -56,21 +56,21 @@
     }
 
     @Override
-    public ExitCode run(Context context, CommandLine line) throws CliException {
-        RowKey key = Rows.key(line.getArgList());
+    public ExitCode run(CommandContext context, CommandLine line) throws CliException {
+        RowKey key = Rows.keyFromArguments(line.getArgList());
         List<String> changes = line.getArgList().subList(2, line.getArgList().size());
         if (line.hasOption("delete") != changes.isEmpty()) {
             throw new CliException(ExitCode.USAGE, "give COLUMN=VALUE pairs, or --delete alone");
         }
-        RowDocument row = context.entries().get("table/" + Rows.path(key), RowDocument.class);
+        RowDocument row = context.entryClient().get("table/" + Rows.urlPath(key), RowDocument.class);
         Optional<RowValues> values = line.hasOption("delete")
                 ? Optional.empty()
-                : Optional.of(changed(row.values().orElse(NEW_ROW), changes));
-        EditDocument edit = new EditDocument(key.organisation(), key.service(), against(line, row), values);
-        return new Edits(context).send(List.of(edit), line);
+                : Optional.of(withChanges(row.values().orElse(NEW_ROW_DEFAULTS), changes));
+        EditDocument edit = new EditDocument(key.organisation(), key.service(), versionToEdit(line, row), values);
+        return new EditSender(context).send(List.of(edit), line);
     }
 
-    private static long against(CommandLine line, RowDocument row) throws CliException {
+    private static long versionToEdit(CommandLine line, RowDocument row) throws CliException {
         try {
             return line.hasOption("against") ? Long.parseLong(line.getOptionValue("against")) : row.version();
         } catch (NumberFormatException e) {
@@ -78,27 +78,29 @@
         }
     }
 
-    private static RowValues changed(RowValues old, List<String> changes) throws CliException {
+    private static RowValues withChanges(RowValues old, List<String> changes) throws CliException {
         ObjectNode node = TableRecords.writeValues(old);
         for (String change : changes) {
-            int at = change.indexOf('=');
-            String column = at < 0 ? change : change.substring(0, at);
-            if (at < 0 || !node.has(column)) {
+            int separator = change.indexOf('=');
+            String column = separator < 0 ? change : change.substring(0, separator);
+            if (separator < 0 || !node.has(column)) {
                 throw new CliException(
-                        ExitCode.USAGE, "no column reads " + column + "; give COLUMN=VALUE, as table get names them");
+                        ExitCode.USAGE,
+                        "unknown or incomplete column " + column
+                                + "; give COLUMN=VALUE with a column that table get shows");
             }
-            put(node, column, change.substring(at + 1));
+            setColumn(node, column, change.substring(separator + 1));
         }
-        return checked(node);
+        return readAndValidate(node);
     }
 
-    private static void put(ObjectNode node, String column, String text) throws CliException {
+    private static void setColumn(ObjectNode node, String column, String text) throws CliException {
         try {
-            if (column.equals(KEYS)) {
-                node.putArray(KEYS);
+            if (column.equals(KEY_HASHES_COLUMN)) {
+                node.putArray(KEY_HASHES_COLUMN);
                 for (String hash : text.trim().split("[ ,]+", -1)) {
                     if (!hash.isEmpty()) {
-                        node.withArray(KEYS).add(hash);
+                        node.withArray(KEY_HASHES_COLUMN).add(hash);
                     }
                 }
                 return;
@@ -109,7 +111,7 @@
         }
     }
 
-    private static RowValues checked(ObjectNode node) throws CliException {
+    private static RowValues readAndValidate(ObjectNode node) throws CliException {
         try {
             RowValues values = TableRecords.readValues(node);
             List<ColumnFault> faults = RowChecks.validate(values);
--- a/cli/src/main/java/org/cornelramp/cli/log/LogLine.java
+++ b/cli/src/main/java/org/cornelramp/cli/log/LogLine.java
@@ -12,17 +12,17 @@
 /**
  * One line of a gateway's log. Immutable, safe for use by any thread.
  *
- * @param millis time of day
- * @param process the gateway that wrote it
- * @param part the part of the gateway
- * @param event what happened
+ * @param timeMillis value of the field {@code time}, in milliseconds
+ * @param process the gateway that wrote the line
+ * @param part the component of the gateway
+ * @param event the name of the event
  * @param fields all fields of the line
  */
-public record LogLine(long millis, String process, String part, String event, JsonNode fields) {
+public record LogLine(long timeMillis, String process, String part, String event, JsonNode fields) {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Set<String> HEAD = Set.of("time", "process", "part", "event");
+    private static final Set<String> HEADER_FIELDS = Set.of("time", "process", "part", "event");
 
-    /** Reads a line; empty if it is none of a gateway's. What stands before the opening brace is ignored. */
+    /** Parses a line; empty if it is not a gateway's log line. Text before the opening brace is ignored. */
     public static Optional<LogLine> parse(String text) {
         int begin = text.indexOf('{');
         if (begin < 0) {
@@ -30,14 +30,14 @@
         }
         try {
             JsonNode node = JSON.readTree(text.substring(begin));
-            boolean own = node.hasNonNull("time") && node.hasNonNull("part") && node.hasNonNull("event");
-            return own ? Optional.of(of(node)) : Optional.empty();
+            boolean isGatewayLine = node.hasNonNull("time") && node.hasNonNull("part") && node.hasNonNull("event");
+            return isGatewayLine ? Optional.of(fromJson(node)) : Optional.empty();
         } catch (JsonProcessingException e) {
-            return Optional.empty(); // a line of a library, or one that was cut by a crash
+            return Optional.empty(); // a line of a library, or one that was truncated by a crash
         }
     }
 
-    private static LogLine of(JsonNode node) {
+    private static LogLine fromJson(JsonNode node) {
         return new LogLine(
                 node.get("time").asLong(),
                 node.path("process").asText(),
@@ -46,22 +46,22 @@
                 node);
     }
 
-    /** Whether it tells of this. */
-    boolean is(String wantedPart, String wantedEvent) {
+    /** Whether the line reports the given event of the given part. */
+    boolean isEvent(String wantedPart, String wantedEvent) {
         return part.equals(wantedPart) && event.equals(wantedEvent);
     }
 
     /** A field as text; empty if the line lacks it. */
-    String text(String name) {
+    String fieldText(String name) {
         return fields.path(name).asText();
     }
 
-    /** What it says beside its head, as {@code name=value}. */
+    /** The non-empty fields other than time, process, part and event, as {@code name=value}. */
     public String facts() {
         List<String> facts = new ArrayList<>();
         fields.fields().forEachRemaining(field -> {
             String value = field.getValue().asText();
-            if (!HEAD.contains(field.getKey()) && !value.isEmpty()) {
+            if (!HEADER_FIELDS.contains(field.getKey()) && !value.isEmpty()) {
                 facts.add(field.getKey() + "=" + value);
             }
         });
--- a/cli/src/main/java/org/cornelramp/cli/log/package-info.java
+++ b/cli/src/main/java/org/cornelramp/cli/log/package-info.java
@@ -1,2 +1,2 @@
-/** What the gateways' log lines tell afterwards. */
+/** Parses the gateways' log lines and explains single requests from them. */
 package org.cornelramp.cli.log;
--- a/cli/src/main/java/org/cornelramp/cli/text/BurnPlot.java
+++ b/cli/src/main/java/org/cornelramp/cli/text/BurnPlot.java
@@ -12,7 +12,7 @@
 import org.knowm.xchart.CategoryChart;
 import org.knowm.xchart.CategoryChartBuilder;
 
-/** Plots burn rates as bars. Stateless, safe for use by any thread. */
+/** Plots service-level burn rates as a bar chart. Stateless, safe for use by any thread. */
 public final class BurnPlot {
     private static final int WIDTH = 1_200;
     private static final int HEIGHT = 600;
@@ -21,12 +21,12 @@
 
     private BurnPlot() {}
 
-    /** Writes the most urgent rows as a PNG file. */
+    /** Plots the most urgent rows, at most 20, into a PNG file. */
     public static void write(BurnReport report, String file) throws CliException {
         CategoryChart chart = new CategoryChartBuilder()
                 .width(WIDTH)
                 .height(HEIGHT)
-                .title("Service-level burn rate (1 uses the allowance up just in time)")
+                .title("Service-level burn rate (at 1 the allowance lasts exactly for its period)")
                 .xAxisTitle("organisation/service")
                 .yAxisTitle("burn rate")
                 .build();
--- a/cli/src/main/java/org/cornelramp/cli/text/TextTable.java
+++ b/cli/src/main/java/org/cornelramp/cli/text/TextTable.java
@@ -3,17 +3,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Lays out rows of text in columns. Confined to one thread. */
+/** Formats rows of text as a table with aligned columns. Confined to one thread. */
 public final class TextTable {
-    private static final String GAP = "  ";
+    private static final String COLUMN_GAP = "  ";
 
     private final List<List<String>> lines = new ArrayList<>();
 
-    public TextTable(String... names) {
-        lines.add(List.of(names));
+    public TextTable(String... headers) {
+        lines.add(List.of(headers));
     }
 
-    /** Adds a row with as many fields as there are names. */
+    /** Adds a row with as many fields as there are column headers. */
     public TextTable add(List<String> fields) {
         lines.add(List.copyOf(fields));
         return this;
@@ -34,7 +34,7 @@
             for (int i = 0; i < columns; i++) {
                 row.append(line.get(i))
                         .append(" ".repeat(widths[i] - line.get(i).length()))
-                        .append(GAP);
+                        .append(COLUMN_GAP);
             }
             text.append(row.toString().stripTrailing()).append('\n');
         }
--- a/cli/src/test/java/org/cornelramp/cli/FakeEntry.java
+++ b/cli/src/test/java/org/cornelramp/cli/FakeEntry.java
@@ -11,17 +11,17 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** An entry that answers as it was told. Safe for use by any thread. */
+/** An entry that returns canned responses. Safe for use by any thread. */
 final class FakeEntry implements AutoCloseable {
     static final String KEY = "secret1";
 
-    /** Calls that came, as method and path. */
+    /** Received calls, as method and path. */
     final List<String> calls = new CopyOnWriteArrayList<>();
 
-    /** Bodies that came, in the order of the calls. */
+    /** Received request bodies, in the order of the calls. */
     final List<String> bodies = new CopyOnWriteArrayList<>();
 
-    private final Map<String, String> answers = new ConcurrentHashMap<>();
+    private final Map<String, String> responses = new ConcurrentHashMap<>();
     private final HttpServer server;
 
     FakeEntry() throws IOException {
@@ -34,9 +34,12 @@
         return "http://127.0.0.1:" + server.getAddress().getPort();
     }
 
-    /** Sets the answer to a call such as {@code GET table}; other calls end without one. */
-    FakeEntry answer(String call, String body) {
-        answers.put(call, body);
+    /**
+     * Sets the response body to a call such as {@code GET table}, with {@code $ID} for the id of the last edits. The
+     * connection of any other call, or of one without the operator's key, is closed without a response.
+     */
+    FakeEntry respondTo(String call, String body) {
+        responses.put(call, body);
         return this;
     }
 
@@ -45,25 +48,25 @@
                 + exchange.getRequestURI().getPath().substring("/operator/v1/".length());
         bodies.add(new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8));
         calls.add(call);
-        String answer = answers.get(call);
-        if (answer != null
+        String response = responses.get(call);
+        if (response != null
                 && ("Bearer " + KEY).equals(exchange.getRequestHeaders().getFirst("Authorization"))) {
-            byte[] bytes = answer.replace("$ID", lastId()).getBytes(StandardCharsets.UTF_8);
+            byte[] bytes = response.replace("$ID", lastEditId()).getBytes(StandardCharsets.UTF_8);
             exchange.sendResponseHeaders(200, bytes.length);
             exchange.getResponseBody().write(bytes);
         }
         exchange.close();
     }
 
-    /** The id that the last edits were sent under. */
-    private String lastId() {
+    /** The id of the last edit request. */
+    private String lastEditId() {
         return bodies.stream()
                 .filter(body -> body.startsWith("{\"id\":\""))
                 .reduce("", (first, second) -> second)
                 .replaceAll("^\\{\"id\":\"([^\"]*)\".*$", "$1");
     }
 
-    long count(String call) {
+    long callCount(String call) {
         return calls.stream().filter(call::equals).count();
     }
 
--- a/cli/src/test/java/org/cornelramp/cli/UnansweredEditTest.java
+++ b/cli/src/test/java/org/cornelramp/cli/UnansweredEditTest.java
@@ -7,8 +7,8 @@
 import org.testng.annotations.Test;
 
 /**
- * An entry takes an edit and ends before it answers. The edit may be on the log, so it must not be sent again under
- * another id: the command looks for it in the history, and tells accepted or rejected by what it finds there.
+ * Guards against an edit that is sent twice. An entry takes an edit and stops before it answers, so the edit may be on
+ * the log: the command must not send it again under another id, but report the result that the history shows.
  */
 public class UnansweredEditTest {
     private static final String VALUES = "{\"weight\":7,\"priority\":5,\"requestsPerSecond\":0,\"concurrency\":0,"
@@ -21,33 +21,34 @@
                 + "\"against\":4,\"accepted\":" + accepted + ",\"values\":" + VALUES + "}]}";
     }
 
-    private static void ends(boolean accepted, ExitCode code, String word) throws IOException {
+    private static void assertResultFromHistory(boolean accepted, ExitCode exitCode, String outcome)
+            throws IOException {
         try (FakeEntry entry =
-                new FakeEntry().answer("GET table/o/s", ROW).answer("GET history/o/s", history(accepted))) {
-            Ran ran = Ran.of(entry.url(), "table", "set", "o", "s", "weight=7");
-            assertEquals(ran.code(), code, ran.progress());
-            assertTrue(ran.out().startsWith(word + " o/s"), ran.out());
-            assertEquals(entry.count("POST edits"), 1);
+                new FakeEntry().respondTo("GET table/o/s", ROW).respondTo("GET history/o/s", history(accepted))) {
+            CliRun run = CliRun.execute(entry.url(), "table", "set", "o", "s", "weight=7");
+            assertEquals(run.exitCode(), exitCode, run.progress());
+            assertTrue(run.out().startsWith(outcome + " o/s"), run.out());
+            assertEquals(entry.callCount("POST edits"), 1);
         }
     }
 
     @Test
-    public void oneThatIsInTheHistoryAsAcceptedIsAccepted() throws IOException {
-        ends(true, ExitCode.DONE, "accepted");
+    public void editAcceptedInHistoryIsReportedAccepted() throws IOException {
+        assertResultFromHistory(true, ExitCode.DONE, "accepted");
     }
 
     @Test
-    public void oneThatIsInTheHistoryAsRejectedIsRejected() throws IOException {
-        ends(false, ExitCode.REJECTED, "rejected");
+    public void editRejectedInHistoryIsReportedRejected() throws IOException {
+        assertResultFromHistory(false, ExitCode.REJECTED, "rejected");
     }
 
     @Test
-    public void oneThatIsNowhereIsUnknown() throws IOException {
-        try (FakeEntry entry = new FakeEntry().answer("GET table/o/s", ROW)) {
-            Ran ran = Ran.of(entry.url(), "table", "set", "o", "s", "weight=7");
-            assertEquals(ran.code(), ExitCode.UNKNOWN, ran.progress());
-            assertTrue(ran.out().contains("table history shows later whether edit"), ran.out());
-            assertEquals(entry.count("POST edits"), 1);
+    public void editMissingFromHistoryIsReportedUnknown() throws IOException {
+        try (FakeEntry entry = new FakeEntry().respondTo("GET table/o/s", ROW)) {
+            CliRun run = CliRun.execute(entry.url(), "table", "set", "o", "s", "weight=7");
+            assertEquals(run.exitCode(), ExitCode.UNKNOWN, run.progress());
+            assertTrue(run.out().contains("table history shows later whether edit"), run.out());
+            assertEquals(entry.callCount("POST edits"), 1);
         }
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/ExitCode.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/ExitCode.java
@@ -1,15 +1,15 @@
 package org.cornelramp.daemon;
 
-/** How the daemon's process ends. */
+/** Exit codes of the daemon's process. */
 enum ExitCode {
-    /** Planned stop, all work ended. */
+    /** A planned stop after which all work had ended. */
     STOPPED(0),
-    /** The daemon could not start; the log says why. */
+    /** The daemon could not start; the log gives the reason. */
     NOT_STARTED(1),
-    /** The command line or the settings are faulty; every fault is printed. */
+    /** The command line or the settings are invalid; every fault is printed. */
     FAULTY_SETTINGS(2),
-    /** Planned stop that cut work in progress, at the drain limit or by a second signal. */
-    CUT(3);
+    /** A planned stop that aborted work in progress, because the drain limit passed or a second signal came. */
+    WORK_ABORTED(3);
 
     private final int code;
 
--- a/daemon/src/main/java/org/cornelramp/daemon/Main.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/Main.java
@@ -23,9 +23,11 @@
 import org.cornelramp.daemon.kernel.Registry;
 import org.cornelramp.daemon.kernel.Signals;
 import org.cornelramp.daemon.kernel.StopSwitch;
-import org.cornelramp.daemon.log.Logs;
+import org.cornelramp.daemon.log.LoggingSetup;
 
-/** Starts the daemon, {@code cornelrampd --settings FILE}; see {@link ExitCode} for how it ends. Stateless. */
+/**
+ * Entry point of the daemon, {@code cornelrampd --settings FILE}; the exit codes are in {@link ExitCode}. Stateless.
+ */
 public final class Main {
     private static final System.Logger LOG = System.getLogger(Main.class.getName());
 
@@ -36,10 +38,10 @@
         Either<String, DaemonSettings> settings = settingsFile(args).flatMap(Main::read);
         if (settings.isLeft()) {
             System.err.println(settings.getLeft());
-            end(ExitCode.FAULTY_SETTINGS);
+            exit(ExitCode.FAULTY_SETTINGS);
         }
-        Logs.install(settings.get().log());
-        end(run(settings.get()));
+        LoggingSetup.install(settings.get().log());
+        exit(run(settings.get()));
     }
 
     private static Either<String, Path> settingsFile(String[] args) {
@@ -83,7 +85,7 @@
         PlannedStop stop = new PlannedStop(kernel, clock, settings.timing().drainMillis());
         try {
             registry.share(StopSwitch.class, stop::begin);
-            Signals.onStop(stop::signalled);
+            Signals.onStop(stop::onStopSignal);
             kernel.start();
             System.out.println(readyLine(settings, registry));
             return stop.awaitAndRun();
@@ -94,14 +96,16 @@
     }
 
     private static String readyLine(DaemonSettings settings, Registry registry) {
-        HostPort http = registry.need(HttpServer.class).address();
+        HostPort http = registry.require(HttpServer.class).address();
         String links = settings.links().map(address -> " links=" + address).orElse("");
         return "ready role=" + settings.role().name().toLowerCase(java.util.Locale.ROOT) + " name=" + settings.name()
                 + " http=" + http + links;
     }
 
-    /** Halts, because a library's forgotten thread must not keep a stopped process alive. */
-    private static void end(ExitCode code) {
+    /**
+     * Halts the virtual machine, because a thread that a library left running must not keep a stopped process alive.
+     */
+    private static void exit(ExitCode code) {
         System.out.flush();
         System.err.flush();
         Runtime.getRuntime().halt(code.code());
--- a/daemon/src/main/java/org/cornelramp/daemon/PlannedStop.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/PlannedStop.java
@@ -6,9 +6,10 @@
 import org.cornelramp.daemon.kernel.Kernel;
 
 /**
- * A planned stop: the first signal starts the drain, a second one ends it, and so does the limit.
+ * A planned stop: the first stop signal starts the drain; a second signal or the drain limit ends it.
  *
- * <p>{@link #begin} and {@link #signalled} may be called by any thread, {@link #awaitAndRun} by the main thread only.
+ * <p>{@link #begin} and {@link #onStopSignal} may be called by any thread, {@link #awaitAndRun} by the main thread
+ * only.
  */
 final class PlannedStop {
     private static final System.Logger LOG = System.getLogger(PlannedStop.class.getName());
@@ -17,7 +18,7 @@
     private final Clock clock;
     private final long drainMillis;
     private final Thread main = Thread.currentThread();
-    private final CountDownLatch first = new CountDownLatch(1);
+    private final CountDownLatch stopRequested = new CountDownLatch(1);
 
     PlannedStop(Kernel kernel, Clock clock, long drainMillis) {
         this.kernel = kernel;
@@ -25,40 +26,42 @@
         this.drainMillis = drainMillis;
     }
 
-    /** Begins the stop; a repeat changes nothing. */
+    /** Starts the stop; repeated calls have no effect. */
     void begin() {
-        first.countDown();
+        stopRequested.countDown();
     }
 
-    /** Handles a stop signal. */
-    synchronized void signalled() {
-        if (first.getCount() > 0) {
-            first.countDown();
+    /** Handles a stop signal: the first starts the drain, any further one interrupts it. */
+    synchronized void onStopSignal() {
+        if (stopRequested.getCount() > 0) {
+            stopRequested.countDown();
         } else {
             main.interrupt();
         }
     }
 
-    /** Waits for the first signal, drains and stops. */
+    /** Waits until the stop is requested, then drains and stops the kernel. */
     ExitCode awaitAndRun() {
         try {
-            first.await();
+            stopRequested.await();
         } catch (InterruptedException e) {
-            // The second signal came at once: the drain tells all parts and then ends at its first wait.
+            // The second signal came before the drain began: the drain notifies all components and ends at its first
+            // wait.
             Thread.currentThread().interrupt();
         }
-        LOG.log(System.Logger.Level.INFO, "kernel: a planned stop begins; limitMillis=" + drainMillis);
+        LOG.log(System.Logger.Level.INFO, "kernel: a planned stop starts; limitMillis=" + drainMillis);
         boolean drained = drain(clock.instant().plusMillis(drainMillis));
         kernel.stop();
         LOG.log(System.Logger.Level.INFO, "kernel: stopped; cut=" + !drained);
-        return drained ? ExitCode.STOPPED : ExitCode.CUT;
+        return drained ? ExitCode.STOPPED : ExitCode.WORK_ABORTED;
     }
 
     private boolean drain(Instant limit) {
         try {
             return kernel.drain(limit);
         } catch (InterruptedException e) {
-            // The second signal; the interrupt is spent, so that stopping can still wait for threads to end.
+            // The second signal ended the drain. The interrupt flag is clear, so stopping can still wait for threads to
+            // end.
             boolean drained = kernel.isDrained();
             LOG.log(System.Logger.Level.WARNING, "kernel: a second signal ended the drain; cut=" + !drained);
             return drained;
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/Agent.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/Agent.java
@@ -34,50 +34,53 @@
 import org.cornelramp.wire.message.TableUpdate;
 
 /**
- * The agent's state and what it does with each event.
+ * Holds the agent's state and handles its events and ticks.
  *
- * <p>Confined to the agent's duty, but for {@link #heartbeat}, which any thread may read. What decides here is the
- * agent's own memory and never a lease: an agent that was paused for any time and wakes goes on with the same
- * ledger and the same sessions. Its late frames carry old epochs or keys that are bound to it alone, so they change
- * nothing elsewhere.
+ * <p>Confined to the agent's event loop thread, except {@link #heartbeat}, which any thread may read. Decisions rest
+ * on the agent's own memory and never on a lease: after a pause of any length the process continues with the same
+ * ledger and the same sessions. The frames it then sends late carry old epochs or keys that are bound to this agent
+ * alone, so they have no effect elsewhere.
  */
-final class Agent implements BackendWatch.Listener {
+final class Agent implements BackendMonitor.Listener {
     private static final System.Logger LOG = System.getLogger(Agent.class.getName());
     private static final int MAX_SET_ASIDE = 32;
-    private static final long TABLE_ASK_MILLIS = 200;
-    private static final long MILLI = 1_000_000L;
-    /** How often in each heartbeat interval the load is summed up anew. */
-    private static final int REFRESHES = 3;
+    private static final long TABLE_REQUEST_INTERVAL_MILLIS = 200;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    /** Number of times the load is recomputed in each heartbeat interval. */
+    private static final int REFRESHES_PER_HEARTBEAT = 3;
 
-    /** Part of the time for a stop, and most of it, that is kept for writing the keys on the log. */
-    private static final int SETTLE_PART = 5;
+    /**
+     * Divisor of the time allowed for a planned stop. The quotient, at most {@link #MAX_SETTLEMENT_MILLIS}, is reserved
+     * at the end of the stop for writing the results of keys to the log.
+     */
+    private static final int SETTLEMENT_TIME_DIVISOR = 5;
 
-    private static final long SETTLE_MILLIS = 5_000;
+    private static final long MAX_SETTLEMENT_MILLIS = 5_000;
 
     private final Supplier<Moment> clock;
-    private final Completions completions;
+    private final CompletionDispatcher completions;
     private final CallHandler calls;
     private final StageHandler stages;
-    private final EngineStepper stepper;
+    private final StepBatcher batcher;
     private final OutputSender sender;
     private final TableSource tables;
-    private final Runnable beatNow;
+    private final Runnable sendHeartbeat;
     private final CrashSuspects suspects;
     private final StopSwitch stopSwitch;
     private final BackendKind kind;
     private final OrderHandler orders;
-    private final BackendWatch backend;
-    private final Map<Link, Heartbeat> entries = new HashMap<>();
+    private final BackendMonitor backendMonitor;
+    private final Map<Link, Heartbeat> entryHeartbeats = new HashMap<>();
     private final Set<String> setAside = new TreeSet<>();
-    private long nextTableAskAt;
+    private long nextTableRequestAt;
     private final SettlementWriter settlement;
-    private final long pauseNanos;
-    private final long refreshNanos;
+    private final long pauseThresholdNanos;
+    private final long refreshIntervalNanos;
     private long lastTickAt;
     private long refreshedAt;
     private boolean leaving;
-    private boolean settling;
-    private long settleAt;
+    private boolean settlementStarted;
+    private long settlementDueAt;
     private volatile Heartbeat heartbeat;
 
     Agent(AgentParts parts) {
@@ -85,83 +88,87 @@
         this.completions = parts.completions();
         this.calls = parts.calls();
         this.stages = parts.stages();
-        this.stepper = parts.stepper();
+        this.batcher = parts.batcher();
         this.sender = parts.sender();
         this.tables = parts.tables();
-        this.beatNow = parts.beatNow();
+        this.sendHeartbeat = parts.sendHeartbeat();
         this.suspects = parts.suspects();
         this.stopSwitch = parts.stopSwitch();
         this.settlement = parts.settlement();
         this.orders = parts.orders();
         this.kind = parts.settings().backend().orElseThrow().kind();
-        this.refreshNanos = parts.settings().timing().heartbeatMillis() * MILLI / REFRESHES;
-        this.pauseNanos = parts.settings().timing().backendTimeoutMillis() * MILLI / 2;
-        this.backend = new BackendWatch(
+        this.refreshIntervalNanos =
+                parts.settings().timing().heartbeatMillis() * NANOS_PER_MILLI / REFRESHES_PER_HEARTBEAT;
+        this.pauseThresholdNanos = parts.settings().timing().backendTimeoutMillis() * NANOS_PER_MILLI / 2;
+        this.backendMonitor = new BackendMonitor(
                 parts.offers(), completions, clock, parts.settings().timing().backendTimeoutMillis(), this);
-        sender.join(stages::step);
-        stepper.join(stages, sender);
-        stepper.watch(backend);
-        calls.watch(backend);
+        sender.setLocalSteps(stages::step);
+        batcher.setCollaborators(stages, sender);
+        batcher.setMonitor(backendMonitor);
+        calls.setMonitor(backendMonitor);
         this.heartbeat = buildHeartbeat();
     }
 
     /** Handles one event. */
     void handle(AgentEvent event) {
         Moment now = clock.get();
-        if (event instanceof AgentEvent.Completed completed) {
-            completed.then().run();
-        } else if (event instanceof AgentEvent.Received received) {
+        if (event instanceof AgentEvent.Task task) {
+            task.action().run();
+        } else if (event instanceof AgentEvent.MessageReceived received) {
             receive(received.link(), received.message(), now);
-        } else if (event instanceof AgentEvent.Opened opened) {
-            opened(opened.link(), now);
-        } else if (event instanceof AgentEvent.Closed closed) {
-            entries.remove(closed.link());
+        } else if (event instanceof AgentEvent.LinkOpened opened) {
+            onLinkOpened(opened.link(), now);
+        } else if (event instanceof AgentEvent.LinkClosed closed) {
+            entryHeartbeats.remove(closed.link());
         }
         if (state() != heartbeat.state()) {
-            refresh();
+            refreshHeartbeat();
         }
     }
 
-    /** Does what is due by time. */
+    /** Runs the work that depends on time. */
     void tick() {
         Moment now = clock.get();
-        noticeOwnPause(now);
-        completions.runAside();
-        entries.keySet().removeIf(link -> !link.isOpen());
+        detectProcessPause(now);
+        completions.runOverflow();
+        entryHeartbeats.keySet().removeIf(link -> !link.isOpen());
         suspects.tick(now);
-        backend.tick(now);
+        backendMonitor.tick(now);
         calls.tick(now);
         stages.tick(now);
-        stepper.tick(now);
+        batcher.tick(now);
         orders.tick(now);
         if (leaving) {
-            stopStep(now);
+            advanceStop(now);
         }
-        if (now.nanos() - refreshedAt >= refreshNanos) {
-            refresh();
+        if (now.nanos() - refreshedAt >= refreshIntervalNanos) {
+            refreshHeartbeat();
         }
     }
 
-    /** After a pause of this process a backend server that answered all the time would look silent. */
-    private void noticeOwnPause(Moment now) {
+    /**
+     * Detects that this process was paused. Without this, a backend server that answered during the pause would be
+     * taken for unresponsive, since its answers are still unread.
+     */
+    private void detectProcessPause(Moment now) {
         long paused = now.nanos() - lastTickAt;
-        if (lastTickAt != 0 && paused > pauseNanos) {
-            LOG.log(System.Logger.Level.WARNING, "agent: this process stood still; millis=" + paused / MILLI);
-            backend.woke(now);
-            stepper.woke(paused);
+        if (lastTickAt != 0 && paused > pauseThresholdNanos) {
+            LOG.log(System.Logger.Level.WARNING, "agent: this process was paused; millis=" + paused / NANOS_PER_MILLI);
+            backendMonitor.processResumed(now);
+            batcher.processResumed(paused);
         }
         lastTickAt = now.nanos();
     }
 
-    private void opened(Link link, Moment now) {
+    private void onLinkOpened(Link link, Moment now) {
         if (link.peer().entry()) {
-            entries.put(link, EMPTY);
+            entryHeartbeats.put(link, EMPTY_HEARTBEAT);
         }
-        sender.opened(link, stages.stages(), now);
+        sender.linkOpened(link, stages.stages(), now);
         stages.linkOpened(link, now);
     }
 
-    private static final Heartbeat EMPTY = new Heartbeat(
+    private static final Heartbeat EMPTY_HEARTBEAT = new Heartbeat(
             AgentState.ACTIVE,
             AgentLoad.IDLE,
             Optional.empty(),
@@ -176,7 +183,7 @@
         if (message instanceof Step step) {
             stages.step(step, now);
         } else if (message instanceof Heartbeat beat) {
-            heard(link, beat, now);
+            onHeartbeat(link, beat, now);
         } else if (message instanceof Invoke invoke) {
             calls.invoke(link, invoke, refusal(BackendKind.SERVICE), now);
         } else if (message instanceof Settle settle) {
@@ -192,58 +199,59 @@
         } else if (message instanceof Order order) {
             orders.order(link, order);
         } else if (message instanceof Drain drain) {
-            LOG.log(System.Logger.Level.INFO, "agent: asked to stop; by=" + drain.by());
+            LOG.log(System.Logger.Level.INFO, "agent: received a request to stop; by=" + drain.by());
             stopSwitch.stop();
         } else if (message instanceof TableRequest request) {
-            giveTable(link, request);
+            sendTable(link, request);
         } else if (message instanceof TableUpdate update) {
-            takeTable(update);
+            applyTable(update);
         } else {
             LOG.log(
                     System.Logger.Level.DEBUG,
-                    "agent: a message has no meaning here; peer=" + link.peer().process() + " type="
+                    "agent: ignored a message of a type that an agent does not handle; peer="
+                            + link.peer().process() + " type="
                             + message.getClass().getSimpleName());
         }
     }
 
-    private void heard(Link link, Heartbeat beat, Moment now) {
-        orders.heard(beat.term());
+    private void onHeartbeat(Link link, Heartbeat beat, Moment now) {
+        orders.observeTerm(beat.term());
         if (link.peer().entry()) {
-            entries.put(link, beat);
+            entryHeartbeats.put(link, beat);
             beat.setAside().stream().limit(MAX_SET_ASIDE).forEach(setAside::add);
             if (setAside.size() > MAX_SET_ASIDE) {
                 setAside.retainAll(beat.setAside());
             }
         }
-        if (beat.tableOffset() > tables.current().offset() && now.nanos() - nextTableAskAt >= 0) {
-            nextTableAskAt = now.plusMillis(TABLE_ASK_MILLIS);
+        if (beat.tableOffset() > tables.current().offset() && now.nanos() - nextTableRequestAt >= 0) {
+            nextTableRequestAt = now.plusMillis(TABLE_REQUEST_INTERVAL_MILLIS);
             link.send(new TableRequest(tables.current().offset()));
         }
     }
 
-    private void giveTable(Link link, TableRequest request) {
+    private void sendTable(Link link, TableRequest request) {
         long offset = tables.current().offset();
         if (offset > request.above()) {
             link.send(new TableUpdate(offset, tables.snapshotAbove(request.above())));
         }
     }
 
-    private void takeTable(TableUpdate update) {
-        if (tables.takeSnapshot(update.offset(), update.snapshot())) {
-            beatNow.run();
+    private void applyTable(TableUpdate update) {
+        if (tables.applySnapshot(update.offset(), update.snapshot())) {
+            sendHeartbeat.run();
         }
     }
 
-    /** Why no new work is taken now; empty if it is taken. */
+    /** The reason why new work is refused now; empty if it is accepted. */
     private Optional<KeyResult> refusal(BackendKind needed) {
         if (kind != needed) {
-            return Optional.of(
-                    KeyResult.notRun(ProblemKind.NO_BACKEND_SERVER, "The backend server here is of another kind", 0));
+            return Optional.of(KeyResult.notRun(
+                    ProblemKind.NO_BACKEND_SERVER, "The backend server of this agent is of another kind", 0));
         }
         return switch (state()) {
             case ACTIVE -> Optional.empty();
             case LEAVING ->
-                Optional.of(KeyResult.notRun(ProblemKind.LEAVING, "The agent finishes its work and takes no more", 0));
+                Optional.of(KeyResult.notRun(ProblemKind.LEAVING, "The agent is stopping and accepts no new work", 0));
             case STARTING ->
                 Optional.of(KeyResult.notRun(
                         ProblemKind.NOT_READY, "The backend server has not answered yet", RETRY_MILLIS));
@@ -255,27 +263,27 @@
     private static final long RETRY_MILLIS = 500;
 
     @Override
-    public void offered(Offer offer) {
-        calls.slots(offer.slots());
-        stepper.slots(offer.slots());
+    public void offerReceived(Offer offer) {
+        calls.setSlots(offer.slots());
+        batcher.setSlots(offer.slots());
     }
 
     @Override
     public void restarted() {
         LOG.log(
                 System.Logger.Level.WARNING,
-                "agent: the backend server has started anew; sessions=" + stages.count() + " calls="
+                "agent: the backend server has restarted; sessions=" + stages.count() + " calls="
                         + calls.runningCount());
-        List<String> running = new ArrayList<>(calls.backendDied());
-        running.addAll(stages.backendDied());
-        suspects.crashed(running, clock.get());
-        refresh();
-        beatNow.run();
+        List<String> running = new ArrayList<>(calls.abandonRunning());
+        running.addAll(stages.abandonAll());
+        suspects.recordCrash(running, clock.get());
+        refreshHeartbeat();
+        sendHeartbeat.run();
     }
 
     /**
-     * Calls at the backend server are left alone: one that stops gracefully takes no new connection and still
-     * answers them. A session is given up, since rebuilding it elsewhere changes no outcome.
+     * Keeps the calls that run at the backend server: a server that stops gracefully accepts no new connection but
+     * still answers them. Drops the sessions, since rebuilding them elsewhere changes no outcome.
      */
     @Override
     public void unreachable(String why) {
@@ -283,50 +291,51 @@
                 System.Logger.Level.WARNING,
                 "agent: the backend server is down; why=" + why + " sessions=" + stages.count() + " calls="
                         + calls.runningCount());
-        suspects.crashed(stages.backendDied(), clock.get());
+        suspects.recordCrash(stages.abandonAll(), clock.get());
         calls.refuseWaiting(KeyResult.notRun(ProblemKind.BACKEND_FAILED, "The backend server is down", RETRY_MILLIS));
-        refresh();
-        beatNow.run();
+        refreshHeartbeat();
+        sendHeartbeat.run();
     }
 
     /**
-     * Begins the planned stop: takes no new work from now on, and says so at once. Work in progress goes on; when it
-     * has ended, or shortly before the limit, what became of each key is written on the log.
+     * Begins the planned stop: refuses new work from now on and announces this with an extra heartbeat. Work in
+     * progress continues; when it has ended, or shortly before the limit, the result of each key is written to the log.
      */
-    void leave(Moment limit) {
+    void beginStop(Moment limit) {
         if (leaving) {
             return;
         }
         leaving = true;
         Moment now = clock.get();
         long allowed = now.millisTo(limit.nanos());
-        settleAt = limit.nanos() - Math.min(allowed / SETTLE_PART, SETTLE_MILLIS) * MILLI;
-        refresh();
-        beatNow.run();
+        settlementDueAt =
+                limit.nanos() - Math.min(allowed / SETTLEMENT_TIME_DIVISOR, MAX_SETTLEMENT_MILLIS) * NANOS_PER_MILLI;
+        refreshHeartbeat();
+        sendHeartbeat.run();
     }
 
-    private void stopStep(Moment now) {
-        boolean worked = calls.isIdle() && stages.count() == 0;
-        if (worked || now.nanos() - settleAt >= 0) {
-            if (!settling) {
-                settling = true;
+    private void advanceStop(Moment now) {
+        boolean workDone = calls.isIdle() && stages.count() == 0;
+        if (workDone || now.nanos() - settlementDueAt >= 0) {
+            if (!settlementStarted) {
+                settlementStarted = true;
                 calls.refuseWaiting(KeyResult.notRun(ProblemKind.LEAVING, "The agent stops", 0));
-                settlement.begin(calls.lastWords());
+                settlement.begin(calls.finalResults());
             }
             settlement.tick(now);
         }
     }
 
-    /** Whether no work is in progress and each key's last word is on the log. */
+    /** Whether no work is in progress and the final result of each key is on the log. */
     boolean isStopped() {
         return leaving && calls.isIdle() && stages.count() == 0 && settlement.isWritten();
     }
 
     private AgentState state() {
-        return leaving ? AgentState.LEAVING : backend.state();
+        return leaving ? AgentState.LEAVING : backendMonitor.state();
     }
 
-    private void refresh() {
+    private void refreshHeartbeat() {
         AgentState before = heartbeat.state();
         Heartbeat next = buildHeartbeat();
         refreshedAt = clock.get().nanos();
@@ -336,7 +345,7 @@
         heartbeat = next;
         if (before != heartbeat.state()) {
             LOG.log(System.Logger.Level.INFO, "agent: state changed; from=" + before + " to=" + heartbeat.state());
-            beatNow.run();
+            sendHeartbeat.run();
         }
     }
 
@@ -344,11 +353,11 @@
         return new Heartbeat(
                 state(),
                 load(),
-                backend.offer(),
+                backendMonitor.offer(),
                 tables.current().offset(),
                 orders.newestTerm(),
                 List.copyOf(setAside),
-                suspects.crashed(),
+                suspects.recentReports(),
                 Map.of(),
                 demand());
     }
@@ -362,19 +371,19 @@
             waiting += stage.session.isReady() ? 1 : 0;
             queued += Math.max(0, stage.session.spec().positionLimit() - stage.session.position());
         }
-        long mean = Math.max(calls.meanMicros(), stepper.meanMicros());
-        return new AgentLoad(running, waiting, queued, stepper.positionsPerSecond(), mean, entries.size());
+        long mean = Math.max(calls.meanMicros(), batcher.meanMicros());
+        return new AgentLoad(running, waiting, queued, batcher.positionsPerSecond(), mean, entryHeartbeats.size());
     }
 
     private Map<String, Double> demand() {
         Map<String, Double> sum = new TreeMap<>();
-        for (Heartbeat beat : entries.values()) {
+        for (Heartbeat beat : entryHeartbeats.values()) {
             beat.demand().forEach((row, rate) -> sum.merge(row, rate, Double::sum));
         }
         return sum;
     }
 
-    /** What the next heartbeat says. */
+    /** The content of the next heartbeat. */
     Heartbeat heartbeat() {
         return heartbeat;
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/AgentComponent.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/AgentComponent.java
@@ -18,7 +18,7 @@
 import org.cornelramp.core.settings.DaemonSettings;
 import org.cornelramp.core.settings.HostPort;
 import org.cornelramp.daemon.kernel.Component;
-import org.cornelramp.daemon.kernel.Duty;
+import org.cornelramp.daemon.kernel.EventLoop;
 import org.cornelramp.wire.link.Link;
 import org.cornelramp.wire.link.LinkCounters;
 import org.cornelramp.wire.link.LinkListener;
@@ -31,25 +31,26 @@
 import org.cornelramp.wire.message.Message;
 
 /**
- * The agent's threads: one for its links, one for all its state.
+ * Runs the agent on two threads: one for its links, and an event loop thread for all its state.
  *
- * <p>Safe for use by any thread. Invariant: an event that the full ring refuses is never lost in silence. A call is
- * answered as not run; for all else the link is closed, and on a new one its peer asks what became of its work.
+ * <p>Safe for use by any thread. Invariant: an event that does not fit the full ring is never dropped silently. A call
+ * without a key is answered as not run. For any other message the link is closed, and on a new link the peer asks for
+ * the state of its work.
  */
 final class AgentComponent implements Component, LinkListener {
     private static final System.Logger LOG = System.getLogger(AgentComponent.class.getName());
     private static final long TICK_MILLIS = 50;
-    /** Room on a link beside its largest frame, so that a table on its way does not hold up heartbeats. */
-    private static final long OUT_ROOM = 64 << 10;
+    /** Room in a link's outbound buffer beyond the largest frame: a table being sent must not delay heartbeats. */
+    private static final long OUTBOUND_MARGIN_BYTES = 64 << 10;
 
-    private static final byte[] NONE = new byte[0];
+    private static final byte[] EMPTY_BODY = new byte[0];
 
     private final AgentServices services;
     private final LinkLoop links;
-    private final Duty<AgentEvent> duty;
+    private final EventLoop<AgentEvent> duty;
     private final Agent agent;
     private volatile HostPort address;
-    private volatile boolean stopped;
+    private volatile boolean drained;
 
     AgentComponent(AgentServices services) {
         this.services = services;
@@ -57,43 +58,43 @@
         this.address = settings.links().orElseThrow();
         LinkOptions options = LinkOptions.of(
                         settings.timing().heartbeatMillis(), settings.bounds().frameBytes())
-                .withOutBytes(settings.bounds().frameBytes() + OUT_ROOM);
+                .withMaxUnsentBytes(settings.bounds().frameBytes() + OUTBOUND_MARGIN_BYTES);
         this.links = new LinkLoop("agent-links", options, this::hello, this::heartbeat, this);
-        this.duty = new Duty<>("agent", settings.bounds().ringSlots(), this::handle, this::tick, TICK_MILLIS);
-        this.agent = build();
+        this.duty = new EventLoop<>("agent", settings.bounds().ringSlots(), this::handle, this::tick, TICK_MILLIS);
+        this.agent = buildAgent();
     }
 
-    private Agent build() {
+    private Agent buildAgent() {
         DaemonSettings settings = services.settings();
         Supplier<Moment> clock = this::now;
-        Completions completions = new Completions(duty::offer);
+        CompletionDispatcher completions = new CompletionDispatcher(duty::offer);
         CrashSuspects suspects = new CrashSuspects(services.incarnation());
         OutputSender sender = new OutputSender(
-                new OutputSender.Neighbours() {
+                new OutputSender.NeighbourLinks() {
                     @Override
                     public void keep(HostPort neighbour) {
-                        links.keep(neighbour);
+                        links.keepConnected(neighbour);
                     }
 
                     @Override
                     public void forget(HostPort neighbour) {
-                        links.forget(neighbour);
+                        links.disconnect(neighbour);
                     }
                 },
                 settings.timing().heartbeatMillis());
-        EngineStepper stepper = new EngineStepper(settings, services.engine(), completions, clock, suspects);
+        StepBatcher batcher = new StepBatcher(settings, services.engine(), completions, clock, suspects);
         boolean isEngine = settings.backend().orElseThrow().kind() == BackendKind.ENGINE;
         return new Agent(new AgentParts(
                 settings,
                 clock,
                 completions,
                 new CallHandler(services, completions, clock, suspects),
-                new StageHandler(settings, services.engine(), completions, stepper, sender),
-                stepper,
+                new StageHandler(settings, services.engine(), completions, batcher, sender),
+                batcher,
                 sender,
                 services.tables(),
                 isEngine ? services.engine()::offer : services.service()::offer,
-                links::beatNow,
+                links::sendHeartbeatsNow,
                 suspects,
                 services.stopSwitch(),
                 new SettlementWriter(services.incarnation(), services.log(), completions),
@@ -121,7 +122,7 @@
 
     private void tick() {
         agent.tick();
-        stopped = agent.isStopped();
+        drained = agent.isStopped();
     }
 
     @Override
@@ -136,12 +137,12 @@
         links.start();
     }
 
-    /** Where links are taken; with the port that was bound once the agent has started. */
+    /** The address on which links are accepted; has the bound port once the agent has started. */
     HostPort address() {
         return address;
     }
 
-    /** What operators see of this agent. */
+    /** The state of this agent as the status endpoint shows it. */
     JsonNode status() {
         Heartbeat beat = agent.heartbeat();
         ObjectNode status = JsonNodeFactory.instance.objectNode();
@@ -158,8 +159,8 @@
         return status;
     }
 
-    /** Why this agent takes no work now; empty if it does. */
-    Optional<String> fault() {
+    /** The reason why this agent accepts no work now; empty if it accepts work. */
+    Optional<String> notReadyReason() {
         AgentState state = agent.heartbeat().state();
         return state.takesWork() ? Optional.empty() : Optional.of("the agent's state is " + state);
     }
@@ -177,7 +178,7 @@
         Moment now = now();
         Moment end =
                 new Moment(now.plusMillis(Duration.between(now.instant(), limit).toMillis()), limit);
-        AgentEvent leave = new AgentEvent.Completed(() -> agent.leave(end));
+        AgentEvent leave = new AgentEvent.Task(() -> agent.beginStop(end));
         while (!duty.offer(leave)) {
             Thread.onSpinWait();
         }
@@ -185,7 +186,7 @@
 
     @Override
     public boolean isDrained() {
-        return stopped;
+        return drained;
     }
 
     @Override
@@ -196,14 +197,14 @@
 
     @Override
     public void opened(Link link) {
-        if (!duty.offer(new AgentEvent.Opened(link))) {
+        if (!duty.offer(new AgentEvent.LinkOpened(link))) {
             link.close("the agent's ring is full");
         }
     }
 
     @Override
     public void received(Link link, Message message) {
-        if (duty.offer(new AgentEvent.Received(link, message))) {
+        if (duty.offer(new AgentEvent.MessageReceived(link, message))) {
             return;
         }
         if (message instanceof Invoke invoke && invoke.key().isEmpty()) {
@@ -215,7 +216,7 @@
                     TICK_MILLIS,
                     0,
                     "",
-                    NONE));
+                    EMPTY_BODY));
         } else {
             link.close("the agent's ring is full");
         }
@@ -223,8 +224,8 @@
 
     @Override
     public void closed(Link link, String why) {
-        if (!duty.offer(new AgentEvent.Closed(link, why))) {
-            LOG.log(System.Logger.Level.DEBUG, "agent: the ring is full, the next tick finds the link closed");
+        if (!duty.offer(new AgentEvent.LinkClosed(link, why))) {
+            LOG.log(System.Logger.Level.DEBUG, "agent: the ring is full, so the next tick removes the closed link");
         }
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/AgentEvent.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/AgentEvent.java
@@ -3,17 +3,17 @@
 import org.cornelramp.wire.link.Link;
 import org.cornelramp.wire.message.Message;
 
-/** What the agent's duty is told. Immutable, safe for use by any thread. */
+/** An event for the agent's event loop. Immutable, safe for use by any thread. */
 sealed interface AgentEvent {
-    /** A peer has said who it is. */
-    record Opened(Link link) implements AgentEvent {}
+    /** A link was opened and its peer has sent its hello. */
+    record LinkOpened(Link link) implements AgentEvent {}
 
-    /** A message has come. */
-    record Received(Link link, Message message) implements AgentEvent {}
+    /** A message was received. */
+    record MessageReceived(Link link, Message message) implements AgentEvent {}
 
-    /** A link is gone. */
-    record Closed(Link link, String why) implements AgentEvent {}
+    /** A link was closed. */
+    record LinkClosed(Link link, String why) implements AgentEvent {}
 
-    /** A call to the backend server or the platform has ended; {@code then} handles its result. */
-    record Completed(Runnable then) implements AgentEvent {}
+    /** Runs an action on the event loop thread, such as handling the result of an asynchronous call. */
+    record Task(Runnable action) implements AgentEvent {}
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/AgentParts.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/AgentParts.java
@@ -8,34 +8,34 @@
 import org.cornelramp.ports.BackendOffer;
 
 /**
- * What an {@link Agent} is made of. Confined to the thread that builds it.
+ * The collaborators of an {@link Agent}. Confined to the thread that builds it.
  *
  * @param settings the settings
  * @param clock reads the present time
- * @param completions brings ends of calls to the duty
- * @param calls calls to a plain service
- * @param stages stages of pipelines
- * @param stepper steps at the engine
- * @param sender outputs to neighbours and entries
+ * @param completions passes the results of asynchronous calls to the event loop
+ * @param calls handles calls to a plain service
+ * @param stages handles stages of pipelines
+ * @param batcher batches steps for the engine
+ * @param sender sends outputs to neighbours and entries
  * @param tables the table in force
- * @param offers asks the backend server what it offers
- * @param beatNow sends an extra heartbeat
- * @param suspects requests that were at a backend server when it crashed
+ * @param offers requests the backend server's offer
+ * @param sendHeartbeat sends an extra heartbeat
+ * @param suspects tracks requests that were at the backend server when it crashed
  * @param stopSwitch begins this process's planned stop
- * @param settlement writes the keys' last words on the log
- * @param orders orders to the engine
+ * @param settlement writes the final results of the keys to the log
+ * @param orders forwards orders to the engine
  */
 record AgentParts(
         DaemonSettings settings,
         Supplier<Moment> clock,
-        Completions completions,
+        CompletionDispatcher completions,
         CallHandler calls,
         StageHandler stages,
-        EngineStepper stepper,
+        StepBatcher batcher,
         OutputSender sender,
         TableSource tables,
         Supplier<CompletableFuture<BackendOffer>> offers,
-        Runnable beatNow,
+        Runnable sendHeartbeat,
         CrashSuspects suspects,
         StopSwitch stopSwitch,
         SettlementWriter settlement,
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/AgentPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/AgentPlugin.java
@@ -12,7 +12,7 @@
 import org.cornelramp.daemon.kernel.Registry;
 import org.cornelramp.daemon.kernel.StopSwitch;
 import org.cornelramp.daemon.report.LinkMeters;
-import org.cornelramp.daemon.report.StatusBoard;
+import org.cornelramp.daemon.report.StatusSections;
 import org.cornelramp.daemon.table.TableSource;
 import org.cornelramp.ports.EngineClient;
 import org.cornelramp.ports.LogClient;
@@ -40,22 +40,22 @@
     @Override
     public void register(Registry registry) {
         DaemonSettings settings = registry.settings();
-        Incarnation life = new Incarnation(new BackendServerId(settings.name()), new SecureRandom().nextLong());
-        registry.share(Incarnation.class, life);
+        Incarnation incarnation = new Incarnation(new BackendServerId(settings.name()), new SecureRandom().nextLong());
+        registry.share(Incarnation.class, incarnation);
         boolean isEngine = settings.backend().orElseThrow().kind() == BackendKind.ENGINE;
         AgentComponent agent = new AgentComponent(new AgentServices(
                 settings,
                 registry.clock(),
-                life,
-                isEngine ? registry.need(EngineClient.class) : new AbsentEngine(),
-                isEngine ? new AbsentService() : registry.need(ServiceClient.class),
-                registry.need(TableSource.class),
-                registry.need(LogClient.class),
-                registry.need(StopSwitch.class),
+                incarnation,
+                isEngine ? registry.require(EngineClient.class) : new RefusingEngineClient(),
+                isEngine ? new RefusingServiceClient() : registry.require(ServiceClient.class),
+                registry.require(TableSource.class),
+                registry.require(LogClient.class),
+                registry.require(StopSwitch.class),
                 IdempotencyKey::madeAt));
         registry.add(agent);
-        registry.need(StatusBoard.class).add("agent", agent::status);
-        registry.need(Readiness.class).add("agent", agent::fault);
+        registry.require(StatusSections.class).add("agent", agent::status);
+        registry.require(Readiness.class).add("agent", agent::notReadyReason);
         AgentMeters.register(registry.meters(), agent);
         new LinkMeters(agent.linkCounters()).bindTo(registry.meters());
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/AgentServices.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/AgentServices.java
@@ -13,17 +13,17 @@
 import org.cornelramp.ports.ServiceClient;
 
 /**
- * What an agent needs from outside. Immutable, safe for use by any thread.
+ * The services that an agent depends on. Immutable, safe for use by any thread.
  *
  * @param settings the settings
  * @param clock the wall clock
- * @param incarnation the life of this agent
- * @param engine the engine beside it
- * @param service the plain service beside it
+ * @param incarnation the incarnation of this agent
+ * @param engine the client of the agent's engine
+ * @param service the client of the agent's plain service
  * @param tables the table in force
  * @param log the log service
  * @param stopSwitch begins this process's planned stop
- * @param mintTime reads from a key when it was minted; empty if the key does not show it
+ * @param mintTime reads from a key the time at which it was minted; empty if the key does not contain it
  */
 record AgentServices(
         DaemonSettings settings,
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/CallHandler.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/CallHandler.java
@@ -32,36 +32,43 @@
 import org.cornelramp.wire.message.Settled;
 
 /**
- * Admits calls to the plain service beside the agent, runs each at most once, and answers repeats from the ledger.
+ * Admits calls to the agent's plain service, runs each call under a key at most once, and answers repeats from the
+ * ledger.
  *
- * <p>Confined to the agent's duty. Invariants: a call under a key reaches the service only after {@link Ledger#start}
- * said so; calls that wait are bounded; each call that was admitted is answered once on every link that asked.
+ * <p>Confined to the agent's event loop thread. Invariants: a call under a key is sent to the service only after
+ * {@link Ledger#start} has returned true; the number and size of waiting calls are bounded; each admitted call is
+ * answered once on every link that requested it.
  */
 final class CallHandler {
     private static final System.Logger LOG = System.getLogger(CallHandler.class.getName());
-    private static final int FRAME_ROOM = 1_024;
-    private static final long BUSY_WAIT_MILLIS = 100;
+    private static final int FRAME_OVERHEAD_BYTES = 1_024;
+    private static final long DEFAULT_WAIT_MILLIS = 100;
 
     private final DaemonSettings settings;
     private final ServiceClient service;
-    private final Completions completions;
+    private final CompletionDispatcher completions;
     private final Supplier<Moment> clock;
     private final Function<String, Optional<Instant>> mintTime;
     private final CrashSuspects suspects;
     private final Ledger ledger;
-    private final PriorityQueue<PendingCall> waiting = new PriorityQueue<>(
-            Comparator.comparingInt((PendingCall c) -> c.invoke.priority()).thenComparingLong(c -> c.number));
-    private final Map<String, PendingCall> byKey = new HashMap<>();
+    private final PriorityQueue<PendingCall> waiting =
+            new PriorityQueue<>(Comparator.comparingInt((PendingCall call) -> call.invoke.priority())
+                    .thenComparingLong(call -> call.sequence));
+    private final Map<String, PendingCall> pendingByKey = new HashMap<>();
     private final Set<PendingCall> running = new HashSet<>();
-    private final SpeedMeter speed = new SpeedMeter();
-    private BackendWatch backend;
-    /** Bodies of the calls that wait; a few thousand calls of the largest body would outgrow a small process. */
+    private final ThroughputMeter throughput = new ThroughputMeter();
+    private BackendMonitor backendMonitor;
+    /**
+     * Total size of the bodies of waiting calls. It is bounded, since a few thousand calls with the largest body would
+     * exceed the memory of a small process.
+     */
     private long waitingBytes;
 
     private int slots = 1;
-    private long numbers;
+    private long nextSequence;
 
-    CallHandler(AgentServices services, Completions completions, Supplier<Moment> clock, CrashSuspects suspects) {
+    CallHandler(
+            AgentServices services, CompletionDispatcher completions, Supplier<Moment> clock, CrashSuspects suspects) {
         this.settings = services.settings();
         this.service = services.service();
         this.completions = completions;
@@ -75,40 +82,41 @@
                 settings.bounds().frameBytes());
     }
 
-    /** Sets who is told of a service that refuses connections or loses answers. */
-    void watch(BackendWatch watch) {
-        this.backend = watch;
+    /** Sets the monitor that is notified when the service refuses connections or an answer is lost. */
+    void setMonitor(BackendMonitor monitor) {
+        this.backendMonitor = monitor;
     }
 
-    /** Sets how many calls run side by side. */
-    void slots(int count) {
+    /** Sets how many calls run concurrently. */
+    void setSlots(int count) {
         slots = Math.max(1, count);
     }
 
     /**
-     * Takes a call.
+     * Handles a call from an entry.
      *
-     * @param refusal why no new work is taken now, if so
+     * @param refusal the reason why new work is refused now; empty if it is accepted
      */
     void invoke(Link link, Invoke invoke, Optional<KeyResult> refusal, Moment now) {
-        Asker asker = new Asker(link, invoke.call());
+        Requester requester = new Requester(link, invoke.call());
         if (invoke.key().isEmpty() || invoke.bound().isEmpty()) {
-            invokeUnkeyed(asker, invoke, refusal, now);
+            invokeUnkeyed(requester, invoke, refusal, now);
             return;
         }
         Optional<KeyRequest> request =
                 request(invoke.key().get(), invoke.bound().get(), invoke.fingerprint());
         if (request.isEmpty()) {
-            asker.answer(KeyResult.notRun(ProblemKind.KEY_MALFORMED, "The key does not show when it was minted", 0));
+            requester.answer(
+                    KeyResult.notRun(ProblemKind.KEY_MALFORMED, "The key does not show when it was minted", 0));
             return;
         }
         KeyVerdict verdict = ledger.admit(request.get(), now.instant());
         if (verdict instanceof KeyVerdict.Settled settled) {
-            asker.answer(settled.result());
+            requester.answer(settled.result());
         } else if (verdict instanceof KeyVerdict.Wait) {
-            byKey.get(invoke.key().get()).askers.add(asker);
+            pendingByKey.get(invoke.key().get()).requesters.add(requester);
         } else {
-            admit(new PendingCall(invoke, asker, now, numbers++), refusal, now);
+            admit(new PendingCall(invoke, requester, now, nextSequence++), refusal, now);
         }
     }
 
@@ -116,17 +124,17 @@
         return mintTime.apply(key).map(minted -> new KeyRequest(key, bound, fingerprint, minted));
     }
 
-    private void invokeUnkeyed(Asker asker, Invoke invoke, Optional<KeyResult> refusal, Moment now) {
+    private void invokeUnkeyed(Requester requester, Invoke invoke, Optional<KeyResult> refusal, Moment now) {
         if (!invoke.idempotent()) {
-            asker.answer(KeyResult.notRun(
-                    ProblemKind.KEY_MISSING, "A call that may not be repeated came without a bound key", 0));
+            requester.answer(KeyResult.notRun(
+                    ProblemKind.KEY_MISSING, "A call that is not idempotent needs a key that is bound to an agent", 0));
             return;
         }
-        admit(new PendingCall(invoke, asker, now, numbers++), refusal, now);
+        admit(new PendingCall(invoke, requester, now, nextSequence++), refusal, now);
     }
 
     private void admit(PendingCall call, Optional<KeyResult> refusal, Moment now) {
-        call.key().ifPresent(key -> byKey.put(key, call));
+        call.key().ifPresent(key -> pendingByKey.put(key, call));
         Optional<KeyResult> reason = refusal.or(() -> overload(call, now));
         if (reason.isPresent()) {
             endUnstarted(call, reason.get());
@@ -134,34 +142,34 @@
         }
         waiting.add(call);
         waitingBytes += call.invoke.body().length;
-        pump(now);
+        startWaiting(now);
     }
 
-    private void leaveQueue(PendingCall call) {
+    private void releaseQueuedBytes(PendingCall call) {
         waitingBytes -= call.invoke.body().length;
     }
 
-    /** Refuses at once what would wait beyond its deadline, while its caller can still go elsewhere. */
+    /** Refuses at once a call that would wait beyond its deadline, while its caller has time to go elsewhere. */
     private Optional<KeyResult> overload(PendingCall call, Moment now) {
-        boolean tooLong = waiting.size() + running.size() >= settings.bounds().inProgress();
-        boolean tooHeavy =
+        boolean tooMany = waiting.size() + running.size() >= settings.bounds().inProgress();
+        boolean tooLarge =
                 waitingBytes + call.invoke.body().length > settings.bounds().frameBytes();
-        if (tooLong || tooHeavy) {
+        if (tooMany || tooLarge) {
             return Optional.of(KeyResult.notRun(
                     ProblemKind.OVERLOADED, "The agent's queue is full", expectedWait(waiting.size())));
         }
         int free = slots - running.size();
-        long wait = free > 0 ? 0 : expectedWait(ahead(call));
-        if (wait + speed.meanMicros() / 1_000 > now.millisTo(call.deadline)) {
+        long wait = free > 0 ? 0 : expectedWait(countAhead(call));
+        if (wait + throughput.meanMicros() / 1_000 > now.millisTo(call.deadline)) {
             return Optional.of(KeyResult.notRun(
                     ProblemKind.DEADLINE_UNREACHABLE,
-                    "The calls before it take longer than its deadline allows",
+                    "The calls queued before it take longer than its deadline allows",
                     wait));
         }
         return Optional.empty();
     }
 
-    private int ahead(PendingCall call) {
+    private int countAhead(PendingCall call) {
         int ahead = 0;
         for (PendingCall other : waiting) {
             if (other.invoke.priority() <= call.invoke.priority()) {
@@ -172,23 +180,23 @@
     }
 
     private long expectedWait(int ahead) {
-        long mean = Math.max(speed.meanMicros() / 1_000, 1);
-        return Math.max((ahead + 1L) * mean / slots, speed.meanMicros() == 0 ? BUSY_WAIT_MILLIS : 0);
+        long mean = Math.max(throughput.meanMicros() / 1_000, 1);
+        return Math.max((ahead + 1L) * mean / slots, throughput.meanMicros() == 0 ? DEFAULT_WAIT_MILLIS : 0);
     }
 
-    private void pump(Moment now) {
+    private void startWaiting(Moment now) {
         while (running.size() < slots && !waiting.isEmpty()) {
             PendingCall call = waiting.poll();
-            leaveQueue(call);
+            releaseQueuedBytes(call);
             if (now.millisTo(call.deadline) <= 0) {
-                endUnstarted(call, tooLate());
+                endUnstarted(call, deadlinePassed());
             } else if (call.key().isEmpty() || ledger.start(call.key().get())) {
                 run(call, now);
             }
         }
     }
 
-    private static KeyResult tooLate() {
+    private static KeyResult deadlinePassed() {
         return KeyResult.notRun(ProblemKind.DEADLINE_PASSED, "The deadline passed before the call could start", 0);
     }
 
@@ -204,44 +212,44 @@
                 invoke.key(),
                 invoke.requestId(),
                 timeoutMillis(call, now));
-        completions.call(() -> service.call(request), (reply, failure) -> ended(call, reply, failure));
+        completions.invoke(() -> service.call(request), (reply, failure) -> onCompleted(call, reply, failure));
     }
 
     /**
-     * A call under a key is waited for beyond its caller's deadline: the caller may ask again with the same key, and
-     * giving up early would turn an answer that is about to come into an unknown outcome.
+     * The timeout of a call under a key extends beyond its caller's deadline: the caller may repeat the call with the
+     * same key, and an early timeout would replace an answer that is about to arrive by an unknown outcome.
      */
     private long timeoutMillis(PendingCall call, Moment now) {
         long left = Math.max(1, now.millisTo(call.deadline));
         return call.key().isPresent() ? Math.max(left, settings.timing().drainMillis()) : left;
     }
 
-    private void ended(PendingCall call, ServiceReply reply, Throwable failure) {
+    private void onCompleted(PendingCall call, ServiceReply reply, Throwable failure) {
         if (!running.remove(call)) {
             return;
         }
         Moment now = clock.get();
         if (failure == null) {
-            speed.done(1, now.nanos() - call.startedAt, now.nanos());
+            throughput.recordSample(1, now.nanos() - call.startedAt, now.nanos());
         }
-        end(call, failure == null ? whole(reply) : failed(failure));
+        end(call, failure == null ? toResult(reply) : toFailureResult(failure));
         if (failure != null) {
-            tellWatch(call, failure, now);
+            notifyMonitor(call, failure, now);
         }
-        pump(now);
+        startWaiting(now);
     }
 
-    private void tellWatch(PendingCall call, Throwable failure, Moment now) {
+    private void notifyMonitor(PendingCall call, Throwable failure, Moment now) {
         if (failure instanceof PlatformException e && e.kind() == PlatformException.Kind.NOT_SENT) {
-            backend.refusedConnection();
+            backendMonitor.connectionRefused();
         } else if (failure instanceof PlatformException e && e.kind() == PlatformException.Kind.ANSWER_LOST) {
-            suspects.lostAnswer(call.invoke.fingerprint(), now);
-            backend.askSoon();
+            suspects.recordLostAnswer(call.invoke.fingerprint(), now);
+            backendMonitor.pollSoon();
         }
     }
 
-    private KeyResult whole(ServiceReply reply) {
-        if (reply.body().length + FRAME_ROOM > settings.bounds().frameBytes()) {
+    private KeyResult toResult(ServiceReply reply) {
+        if (reply.body().length + FRAME_OVERHEAD_BYTES > settings.bounds().frameBytes()) {
             return KeyResult.unknown(
                     ProblemKind.BACKEND_FAILED,
                     "The service's answer is larger than bounds.frameBytes allows, so its content is not known");
@@ -250,12 +258,12 @@
     }
 
     /**
-     * A call that was not sent is recorded as one that never runs, too, though it could run once later: its caller is
-     * told that it did not run, may book again under a new key, and a copy of this call must not run then.
+     * Also records a call that was not sent as one that never runs, though it could still run once: its caller learns
+     * that it did not run and may repeat the operation under a new key, and a copy of this call must not run then.
      */
-    private static KeyResult failed(Throwable failure) {
+    private static KeyResult toFailureResult(Throwable failure) {
         if (!(failure instanceof PlatformException e)) {
-            return KeyResult.unknown(ProblemKind.BACKEND_LOST, "The call failed in an unexpected way: " + failure);
+            return KeyResult.unknown(ProblemKind.BACKEND_LOST, "The call failed with an unexpected error: " + failure);
         }
         return switch (e.kind()) {
             case NOT_SENT ->
@@ -263,7 +271,7 @@
             case REFUSED ->
                 KeyResult.notRun(ProblemKind.BACKEND_FAILED, "The service refused the call", e.retryAfterMillis());
             case ANSWER_LOST ->
-                KeyResult.unknown(ProblemKind.BACKEND_LOST, "The service took the call and gave no answer");
+                KeyResult.unknown(ProblemKind.BACKEND_LOST, "The call was sent to the service but its answer was lost");
             case GONE, MALFORMED ->
                 KeyResult.unknown(ProblemKind.BACKEND_FAILED, "The service's answer could not be read");
         };
@@ -280,50 +288,51 @@
     }
 
     private void answer(PendingCall call, KeyResult result) {
-        call.key().ifPresent(byKey::remove);
-        call.askers.forEach(asker -> asker.answer(result));
+        call.key().ifPresent(pendingByKey::remove);
+        call.requesters.forEach(requester -> requester.answer(result));
     }
 
-    /** Says what became of a key, and sets it to never run if asked to and not started. */
+    /** Reports the result of a key. If the request cancels it, a key that has not started is set to never run. */
     void settle(Link link, Settle settle, Moment now) {
-        Asker asker = new Asker(link, settle.call());
+        Requester requester = new Requester(link, settle.call());
         Optional<KeyRequest> request = request(settle.key(), settle.bound(), "");
         if (request.isEmpty()) {
-            asker.answer(KeyResult.notRun(ProblemKind.KEY_MALFORMED, "The key does not show when it was minted", 0));
+            requester.answer(
+                    KeyResult.notRun(ProblemKind.KEY_MALFORMED, "The key does not show when it was minted", 0));
             return;
         }
-        PendingCall pending = byKey.get(settle.key());
+        PendingCall pending = pendingByKey.get(settle.key());
         KeyVerdict verdict = ledger.settle(request.get(), settle.cancel(), now.instant());
         if (verdict instanceof KeyVerdict.Settled settled) {
-            asker.answer(settled.result());
+            requester.answer(settled.result());
             if (pending != null && ledger.state(settle.key()).equals(Optional.of(KeyState.TOMBSTONED))) {
                 waiting.remove(pending);
-                leaveQueue(pending);
+                releaseQueuedBytes(pending);
                 answer(pending, settled.result());
             }
             return;
         }
-        pending.askers.add(asker);
+        pending.requesters.add(requester);
         link.send(new Settled(settle.call()));
     }
 
     /**
-     * The service has died: calls that were at it have an unknown outcome, and nobody else will say more.
+     * Ends the running calls with an unknown outcome after the service has died: no other process knows their result.
      *
-     * @return fingerprints of those calls
+     * @return fingerprints of these calls
      */
-    List<String> backendDied() {
+    List<String> abandonRunning() {
         List<PendingCall> lost = new ArrayList<>(running);
         running.clear();
         List<String> fingerprints = new ArrayList<>();
         for (PendingCall call : lost) {
             fingerprints.add(call.invoke.fingerprint());
-            end(call, KeyResult.unknown(ProblemKind.BACKEND_LOST, "The service died while the call was at it"));
+            end(call, KeyResult.unknown(ProblemKind.BACKEND_LOST, "The service died while the call was running"));
         }
         return fingerprints;
     }
 
-    /** Refuses all calls that wait. */
+    /** Refuses all waiting calls. */
     void refuseWaiting(KeyResult reason) {
         List<PendingCall> calls = new ArrayList<>(waiting);
         waiting.clear();
@@ -333,30 +342,30 @@
 
     /** Ends calls whose deadline has passed while they waited, and forgets old keys. */
     void tick(Moment now) {
-        speed.age(now.nanos());
-        List<PendingCall> late = new ArrayList<>();
+        throughput.expireStale(now.nanos());
+        List<PendingCall> expired = new ArrayList<>();
         for (PendingCall call : waiting) {
             if (now.millisTo(call.deadline) <= 0) {
-                late.add(call);
+                expired.add(call);
             }
         }
-        waiting.removeAll(late);
-        late.forEach(this::leaveQueue);
-        late.forEach(call -> endUnstarted(call, tooLate()));
+        waiting.removeAll(expired);
+        expired.forEach(this::releaseQueuedBytes);
+        expired.forEach(call -> endUnstarted(call, deadlinePassed()));
         ledger.expire(now.instant());
-        pump(now);
+        startWaiting(now);
     }
 
-    /** The last word on each key; one that is still at the service counts as unknown. */
-    List<Ledger.SettledKey> lastWords() {
-        List<Ledger.SettledKey> words = new ArrayList<>(ledger.settled());
+    /** The final result of each key; a call that is still running counts as unknown. */
+    List<Ledger.SettledKey> finalResults() {
+        List<Ledger.SettledKey> results = new ArrayList<>(ledger.settled());
         for (PendingCall call : running) {
             call.key()
-                    .ifPresent(key -> words.add(new Ledger.SettledKey(
+                    .ifPresent(key -> results.add(new Ledger.SettledKey(
                             key,
                             KeyResult.unknown(ProblemKind.BACKEND_LOST, "The agent stopped before the call ended"))));
         }
-        return words;
+        return results;
     }
 
     int waitingCount() {
@@ -368,7 +377,7 @@
     }
 
     long meanMicros() {
-        return speed.meanMicros();
+        return throughput.meanMicros();
     }
 
     boolean isIdle() {
@@ -379,8 +388,8 @@
         return ledger;
     }
 
-    /** One link's wish to hear of a call. */
-    private record Asker(Link link, long call) {
+    /** A link on which a call was requested, and the id of the call on that link. */
+    private record Requester(Link link, long call) {
         void answer(KeyResult result) {
             InvokeResult message = new InvokeResult(
                     call,
@@ -392,12 +401,12 @@
                     result.contentType(),
                     result.body());
             if (link.isOpen() && !link.send(message)) {
-                // An answer that is dropped in silence would leave the entry waiting; on a new link it asks again.
+                // A silently dropped answer would leave the entry waiting; after reconnecting it asks again.
                 LOG.log(
                         System.Logger.Level.WARNING,
-                        "agent: an answer found its link full; peer="
+                        "agent: closing a link whose buffer has no room for an answer; peer="
                                 + link.peer().process());
-                link.close("an answer found the link full");
+                link.close("the link's buffer has no room for an answer");
             }
         }
     }
@@ -406,15 +415,15 @@
     private static final class PendingCall {
         final Invoke invoke;
         final long deadline;
-        final long number;
-        final List<Asker> askers = new ArrayList<>();
+        final long sequence;
+        final List<Requester> requesters = new ArrayList<>();
         long startedAt;
 
-        PendingCall(Invoke invoke, Asker asker, Moment now, long number) {
+        PendingCall(Invoke invoke, Requester requester, Moment now, long number) {
             this.invoke = invoke;
             this.deadline = now.plusMillis(invoke.budgetMillis());
-            this.number = number;
-            askers.add(asker);
+            this.sequence = number;
+            requesters.add(requester);
         }
 
         /** The key under which the call is in the ledger. */
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/CrashSuspects.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/CrashSuspects.java
@@ -11,65 +11,68 @@
 import org.cornelramp.core.poison.CrashReport;
 
 /**
- * Tells which requests were at the backend server when it crashed, so that one that crashes each backend server that
- * runs it is set aside. Confined to the agent's duty.
+ * Reports which requests were at the backend server when it crashed, so that a request that crashes every backend
+ * server that runs it can be set aside. Confined to the agent's event loop thread.
  *
- * <p>A crash shows in two parts: first the requests at the backend server lose their answers, later the agent learns
- * that it has started anew. So lost answers are kept for a while, and a crash takes in those of the last seconds.
+ * <p>A crash becomes visible in two steps: first the answers of the requests at the backend server are lost, later the
+ * agent detects the restart. Lost answers are therefore kept for a few seconds and included in the next crash report.
  */
 final class CrashSuspects {
-    private static final int MAX = 32;
-    private static final int MAX_TOLD = 8;
-    private static final long LOST_MILLIS = 5_000;
-    private static final long CRASHED_MILLIS = 30_000;
+    private static final int MAX_LOST_ANSWERS = 32;
+    private static final int MAX_REPORTS = 8;
+    private static final long LOST_ANSWER_RETENTION_MILLIS = 5_000;
+    private static final long REPORT_RETENTION_MILLIS = 30_000;
 
     private final Incarnation self;
-    private final Map<String, Long> lost = new LinkedHashMap<>();
-    private final List<Told> told = new ArrayList<>();
-    private int crashes;
+    private final Map<String, Long> lostAnswers = new LinkedHashMap<>();
+    private final List<ActiveReport> activeReports = new ArrayList<>();
+    private int crashCount;
 
-    private record Told(CrashReport report, long until) {}
+    private record ActiveReport(CrashReport report, long expiresAt) {}
 
     /**
-     * @param self life of the agent; with the count of its crashes it names each crash, the same to all entries
+     * @param self incarnation of the agent; with the number of the crash it forms a crash id that is the same at all
+     *     entries
      */
     CrashSuspects(Incarnation self) {
         this.self = self;
     }
 
-    /** Notes that a request at the backend server lost its answer. */
-    void lostAnswer(String fingerprint, Moment now) {
-        put(lost, fingerprint, now.plusMillis(LOST_MILLIS));
+    /** Records that the answer of a request at the backend server was lost. */
+    void recordLostAnswer(String fingerprint, Moment now) {
+        put(lostAnswers, fingerprint, now.plusMillis(LOST_ANSWER_RETENTION_MILLIS));
     }
 
-    /** Notes that the backend server has crashed, with these requests and those that have just lost their answers. */
-    void crashed(Collection<String> running, Moment now) {
+    /** Records a crash of the backend server with these requests and those whose answers were lost shortly before. */
+    void recordCrash(Collection<String> running, Moment now) {
         tick(now);
-        long until = now.plusMillis(CRASHED_MILLIS);
-        Set<String> suspects = new TreeSet<>(lost.keySet());
+        long until = now.plusMillis(REPORT_RETENTION_MILLIS);
+        Set<String> suspects = new TreeSet<>(lostAnswers.keySet());
         running.stream().filter(fingerprint -> !fingerprint.isEmpty()).forEach(suspects::add);
-        lost.clear();
+        lostAnswers.clear();
         if (!suspects.isEmpty()) {
-            crashes++;
-            told.add(new Told(new CrashReport(self + "#" + crashes, now.instant(), suspects), until));
+            crashCount++;
+            activeReports.add(
+                    new ActiveReport(new CrashReport(self + "#" + crashCount, now.instant(), suspects), until));
         }
     }
 
     private static void put(Map<String, Long> map, String fingerprint, long until) {
-        if (map.size() < MAX && !fingerprint.isEmpty()) {
+        if (map.size() < MAX_LOST_ANSWERS && !fingerprint.isEmpty()) {
             map.put(fingerprint, until);
         }
     }
 
-    /** Forgets what is old. */
+    /** Removes expired lost answers and crash reports. */
     void tick(Moment now) {
-        lost.values().removeIf(until -> now.nanos() - until > 0);
-        told.removeIf(one -> now.nanos() - one.until() > 0);
+        lostAnswers.values().removeIf(until -> now.nanos() - until > 0);
+        activeReports.removeIf(one -> now.nanos() - one.expiresAt() > 0);
     }
 
-    /** What the heartbeat tells: the newest crashes, as the text of their reports. */
-    List<String> crashed() {
-        List<Told> newest = told.subList(Math.max(0, told.size() - MAX_TOLD), told.size());
+    /** The reports of the newest crashes as text, for the heartbeat. */
+    List<String> recentReports() {
+        List<ActiveReport> newest =
+                activeReports.subList(Math.max(0, activeReports.size() - MAX_REPORTS), activeReports.size());
         return newest.stream().map(one -> one.report().toString()).toList();
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/ExportedStage.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/ExportedStage.java
@@ -9,27 +9,27 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * What passes from a leaving stage to its replacement: the engine's KV cache and the kept outputs. Immutable if the
- * arrays are not changed.
+ * The state that a stage being replaced hands over to its replacement: the engine's KV cache and the kept outputs.
+ * Immutable if the arrays are not changed.
  *
- * @param kv the engine's cache
+ * @param kv the engine's KV cache
  * @param snapshot the kept outputs
  */
 record ExportedStage(EngineKv kv, StageSnapshot snapshot) {
     private static final ObjectMapper MAPPER = new ObjectMapper(new MessagePackFactory());
-    private static final int FRAME_ROOM = 1_024;
+    private static final int FRAME_OVERHEAD_BYTES = 1_024;
 
-    /** Writes the pair; empty if it does not fit a frame, and the replacement is rebuilt from kept outputs. */
+    /** Serialises this state; empty if it does not fit a frame: the replacement is then rebuilt from kept outputs. */
     Optional<byte[]> write(int frameBytes) {
         try {
             byte[] bytes = MAPPER.writeValueAsBytes(this);
-            return bytes.length + FRAME_ROOM > frameBytes ? Optional.empty() : Optional.of(bytes);
+            return bytes.length + FRAME_OVERHEAD_BYTES > frameBytes ? Optional.empty() : Optional.of(bytes);
         } catch (JsonProcessingException e) {
             return Optional.empty();
         }
     }
 
-    /** Reads a pair; empty if it cannot be read or does not fit together. */
+    /** Deserialises a state; empty if it cannot be read or its positions are inconsistent. */
     static Optional<ExportedStage> read(byte[] bytes) {
         try {
             ExportedStage stage = MAPPER.readValue(bytes, ExportedStage.class);
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/OrderHandler.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/OrderHandler.java
@@ -17,44 +17,44 @@
 import org.cornelramp.wire.message.OrderResult;
 
 /**
- * Passes orders on to the engine, one at a time and only under the newest term known.
+ * Forwards orders to the engine, one at a time and only under the newest known term.
  *
- * <p>Confined to the agent's duty. Invariant: an order is judged when its turn has come, and the next is judged only
- * after the engine has answered it. Two orders under way at once could overtake each other on their connections, and
- * an engine that ignores terms would be left with the older one.
+ * <p>Confined to the agent's event loop thread. Invariant: an order is checked when it reaches the head of the queue,
+ * and the next one only after the engine has answered it. Two concurrent orders could overtake each other on their
+ * connections, and an engine that ignores terms would end with the older one.
  */
 final class OrderHandler {
     private static final System.Logger LOG = System.getLogger(OrderHandler.class.getName());
     private static final int MAX_WAITING = 16;
-    private static final long LEARN_RETRY_MILLIS = 500;
+    private static final long TERM_READ_RETRY_MILLIS = 500;
 
     private final EngineClient engine;
     private final LogClient log;
-    private final Completions completions;
+    private final CompletionDispatcher completions;
     private final TermGuard terms = new TermGuard();
-    private final Queue<Asked> waiting = new ArrayDeque<>();
-    private boolean busy;
-    private boolean learning;
-    private long learnAt;
+    private final Queue<PendingOrder> waiting = new ArrayDeque<>();
+    private boolean engineBusy;
+    private boolean readPending;
+    private long nextReadAt;
 
-    OrderHandler(EngineClient engine, LogClient log, Completions completions) {
+    OrderHandler(EngineClient engine, LogClient log, CompletionDispatcher completions) {
         this.engine = engine;
         this.log = log;
         this.completions = completions;
     }
 
-    /** Reads the newest term from the log, once since the start; in an outage again until it succeeds. */
+    /** Reads the newest term from the log once after the start; retries during an outage until it succeeds. */
     void tick(Moment now) {
-        if (terms.isLearned() || learning || now.nanos() - learnAt < 0) {
+        if (terms.isLearned() || readPending || now.nanos() - nextReadAt < 0) {
             return;
         }
-        learning = true;
-        learnAt = now.plusMillis(LEARN_RETRY_MILLIS);
-        completions.on(log.bounds(LogStream.TERMS), this::learned);
+        readPending = true;
+        nextReadAt = now.plusMillis(TERM_READ_RETRY_MILLIS);
+        completions.whenComplete(log.bounds(LogStream.TERMS), this::onTermRead);
     }
 
-    private void learned(LogPage page, Throwable failure) {
-        learning = false;
+    private void onTermRead(LogPage page, Throwable failure) {
+        readPending = false;
         if (failure != null) {
             return;
         }
@@ -63,65 +63,71 @@
         LOG.log(System.Logger.Level.INFO, "agent: the newest term is known; term=" + terms.newestTerm());
     }
 
-    /** Notes a term that a peer knows. */
-    void heard(long term) {
+    /** Records a term that a peer knows. */
+    void observeTerm(long term) {
         terms.observe(term);
     }
 
-    /** The newest term known. */
+    /** The newest known term. */
     long newestTerm() {
         return terms.newestTerm();
     }
 
-    /** Takes an order. */
+    /** Queues an order, or refuses it if the queue is full. */
     void order(Link link, Order order) {
         if (waiting.size() >= MAX_WAITING) {
-            answer(new Asked(link, order), OrderOutcome.NOT_READY, "Too many orders wait at this agent");
+            answer(
+                    new PendingOrder(link, order),
+                    OrderOutcome.NOT_READY,
+                    "The agent's order queue is full; retry later");
             return;
         }
-        waiting.add(new Asked(link, order));
-        pump();
+        waiting.add(new PendingOrder(link, order));
+        processWaiting();
     }
 
-    private void pump() {
-        while (!busy && !waiting.isEmpty()) {
-            pass(waiting.remove());
+    private void processWaiting() {
+        while (!engineBusy && !waiting.isEmpty()) {
+            process(waiting.remove());
         }
     }
 
-    private void pass(Asked asked) {
-        Order order = asked.order;
+    private void process(PendingOrder pending) {
+        Order order = pending.order;
         Decision decision = terms.decide(order.term());
         if (decision == Decision.PASS) {
-            busy = true;
+            engineBusy = true;
             EngineOrder.Kind kind = EngineOrder.Kind.valueOf(order.kind().name());
-            completions.call(
+            completions.invoke(
                     () -> engine.order(new EngineOrder(order.term(), kind, order.argument())),
-                    (done, failure) -> ended(asked, Optional.ofNullable(failure)));
+                    (done, failure) -> onCompleted(pending, Optional.ofNullable(failure)));
             return;
         }
         LOG.log(
                 System.Logger.Level.INFO,
                 "agent: an order was refused; decision=" + decision + " term=" + order.term() + " newest="
-                        + terms.newestTerm() + " by=" + asked.link.peer().process());
+                        + terms.newestTerm() + " by=" + pending.link.peer().process());
         if (decision == Decision.STALE) {
-            answer(asked, OrderOutcome.STALE, "A newer term is known; claim a term anew before giving orders");
+            answer(pending, OrderOutcome.STALE, "A newer term is known; claim a new term before sending orders");
         } else {
-            answer(asked, OrderOutcome.NOT_READY, "The newest term is not known while the log cannot be read");
+            answer(
+                    pending,
+                    OrderOutcome.NOT_READY,
+                    "The newest term is unknown until the log can be read; retry later");
         }
     }
 
-    private void ended(Asked asked, Optional<Throwable> failure) {
-        busy = false;
+    private void onCompleted(PendingOrder pending, Optional<Throwable> failure) {
+        engineBusy = false;
         if (failure.isEmpty()) {
-            answer(asked, OrderOutcome.TAKEN, "");
+            answer(pending, OrderOutcome.TAKEN, "");
         } else {
             answer(
-                    asked,
+                    pending,
                     outcome(failure.get()),
-                    "The engine did not take the order: " + failure.get().getMessage());
+                    "The engine did not accept the order: " + failure.get().getMessage());
         }
-        pump();
+        processWaiting();
     }
 
     private static OrderOutcome outcome(Throwable failure) {
@@ -130,10 +136,10 @@
         return noEffect ? OrderOutcome.FAILED : OrderOutcome.UNKNOWN;
     }
 
-    private void answer(Asked asked, OrderOutcome outcome, String detail) {
-        asked.link.send(new OrderResult(asked.order.call(), outcome, terms.newestTerm(), detail));
+    private void answer(PendingOrder pending, OrderOutcome outcome, String detail) {
+        pending.link.send(new OrderResult(pending.order.call(), outcome, terms.newestTerm(), detail));
     }
 
-    /** An order and the link that it came on. */
-    private record Asked(Link link, Order order) {}
+    /** An order and the link on which it was received. */
+    private record PendingOrder(Link link, Order order) {}
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/OutputSender.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/OutputSender.java
@@ -13,85 +13,85 @@
 /**
  * Sends the outputs of stages to the agents of the next stages, and generated tokens to the entry.
  *
- * <p>Confined to the agent's duty. Links to neighbours are kept while a session needs them. A link that breaks loses
- * what was on the way: on the new link everything of this epoch is sent again from the kept outputs, and the next
- * stage drops what it has, so a short cut costs no epoch.
+ * <p>Confined to the agent's event loop thread. Links to neighbours are kept while a session needs them. Data in
+ * flight on a link that breaks is lost: on the new link all outputs of this epoch are sent again from the kept
+ * outputs, and the next stage drops duplicates, so a short link failure needs no new epoch.
  */
 final class OutputSender {
-    private static final int MAX_OUTPUTS = 512;
-    private static final int MISSING_INTERVALS = 6;
-    private static final long MILLI = 1_000_000L;
+    private static final int MAX_OUTPUTS_PER_STEP = 512;
+    private static final int MISSING_LINK_HEARTBEATS = 6;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    private final Neighbours neighbours;
-    private final long missingNanos;
-    private final Map<HostPort, Integer> users = new HashMap<>();
+    private final NeighbourLinks neighbours;
+    private final long missingLinkNanos;
+    private final Map<HostPort, Integer> userCounts = new HashMap<>();
     private final Map<HostPort, Link> links = new HashMap<>();
-    private LocalSteps local = (step, now) -> {};
+    private LocalStepHandler localSteps = (step, now) -> {};
 
-    /** Keeps links to addresses. */
-    interface Neighbours {
+    /** Opens and closes links to neighbour agents. */
+    interface NeighbourLinks {
         void keep(HostPort address);
 
         void forget(HostPort address);
     }
 
-    /** Takes a step that stays at this agent. */
-    interface LocalSteps {
+    /** Handles a step whose next stage is at this agent. */
+    interface LocalStepHandler {
         void step(Step step, Moment now);
     }
 
-    OutputSender(Neighbours neighbours, long heartbeatMillis) {
+    OutputSender(NeighbourLinks neighbours, long heartbeatMillis) {
         this.neighbours = neighbours;
-        this.missingNanos = MISSING_INTERVALS * heartbeatMillis * MILLI;
+        this.missingLinkNanos = MISSING_LINK_HEARTBEATS * heartbeatMillis * NANOS_PER_MILLI;
     }
 
-    /** Sets who takes the steps of a pipeline of one stage. */
-    void join(LocalSteps steps) {
-        this.local = steps;
+    /** Sets the handler for the steps of a pipeline with a single stage. */
+    void setLocalSteps(LocalStepHandler steps) {
+        this.localSteps = steps;
     }
 
-    /** Keeps the link that a stage sends on. */
-    void hold(Stage stage) {
-        stage.next().ifPresent(address -> {
-            if (users.merge(address, 1, Integer::sum) == 1) {
+    /** Keeps the link on which a stage sends its outputs. */
+    void acquireLink(Stage stage) {
+        stage.nextAddress().ifPresent(address -> {
+            if (userCounts.merge(address, 1, Integer::sum) == 1) {
                 neighbours.keep(address);
             }
         });
     }
 
-    /** Gives up the link that a stage sent on; it is closed with its last user. */
-    void release(Stage stage) {
-        stage.next().ifPresent(address -> {
-            if (users.merge(address, -1, Integer::sum) <= 0) {
-                users.remove(address);
+    /** Releases the link on which a stage sends its outputs; the link is closed when its last stage releases it. */
+    void releaseLink(Stage stage) {
+        stage.nextAddress().ifPresent(address -> {
+            if (userCounts.merge(address, -1, Integer::sum) <= 0) {
+                userCounts.remove(address);
                 links.remove(address);
                 neighbours.forget(address);
             }
         });
     }
 
-    /** Notes a link to a neighbour; all that the present epochs sent on an earlier one is sent again. */
-    void opened(Link link, Iterable<Stage> stages, Moment now) {
-        Optional<HostPort> address = link.kept();
-        if (address.isEmpty() || !users.containsKey(address.get())) {
+    /** Records a link to a neighbour; all outputs that the present epochs sent on an earlier link are sent again. */
+    void linkOpened(Link link, Iterable<Stage> stages, Moment now) {
+        Optional<HostPort> address = link.dialledAddress();
+        if (address.isEmpty() || !userCounts.containsKey(address.get())) {
             return;
         }
         links.put(address.get(), link);
         for (Stage stage : stages) {
-            if (stage.next().equals(address)) {
+            if (stage.nextAddress().equals(address)) {
                 stage.nextMissingAt = 0;
                 stage.session.resendAll();
-                pump(stage, now);
+                sendPending(stage, now);
             }
         }
     }
 
-    /** Sends what a stage has to send, as far as the links take it. */
-    void pump(Stage stage, Moment now) {
-        Optional<OutputBatch> send = stage.session.nextSend(MAX_OUTPUTS);
+    /** Sends the pending outputs of a stage until the link accepts no more. */
+    void sendPending(Stage stage, Moment now) {
+        Optional<OutputBatch> send = stage.session.nextSend(MAX_OUTPUTS_PER_STEP);
         while (send.isPresent() && send(stage, send.get(), now)) {
             stage.session.markSent(send.get());
-            send = stage.session.nextSend(MAX_OUTPUTS);
+            send = stage.session.nextSend(MAX_OUTPUTS_PER_STEP);
         }
     }
 
@@ -103,7 +103,7 @@
         return new Step(stage.id(), stage.session.epoch(), send.position(), send.outputs());
     }
 
-    /** Outputs before the prompt's last position predict tokens that the caller gave itself. */
+    /** Skips outputs before the prompt's last position: they predict tokens that the caller supplied. */
     private boolean sendTokens(Stage stage, OutputBatch send, Moment now) {
         int first = Math.max(send.position(), stage.session.spec().promptTokens() - 1);
         int skip = first - send.position();
@@ -113,12 +113,12 @@
         long[] tokens = new long[send.outputs().length - skip];
         System.arraycopy(send.outputs(), skip, tokens, 0, tokens.length);
         Step feed = new Step(stage.id(), stage.session.epoch(), first + 1, tokens);
-        if (stage.next().isEmpty()) {
-            local.step(feed, now);
+        if (stage.nextAddress().isEmpty()) {
+            localSteps.step(feed, now);
         } else if (!sendStep(stage, feed, now)) {
             return false;
         }
-        return stage.entry.send(new Token(stage.id(), stage.session.epoch(), first, toInts(tokens)));
+        return stage.entryLink.send(new Token(stage.id(), stage.session.epoch(), first, toInts(tokens)));
     }
 
     private static int[] toInts(long[] tokens) {
@@ -130,28 +130,28 @@
     }
 
     private boolean sendStep(Stage stage, Step step, Moment now) {
-        Link link = links.get(stage.next().orElseThrow());
+        Link link = links.get(stage.nextAddress().orElseThrow());
         if (link == null || !link.isOpen()) {
-            missing(stage, now);
+            handleMissingLink(stage, now);
             return false;
         }
-        if (!link.peer().incarnation().equals(stage.nextLife())) {
-            lostNext(stage, "The agent of the next stage has started anew");
+        if (!link.peer().incarnation().equals(stage.nextIncarnation())) {
+            reportNextLost(stage, "The agent of the next stage has restarted");
             return false;
         }
         return link.send(step);
     }
 
-    private void missing(Stage stage, Moment now) {
+    private void handleMissingLink(Stage stage, Moment now) {
         if (stage.nextMissingAt == 0) {
             stage.nextMissingAt = now.nanos();
-        } else if (now.nanos() - stage.nextMissingAt > missingNanos) {
-            lostNext(stage, "No link to the agent of the next stage");
+        } else if (now.nanos() - stage.nextMissingAt > missingLinkNanos) {
+            reportNextLost(stage, "No link to the agent of the next stage");
             stage.nextMissingAt = now.nanos();
         }
     }
 
-    private static void lostNext(Stage stage, String detail) {
+    private static void reportNextLost(Stage stage, String detail) {
         stage.reportLost(stage.nextIndex(), ProblemKind.BACKEND_LOST, detail);
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/AbsentEngine.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/RefusingEngineClient.java
@@ -12,11 +12,13 @@
 import org.cornelramp.ports.EngineStepResults;
 import org.cornelramp.ports.PlatformException;
 
-/** Stands in for the engine at an agent whose backend server is a plain service. Stateless. */
-final class AbsentEngine implements EngineClient {
+/** Refuses every engine call, for an agent whose backend server is a plain service. Stateless. */
+final class RefusingEngineClient implements EngineClient {
     private static <T> CompletableFuture<T> refused() {
         return CompletableFuture.failedFuture(new PlatformException(
-                PlatformException.Kind.REFUSED, "This backend server is a plain service; route by its offer", 0));
+                PlatformException.Kind.REFUSED,
+                "This backend server is a plain service; route requests by its offer",
+                0));
     }
 
     @Override
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/AbsentService.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/RefusingServiceClient.java
@@ -7,11 +7,11 @@
 import org.cornelramp.ports.ServiceClient;
 import org.cornelramp.ports.ServiceReply;
 
-/** Stands in for the plain service at an agent whose backend server is an engine. Stateless. */
-final class AbsentService implements ServiceClient {
+/** Refuses every service call, for an agent whose backend server is an engine. Stateless. */
+final class RefusingServiceClient implements ServiceClient {
     private static <T> CompletableFuture<T> refused() {
         return CompletableFuture.failedFuture(new PlatformException(
-                PlatformException.Kind.REFUSED, "This backend server is an engine; route by its offer", 0));
+                PlatformException.Kind.REFUSED, "This backend server is an engine; route requests by its offer", 0));
     }
 
     @Override
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/SettlementWriter.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/SettlementWriter.java
@@ -14,48 +14,49 @@
 import org.cornelramp.ports.PlatformException;
 
 /**
- * Writes on the log what became of this life's keys, before the agent exits.
+ * Writes the final results of this incarnation's keys to the log before the agent exits.
  *
- * <p>Confined to the agent's duty. Invariant: a part counts as written once the log said so or it was read back. An
- * append whose answer was lost may have taken effect or not; taking it for either without reading would leave a key
- * unlisted, and so reported as not run, or fill the log with repeats in a slow hour. A repeat itself does no harm.
+ * <p>Confined to the agent's event loop thread. Invariant: a part counts as written once the log has confirmed it or it
+ * was read back. An append whose answer was lost may or may not have taken effect. Assuming success could leave a key
+ * unlisted, and so reported as not run; assuming failure would fill the log with duplicates while it answers slowly. A
+ * single duplicate does no harm.
  */
 final class SettlementWriter {
     private static final System.Logger LOG = System.getLogger(SettlementWriter.class.getName());
-    private static final int RECORD_BYTES = 256 << 10;
-    private static final int READ_RECORDS = 200;
+    private static final int MAX_RECORD_BYTES = 256 << 10;
+    private static final int MAX_READ_RECORDS = 200;
     private static final long RETRY_MILLIS = 200;
-    private static final long UNKNOWN = -1;
+    private static final long UNKNOWN_OFFSET = -1;
 
-    private final Incarnation life;
+    private final Incarnation incarnation;
     private final LogClient log;
-    private final Completions completions;
+    private final CompletionDispatcher completions;
     private final TreeMap<Integer, JsonNode> unwritten = new TreeMap<>();
-    private long start = UNKNOWN;
-    private long readFrom = UNKNOWN;
+    private long startOffset = UNKNOWN_OFFSET;
+    private long readOffset = UNKNOWN_OFFSET;
     private boolean begun;
-    private boolean busy;
-    private long nextAt;
+    private boolean requestPending;
+    private long nextAttemptAt;
 
-    SettlementWriter(Incarnation life, LogClient log, Completions completions) {
-        this.life = life;
+    SettlementWriter(Incarnation incarnation, LogClient log, CompletionDispatcher completions) {
+        this.incarnation = incarnation;
         this.log = log;
         this.completions = completions;
     }
 
-    /** Begins to write; a repeat changes nothing. */
+    /** Begins to write these results; later calls have no effect. */
     void begin(List<Ledger.SettledKey> keys) {
         if (begun) {
             return;
         }
         begun = true;
-        List<JsonNode> records = SettledRecords.write(life, keys, RECORD_BYTES);
+        List<JsonNode> records = SettledRecords.write(incarnation, keys, MAX_RECORD_BYTES);
         for (int i = 0; i < records.size(); i++) {
             unwritten.put(i, records.get(i));
         }
         LOG.log(
                 System.Logger.Level.INFO,
-                "agent: keys are settled on the log; keys=" + keys.size() + " parts=" + records.size());
+                "agent: writing the results of keys to the log; keys=" + keys.size() + " parts=" + records.size());
     }
 
     /** Whether all parts are on the log. */
@@ -63,37 +64,37 @@
         return begun && unwritten.isEmpty();
     }
 
-    /** Takes the next step, if none is under way. */
+    /** Starts the next request to the log, if none is pending. */
     void tick(Moment now) {
-        if (!begun || busy || unwritten.isEmpty() || now.nanos() - nextAt < 0) {
+        if (!begun || requestPending || unwritten.isEmpty() || now.nanos() - nextAttemptAt < 0) {
             return;
         }
-        busy = true;
-        if (start == UNKNOWN) {
-            completions.on(log.bounds(LogStream.KEYS), (page, failure) -> bounded(page, failure, now));
-        } else if (readFrom != UNKNOWN) {
-            completions.on(
-                    log.read(LogStream.KEYS, readFrom, READ_RECORDS, 0),
-                    (page, failure) -> readBack(page, failure, now));
+        requestPending = true;
+        if (startOffset == UNKNOWN_OFFSET) {
+            completions.whenComplete(log.bounds(LogStream.KEYS), (page, failure) -> onBounds(page, failure, now));
+        } else if (readOffset != UNKNOWN_OFFSET) {
+            completions.whenComplete(
+                    log.read(LogStream.KEYS, readOffset, MAX_READ_RECORDS, 0),
+                    (page, failure) -> onRead(page, failure, now));
         } else {
             int part = unwritten.firstKey();
-            completions.on(
+            completions.whenComplete(
                     log.append(LogStream.KEYS, List.of(unwritten.get(part))),
-                    (offset, failure) -> appended(part, failure, now));
+                    (offset, failure) -> onAppended(part, failure, now));
         }
     }
 
-    private void bounded(LogPage page, Throwable failure, Moment now) {
-        busy = false;
+    private void onBounds(LogPage page, Throwable failure, Moment now) {
+        requestPending = false;
         if (failure == null) {
-            start = page.next();
+            startOffset = page.next();
         } else {
-            waitAfter(failure, now);
+            scheduleRetry(failure, now);
         }
     }
 
-    private void appended(int part, Throwable failure, Moment now) {
-        busy = false;
+    private void onAppended(int part, Throwable failure, Moment now) {
+        requestPending = false;
         if (failure == null) {
             unwritten.remove(part);
             return;
@@ -101,37 +102,37 @@
         boolean refused = failure instanceof PlatformException e
                 && (e.kind() == PlatformException.Kind.NOT_SENT || e.kind() == PlatformException.Kind.REFUSED);
         if (!refused) {
-            readFrom = start;
+            readOffset = startOffset;
         }
-        waitAfter(failure, now);
+        scheduleRetry(failure, now);
     }
 
-    private void readBack(LogPage page, Throwable failure, Moment now) {
-        busy = false;
+    private void onRead(LogPage page, Throwable failure, Moment now) {
+        requestPending = false;
         if (failure != null) {
             if (failure instanceof PlatformException e && e.kind() == PlatformException.Kind.GONE) {
-                start = UNKNOWN;
-                readFrom = UNKNOWN;
+                startOffset = UNKNOWN_OFFSET;
+                readOffset = UNKNOWN_OFFSET;
             }
-            waitAfter(failure, now);
+            scheduleRetry(failure, now);
             return;
         }
         for (LogRecord record : page.records()) {
-            SettledRecords.partNumber(record.value(), life).ifPresent(unwritten::remove);
+            SettledRecords.partNumber(record.value(), incarnation).ifPresent(unwritten::remove);
         }
-        readFrom += page.records().size();
-        if (page.records().isEmpty() || readFrom >= page.next()) {
-            readFrom = UNKNOWN;
+        readOffset += page.records().size();
+        if (page.records().isEmpty() || readOffset >= page.next()) {
+            readOffset = UNKNOWN_OFFSET;
         }
     }
 
-    private void waitAfter(Throwable failure, Moment now) {
+    private void scheduleRetry(Throwable failure, Moment now) {
         long wait =
                 failure instanceof PlatformException e ? Math.max(e.retryAfterMillis(), RETRY_MILLIS) : RETRY_MILLIS;
-        nextAt = now.plusMillis(wait);
+        nextAttemptAt = now.plusMillis(wait);
         LOG.log(
                 System.Logger.Level.DEBUG,
-                "agent: the log did not take the settled keys yet; parts=" + new ArrayList<>(unwritten.keySet())
+                "agent: a request to the log failed and is retried; parts=" + new ArrayList<>(unwritten.keySet())
                         + " why=" + failure.getMessage());
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/Stage.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/Stage.java
@@ -9,27 +9,27 @@
 import org.cornelramp.wire.message.OpenStage;
 import org.cornelramp.wire.message.StageLost;
 
-/** One session held by an agent, with the links that it uses. Confined to the agent's duty. */
+/** One stage of a session held by an agent, with the links that it uses. Confined to the agent's event loop thread. */
 final class Stage {
-    /** The stage guard. */
+    /** The positions, inputs and outputs of the session at this stage. */
     final StageSession session;
-    /** What the entry asked for last. */
+    /** The latest open request of the entry. */
     OpenStage open;
     /** Link to the entry; it may be closed. */
-    Link entry;
-    /** When the entry's link was lost; 0 while it is there. */
+    Link entryLink;
+    /** Monotone time at which the entry's link was found closed; 0 while it is open. */
     long orphanedAt;
-    /** When the link to the next stage was found missing; 0 while it is there. */
+    /** Monotone time at which the link to the next stage was found missing; 0 while it is open. */
     long nextMissingAt;
-    /** Monotone time after which nobody waits for the session. */
+    /** Monotone time after which no caller waits for the session. */
     long deadline;
-    /** Whether the KV cache was asked for. */
-    boolean exporting;
+    /** Whether an export of the KV cache was requested and has not started. */
+    boolean exportRequested;
 
     Stage(StageSession session, OpenStage open, Link entry, long deadline) {
         this.session = session;
         this.open = open;
-        this.entry = entry;
+        this.entryLink = entry;
         this.deadline = deadline;
     }
 
@@ -37,26 +37,26 @@
         return open.session();
     }
 
-    /** Index of the stage that takes this one's outputs: the last one's tokens feed the first. */
+    /** Index of the stage that receives this one's outputs; the tokens of the last stage are inputs of the first. */
     int nextIndex() {
         return (open.stage() + 1) % open.stages().size();
     }
 
-    /** Address of the agent that takes this stage's outputs; empty when it is this stage itself. */
-    Optional<HostPort> next() {
+    /** Address of the agent that receives this stage's outputs; empty if it is this stage itself. */
+    Optional<HostPort> nextAddress() {
         if (nextIndex() == open.stage()) {
             return Optional.empty();
         }
         return Optional.of(HostPort.parse(open.stages().get(nextIndex())));
     }
 
-    /** The life that the agent of the next stage must have. */
-    Incarnation nextLife() {
+    /** The incarnation that the agent of the next stage must have. */
+    Incarnation nextIncarnation() {
         return open.incarnations().get(nextIndex());
     }
 
-    /** Tells the entry that a stage of this session is lost. */
+    /** Reports to the entry that a stage of this session is lost. */
     void reportLost(int stage, ProblemKind kind, String detail) {
-        entry.send(new StageLost(id(), session.epoch(), stage, kind, detail));
+        entryLink.send(new StageLost(id(), session.epoch(), stage, kind, detail));
     }
 }
