--- a/daemon/src/main/java/org/cornelramp/daemon/agent/StageHandler.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/StageHandler.java
@@ -23,49 +23,50 @@
 import org.cornelramp.wire.message.Step;
 
 /**
- * Holds the stages of pipeline sessions at this agent: opens and closes them, takes their inputs, and hands over
+ * Manages the stages of pipeline sessions at this agent: opens and closes them, accepts their inputs, and exports
  * their KV cache.
  *
- * <p>Confined to the agent's duty. Invariants: a session whose engine state is in doubt is dropped and reported lost,
- * never stepped again; sessions are bounded, and one that nobody asks for any more is dropped.
+ * <p>Confined to the agent's event loop thread. Invariants: a session whose engine state is uncertain is dropped and
+ * reported lost, never stepped again; the number of sessions is bounded, and a session without an entry, or past its
+ * deadline, is dropped.
  */
 final class StageHandler {
     private static final System.Logger LOG = System.getLogger(StageHandler.class.getName());
-    /** How long a session outlives the link of its entry, which may come back or be replaced. */
+    /** Time for which a session is kept after the link of its entry was lost, as it may reconnect or be replaced. */
     private static final long ORPHAN_MILLIS = 5_000;
-    /** How long a session outlives its deadline, so that the entry's own verdict comes first. */
-    private static final long GRACE_MILLIS = 2_000;
+    /** Time for which a session is kept after its deadline, so that the entry reports the timeout first. */
+    private static final long DEADLINE_GRACE_MILLIS = 2_000;
 
-    /** Sessions of the largest size whose outputs fit the memory of an agent; of smaller ones there may be more. */
-    private static final long FULL_SESSIONS = 64;
+    /** Number of largest-size sessions whose outputs fit the memory of an agent; more smaller ones fit. */
+    private static final long MAX_FULL_SESSIONS = 64;
 
-    private static final long MILLI = 1_000_000L;
-    private static final long BUSY_WAIT_MILLIS = 200;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long OVERLOAD_RETRY_MILLIS = 200;
 
     private final DaemonSettings settings;
     private final EngineClient engine;
-    private final Completions completions;
+    private final CompletionDispatcher completions;
     private final Map<Long, Stage> stages = new HashMap<>();
-    private final EngineStepper stepper;
+    private final StepBatcher batcher;
     private final OutputSender sender;
 
     StageHandler(
             DaemonSettings settings,
             EngineClient engine,
-            Completions completions,
-            EngineStepper stepper,
+            CompletionDispatcher completions,
+            StepBatcher batcher,
             OutputSender sender) {
         this.settings = settings;
         this.engine = engine;
         this.completions = completions;
-        this.stepper = stepper;
+        this.batcher = batcher;
         this.sender = sender;
     }
 
     /**
-     * Opens a stage, or opens it anew under a higher epoch.
+     * Opens a stage, or reopens it under a higher epoch.
      *
-     * @param refusal why no new work is taken now, if so; a session that is held goes on regardless
+     * @param refusal the reason why new work is refused now; a session that is already held continues regardless
      */
     void open(Link link, OpenStage open, Optional<KeyResult> refusal, Moment now) {
         Stage held = stages.get(open.session());
@@ -76,7 +77,7 @@
         if (held != null) {
             drop(held);
         }
-        Optional<KeyResult> reason = refusal.or(() -> refuse(open));
+        Optional<KeyResult> reason = refusal.or(() -> refusalReason(open));
         if (reason.isPresent()) {
             KeyResult why = reason.get();
             ProblemKind kind = why.kind().orElse(ProblemKind.OVERLOADED);
@@ -88,9 +89,10 @@
             importKv(link, open, now);
         } else if (open.epoch() > 1 || held != null) {
             // The engine may still hold the session's cache from a stage that this agent held and lost.
-            completions.on(engine.cancel(open.session()), (done, failure) -> add(link, open, fresh(open), now));
+            completions.whenComplete(
+                    engine.cancel(open.session()), (done, failure) -> add(link, open, newSession(open), now));
         } else {
-            add(link, open, fresh(open), now);
+            add(link, open, newSession(open), now);
         }
     }
 
@@ -105,38 +107,39 @@
                     0));
             return;
         }
-        sender.release(held);
+        sender.releaseLink(held);
         held.open = open;
-        held.entry = link;
+        held.entryLink = link;
         held.orphanedAt = 0;
         held.nextMissingAt = 0;
-        held.exporting = false;
+        held.exportRequested = false;
         held.deadline = now.plusMillis(open.budgetMillis());
-        sender.hold(held);
+        sender.acquireLink(held);
         link.send(new StageOpened(open.session(), open.epoch(), open.stage(), held.session.position()));
     }
 
-    private Optional<KeyResult> refuse(OpenStage open) {
+    private Optional<KeyResult> refusalReason(OpenStage open) {
         if (open.stages().size() != open.incarnations().size()
                 || open.stage() >= open.stages().size()) {
-            return Optional.of(KeyResult.notRun(ProblemKind.MALFORMED_REQUEST, "The stages do not fit together", 0));
+            return Optional.of(
+                    KeyResult.notRun(ProblemKind.MALFORMED_REQUEST, "The stages and incarnations do not match", 0));
         }
         if (positions(open) > settings.bounds().keptOutputs()) {
             return Optional.of(
-                    KeyResult.notRun(ProblemKind.REQUEST_TOO_LARGE, "The tokens are more than bounds.keptOutputs", 0));
+                    KeyResult.notRun(ProblemKind.REQUEST_TOO_LARGE, "The token limit exceeds bounds.keptOutputs", 0));
         }
         boolean tooMany = stages.size() >= settings.bounds().inProgress();
         if (tooMany
                 || reservedPositions() + positions(open)
-                        > FULL_SESSIONS * settings.bounds().keptOutputs()) {
-            return Optional.of(
-                    KeyResult.notRun(ProblemKind.OVERLOADED, "The agent holds all sessions it can", BUSY_WAIT_MILLIS));
+                        > MAX_FULL_SESSIONS * settings.bounds().keptOutputs()) {
+            return Optional.of(KeyResult.notRun(
+                    ProblemKind.OVERLOADED, "The agent holds its maximum number of sessions", OVERLOAD_RETRY_MILLIS));
         }
-        long wait = stepper.expectedWaitMillis(waitingPositions() + open.promptTokens());
+        long wait = batcher.expectedWaitMillis(waitingPositions() + open.promptTokens());
         if (wait > open.budgetMillis()) {
             return Optional.of(KeyResult.notRun(
                     ProblemKind.DEADLINE_UNREACHABLE,
-                    "The steps before its first token take longer than its deadline allows",
+                    "The steps queued before its first token take longer than its deadline allows",
                     wait));
         }
         return Optional.empty();
@@ -162,7 +165,7 @@
         return waiting;
     }
 
-    private static StageSession fresh(OpenStage open) {
+    private static StageSession newSession(OpenStage open) {
         return new StageSession(shape(open), open.epoch());
     }
 
@@ -177,31 +180,33 @@
         }
         Stage stage = new Stage(session, open, link, now.plusMillis(open.budgetMillis()));
         stages.put(open.session(), stage);
-        sender.hold(stage);
+        sender.acquireLink(stage);
         link.send(new StageOpened(open.session(), open.epoch(), open.stage(), session.position()));
     }
 
     private void importKv(Link link, OpenStage open, Moment now) {
         Optional<ExportedStage> exported = ExportedStage.read(open.kv().orElseThrow());
         if (exported.isEmpty()) {
-            add(link, open, fresh(open), now);
+            add(link, open, newSession(open), now);
             return;
         }
         ExportedStage from = exported.get();
-        completions.on(engine.importKv(open.session(), from.kv()), (done, failure) -> {
+        completions.whenComplete(engine.importKv(open.session(), from.kv()), (done, failure) -> {
             if (failure == null) {
                 add(link, open, new StageSession(shape(open), open.epoch(), from.snapshot()), now);
             } else {
                 LOG.log(
                         System.Logger.Level.INFO,
-                        "agent: a KV cache was not imported, the stage is rebuilt; session="
+                        "agent: a KV cache was not imported, so the stage is rebuilt; session="
                                 + Long.toHexString(open.session()) + " why=" + failure.getMessage());
-                completions.on(engine.cancel(open.session()), (d, f) -> add(link, open, fresh(open), now));
+                completions.whenComplete(
+                        engine.cancel(open.session()),
+                        (cancelled, cancelFailure) -> add(link, open, newSession(open), now));
             }
         });
     }
 
-    /** Takes inputs from the entry or the stage before. */
+    /** Accepts inputs from the entry or from the previous stage. */
     void step(Step step, Moment now) {
         Stage stage = stages.get(step.session());
         if (stage == null) {
@@ -209,18 +214,18 @@
         }
         StepAcceptance verdict = stage.session.accept(step.epoch(), step.position(), step.inputs());
         if (verdict == StepAcceptance.OUT_OF_RANGE) {
-            stage.reportLost(stage.open.stage(), ProblemKind.BACKEND_LOST, "Inputs before the step were lost");
+            stage.reportLost(stage.open.stage(), ProblemKind.BACKEND_LOST, "Inputs before the received step were lost");
         }
         if (stage.session.isReady()) {
-            stepper.ready(stage, now);
+            batcher.enqueue(stage, now);
         }
     }
 
-    /** Starts to send outputs from a position on. */
+    /** Starts to send outputs, beginning at a position. */
     void sendFrom(SendFrom from, Moment now) {
         Stage stage = stages.get(from.session());
         if (stage != null && stage.session.startSending(from.epoch(), from.position())) {
-            sender.pump(stage, now);
+            sender.sendPending(stage, now);
         }
     }
 
@@ -232,100 +237,101 @@
         }
     }
 
-    /** Stops a stage between two steps and gives its KV cache. */
+    /** Freezes a stage between two steps and sends its KV cache to the entry. */
     void export(ExportStage export) {
         Stage stage = stages.get(export.session());
         if (stage == null || export.epoch() != stage.session.epoch()) {
             return;
         }
         stage.session.freeze();
-        stage.exporting = true;
-        exportIfStill(stage);
+        stage.exportRequested = true;
+        exportIfIdle(stage);
     }
 
-    /** Called after each step of an exporting stage, too. */
-    void exportIfStill(Stage stage) {
-        if (!stage.exporting || stage.session.running() > 0) {
+    /** Starts a requested export if no step of the stage is running; also called after each step. */
+    void exportIfIdle(Stage stage) {
+        if (!stage.exportRequested || stage.session.running() > 0) {
             return;
         }
-        stage.exporting = false;
+        stage.exportRequested = false;
         int epoch = stage.session.epoch();
-        completions.on(engine.exportKv(stage.id()), (kv, failure) -> {
+        completions.whenComplete(engine.exportKv(stage.id()), (kv, failure) -> {
             Optional<byte[]> bytes = Optional.empty();
             if (failure == null && kv.position() == stage.session.position()) {
                 bytes = new ExportedStage(kv, stage.session.snapshot())
                         .write(settings.bounds().frameBytes());
             }
-            stage.entry.send(new StageExported(stage.id(), epoch, stage.open.stage(), stage.session.position(), bytes));
+            stage.entryLink.send(
+                    new StageExported(stage.id(), epoch, stage.open.stage(), stage.session.position(), bytes));
         });
     }
 
-    /** A session's engine state is gone or in doubt. */
-    void lost(Stage stage, ProblemKind kind, String detail) {
+    /** Drops a session whose engine state is lost or uncertain, and reports it to the entry. */
+    void dropLost(Stage stage, ProblemKind kind, String detail) {
         if (isHeld(stage)) {
             stage.reportLost(stage.open.stage(), kind, detail);
             drop(stage);
         }
     }
 
-    /** Whether a stage is still the one that the agent holds for its session. */
+    /** Whether this is still the agent's stage for its session. */
     boolean isHeld(Stage stage) {
         return stages.get(stage.id()) == stage;
     }
 
     private void drop(Stage stage) {
         stages.remove(stage.id());
-        sender.release(stage);
-        completions.on(engine.cancel(stage.id()), (done, failure) -> {});
+        sender.releaseLink(stage);
+        completions.whenComplete(engine.cancel(stage.id()), (done, failure) -> {});
     }
 
     /**
-     * The engine died, and all KV caches with it.
+     * Drops all sessions after the engine has died, since their KV caches are lost.
      *
      * @return fingerprints of the requests that were at the engine
      */
-    List<String> backendDied() {
+    List<String> abandonAll() {
         List<String> fingerprints = new ArrayList<>();
         for (Stage stage : new ArrayList<>(stages.values())) {
             if (stage.session.running() > 0) {
                 fingerprints.add(stage.open.fingerprint());
             }
-            lost(stage, ProblemKind.BACKEND_LOST, "The engine died, and its KV cache with it");
+            dropLost(stage, ProblemKind.BACKEND_LOST, "The engine died and its KV cache is lost");
         }
         return fingerprints;
     }
 
-    /** An entry or a neighbour has linked up: what waits for it goes out. */
+    /** Attaches sessions to the new link of their entry, and sends their outputs again. */
     void linkOpened(Link link, Moment now) {
         for (Stage stage : stages.values()) {
             boolean sameEntry = link.peer().entry()
-                    && link.peer().incarnation().equals(stage.entry.peer().incarnation());
-            if (sameEntry && !stage.entry.isOpen()) {
-                stage.entry = link;
+                    && link.peer().incarnation().equals(stage.entryLink.peer().incarnation());
+            if (sameEntry && !stage.entryLink.isOpen()) {
+                stage.entryLink = link;
                 stage.orphanedAt = 0;
                 stage.session.resendAll();
-                sender.pump(stage, now);
+                sender.sendPending(stage, now);
             }
         }
     }
 
-    /** Sends what could not be sent, and drops what nobody waits for. */
+    /** Sends pending outputs, and drops sessions without an entry or past their deadline. */
     void tick(Moment now) {
         for (Stage stage : new ArrayList<>(stages.values())) {
-            if (!stage.entry.isOpen() && stage.orphanedAt == 0) {
+            if (!stage.entryLink.isOpen() && stage.orphanedAt == 0) {
                 stage.orphanedAt = now.nanos();
             }
-            boolean orphaned = !stage.entry.isOpen() && isOver(stage.orphanedAt, ORPHAN_MILLIS, now);
-            if (orphaned || isOver(stage.deadline, GRACE_MILLIS, now)) {
+            boolean orphaned = !stage.entryLink.isOpen() && hasElapsed(stage.orphanedAt, ORPHAN_MILLIS, now);
+            if (orphaned || hasElapsed(stage.deadline, DEADLINE_GRACE_MILLIS, now)) {
                 drop(stage);
             } else {
-                sender.pump(stage, now);
+                sender.sendPending(stage, now);
             }
         }
     }
 
-    private static boolean isOver(long since, long millis, Moment now) {
-        return since != 0 && now.nanos() - since > millis * MILLI;
+    private static boolean hasElapsed(long since, long millis, Moment now) {
+        return since != 0 && now.nanos() - since > millis * NANOS_PER_MILLI;
     }
 
     /** All stages held. */
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/package-info.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/package-info.java
@@ -1,2 +1,2 @@
-/** The agent: the small process beside one backend server. */
+/** The agent: the small process that runs next to one backend server. */
 package org.cornelramp.daemon.agent;
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/Admission.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/Admission.java
@@ -16,40 +16,41 @@
 import org.cornelramp.wire.message.Heartbeat;
 
 /**
- * Decides whether a request may start at this entry: room, requests set aside, the limits of its row.
+ * Decides whether a request may start at this entry, by the entry's capacity, the requests set aside and the limits of
+ * the request's row.
  *
- * <p>Confined to the router's thread. Invariant: a permit is handed back once, when its request ends.
+ * <p>Confined to the router's thread. Invariant: a permit is released once, when its request ends.
  */
 final class Admission {
-    private static final int HEARTBEATS_REPORT_LIVES = 10;
+    private static final int REPORT_LIFETIME_HEARTBEATS = 10;
 
     private final int maxInProgress;
     private final Limiter limiter;
-    private final OrganisationRetryBudget retries = OrganisationRetryBudget.standard();
-    private final Poison poison;
+    private final OrganisationRetryBudget retryBudget = OrganisationRetryBudget.standard();
+    private final PoisonTracker poisonTracker;
     private final RandomGenerator random;
     private final Map<String, Admitted> admitted = new HashMap<>();
 
     private record Admitted(Permit permit, String fingerprint) {}
 
-    Admission(int maxInProgress, long heartbeatMillis, Poison poison, RandomGenerator random) {
+    Admission(int maxInProgress, long heartbeatMillis, PoisonTracker poisonTracker, RandomGenerator random) {
         this.maxInProgress = maxInProgress;
-        this.limiter = new Limiter(Duration.ofMillis(heartbeatMillis * HEARTBEATS_REPORT_LIVES));
-        this.poison = poison;
+        this.limiter = new Limiter(Duration.ofMillis(heartbeatMillis * REPORT_LIFETIME_HEARTBEATS));
+        this.poisonTracker = poisonTracker;
         this.random = random;
     }
 
     /**
-     * Lets a request start, or says why not.
+     * Admits a request, or returns why it may not start.
      *
-     * @param tokens most tokens that it may generate; 0 for a plain service
-     * @param inProgress requests in progress now
+     * @param tokens maximum number of tokens that it may generate; 0 for a plain service
+     * @param inProgress number of requests in progress
      */
     Optional<Problem> admit(CallerRequest request, String fingerprint, int tokens, int inProgress, Instant now) {
         if (inProgress >= maxInProgress) {
-            return Optional.of(Refusals.overloaded("The entry has as many requests in progress as it may."));
+            return Optional.of(Refusals.overloaded("The entry has reached its limit of requests in progress."));
         }
-        Optional<Problem> setAside = poison.refusal(fingerprint, now);
+        Optional<Problem> setAside = poisonTracker.refusal(fingerprint, now);
         if (setAside.isPresent()) {
             return setAside;
         }
@@ -61,43 +62,44 @@
         return Optional.empty();
     }
 
-    /** Why a request that runs must stop; empty if it may go on. */
-    Optional<Problem> stop(String fingerprint, Instant now) {
-        return poison.refusal(fingerprint, now);
+    /** Returns why a running request must stop; empty if it may continue. */
+    Optional<Problem> stopReason(String fingerprint, Instant now) {
+        return poisonTracker.refusal(fingerprint, now);
     }
 
-    /** A request has ended, whether or not it was let start. */
-    void ended(CallerRequest request, boolean answered, int tokens, Instant now) {
+    /** Records the end of a request, whether or not it was admitted. */
+    void requestEnded(CallerRequest request, boolean answered, int tokens, Instant now) {
         if (answered) {
-            retries.recordSuccess(request.row().key().organisation(), now);
+            retryBudget.recordSuccess(request.row().key().organisation(), now);
         }
-        Admitted one = admitted.remove(request.id());
-        if (one == null) {
+        Admitted entry = admitted.remove(request.id());
+        if (entry == null) {
             return;
         }
-        limiter.release(one.permit(), tokens, now);
+        limiter.release(entry.permit(), tokens, now);
         if (answered) {
-            poison.completed(one.fingerprint(), now);
+            poisonTracker.recordCompletion(entry.fingerprint(), now);
         }
     }
 
-    /** Takes one retry from the organisation's budget; false if none is left. */
-    boolean mayRetry(OrganisationId organisation, Instant now) {
-        return retries.tryRetry(organisation, now);
+    /** Takes one retry from the organisation's budget. Returns false if none is left. */
+    boolean tryRetry(OrganisationId organisation, Instant now) {
+        return retryBudget.tryRetry(organisation, now);
     }
 
-    /** Takes what an agent's heartbeat tells of limits and crashes. */
-    void heard(Incarnation agent, Heartbeat beat, Instant now) {
-        limiter.recordReport(agent, beat.entryDemand(), Math.max(1, beat.load().linkedEntries()), now);
-        poison.heard(beat, now);
+    /** Records the demand and the crashes that an agent's heartbeat reports. */
+    void heartbeatReceived(Incarnation agent, Heartbeat heartbeat, Instant now) {
+        limiter.recordReport(
+                agent, heartbeat.entryDemand(), Math.max(1, heartbeat.load().linkedEntries()), now);
+        poisonTracker.heartbeatReceived(heartbeat, now);
     }
 
-    /** The link to an agent is lost. */
-    void lost(Incarnation agent) {
+    /** Discards the demand report of an agent whose link is lost. */
+    void linkLost(Incarnation agent) {
         limiter.removeReport(agent);
     }
 
-    /** Demand of this entry for each limited row, for its heartbeats. */
+    /** Returns the demand of this entry for each limited row, for its heartbeats. */
     Map<String, Double> demand(Instant now) {
         return limiter.demand(now);
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/Health.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/AgentHealthTracker.java
@@ -11,68 +11,70 @@
 import org.cornelramp.core.model.Offer;
 
 /**
- * The share of work that each agent is given, from how this entry's requests went there.
+ * Determines the share of work that each agent gets, from the results of this entry's requests to it.
  *
- * <p>Confined to the router's thread. Shares are held against the best of a group: where all are new or slow, no one
- * can take the work of the others, and lowered shares would only turn requests away.
+ * <p>Confined to the router's thread. Shares are relative to the best agent of a group. Where all agents of a group are
+ * new or slow, none can take over the work of the others, and lower shares would only cause refusals.
  */
-final class Health {
-    private static final Duration RENEWAL = Duration.ofMillis(20);
+final class AgentHealthTracker {
+    private static final Duration SHARE_REFRESH_INTERVAL = Duration.ofMillis(20);
 
     private final FleetHealth fleet = new FleetHealth(HealthSettings.DEFAULTS);
     private final Map<Incarnation, String> groups = new HashMap<>();
     private Map<Incarnation, Double> shares = Map.of();
-    private Instant firstAt = Instant.MAX;
-    private Instant renewAt = Instant.MIN;
+    private Instant firstAgentSeenAt = Instant.MAX;
+    private Instant refreshAt = Instant.MIN;
 
-    /** An agent is there; it ramps up unless it was there when this entry started. */
-    void seen(Incarnation agent, Optional<Offer> offer, Instant now) {
-        if (firstAt.equals(Instant.MAX)) {
-            firstAt = now;
+    /**
+     * Registers an agent that has an offer. Its share ramps up unless the agent was present when this entry started.
+     */
+    void agentSeen(Incarnation agent, Optional<Offer> offer, Instant now) {
+        if (firstAgentSeenAt.equals(Instant.MAX)) {
+            firstAgentSeenAt = now;
         }
         if (offer.isEmpty() || groups.containsKey(agent)) {
             return;
         }
         Duration rampUp = HealthSettings.DEFAULTS.rampUp();
-        boolean wasThere = now.isBefore(firstAt.plus(rampUp));
+        boolean wasPresent = now.isBefore(firstAgentSeenAt.plus(rampUp));
         String group = group(offer.get());
         groups.put(agent, group);
-        fleet.add(agent, group, wasThere ? now.minus(rampUp) : now);
-        renewAt = now;
+        fleet.add(agent, group, wasPresent ? now.minus(rampUp) : now);
+        refreshAt = now;
     }
 
-    void gone(Incarnation agent) {
+    void removeAgent(Incarnation agent) {
         groups.remove(agent);
         fleet.remove(agent);
     }
 
-    void succeeded(Incarnation agent, Duration observed, Duration expected, Instant now) {
+    void recordSuccess(Incarnation agent, Duration observed, Duration expected, Instant now) {
         fleet.recordSuccess(agent, observed, expected, now);
     }
 
-    /** Notes a success whose time says nothing of this one agent. */
-    void succeeded(Incarnation agent, Instant now) {
+    /** Records a success whose duration cannot be attributed to this agent alone. */
+    void recordSuccess(Incarnation agent, Instant now) {
         fleet.recordSuccess(agent, Duration.ofMillis(1), Duration.ofMillis(1), now);
     }
 
-    void failed(Incarnation agent, Instant now) {
+    void recordFailure(Incarnation agent, Instant now) {
         fleet.recordFailure(agent, now);
-        renewAt = now;
+        refreshAt = now;
     }
 
-    /** The share of an agent, above 0 to 1; empty for one that is ejected. */
+    /** Returns the share of an agent, greater than 0 and at most 1; empty if the agent is ejected. */
     Optional<Double> share(Incarnation agent, Instant now) {
         if (!groups.containsKey(agent)) {
             return Optional.of(1.0);
         }
-        if (!now.isBefore(renewAt)) {
-            renew(now);
+        if (!now.isBefore(refreshAt)) {
+            refreshShares(now);
         }
         return Optional.ofNullable(shares.get(agent));
     }
 
-    /** Names the group of an ejected agent that is due a probe, and notes that it gets one. */
-    boolean takeProbe(Incarnation agent, Instant now) {
+    /** Returns whether an ejected agent is due for a probe, and if so records the probe. */
+    boolean claimProbe(Incarnation agent, Instant now) {
         String group = groups.get(agent);
         if (group == null || !fleet.dueProbe(group, now).equals(Optional.of(agent))) {
             return false;
@@ -81,14 +83,14 @@
         return true;
     }
 
-    private void renew(Instant now) {
-        renewAt = now.plus(RENEWAL);
+    private void refreshShares(Instant now) {
+        refreshAt = now.plus(SHARE_REFRESH_INTERVAL);
         Map<String, Double> best = new HashMap<>();
         Map<Incarnation, Double> raw = fleet.shares(now);
         raw.forEach((agent, share) -> best.merge(groups.getOrDefault(agent, ""), share, Math::max));
-        Map<Incarnation, Double> held = new HashMap<>();
-        raw.forEach((agent, share) -> held.put(agent, share / best.get(groups.getOrDefault(agent, ""))));
-        shares = held;
+        Map<Incarnation, Double> relative = new HashMap<>();
+        raw.forEach((agent, share) -> relative.put(agent, share / best.get(groups.getOrDefault(agent, ""))));
+        shares = relative;
     }
 
     private static String group(Offer offer) {
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/AgentWords.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/AgentReplies.java
@@ -8,11 +8,11 @@
 import org.cornelramp.core.model.ProblemKind;
 import org.cornelramp.wire.message.InvokeResult;
 
-/** Reads the final words of agents from messages. */
-final class AgentWords {
-    private AgentWords() {}
+/** Converts result messages of agents to {@link AgentReply}. */
+final class AgentReplies {
+    private AgentReplies() {}
 
-    static AgentReply of(InvokeResult result) {
+    static AgentReply from(InvokeResult result) {
         if (result.outcome() == Outcome.ANSWERED) {
             return AgentReply.of(new CallResult(result.status(), result.contentType(), result.body()));
         }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/CallRun.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/CallRun.java
@@ -22,56 +22,63 @@
 import org.cornelramp.wire.message.Settle;
 
 /**
- * One call to a plain service in progress: does what its {@link PlainCall} decides.
+ * A call to a plain service in progress. Carries out the actions that its {@link PlainCall} returns.
  *
- * <p>Confined to the router's thread. Invariant: the caller gets one final answer, and the work counted at agents
- * is uncounted when it ends.
+ * <p>Confined to the router's thread. Invariant: the caller gets one final answer, and work counted at an agent is no
+ * longer counted when the call ends.
  */
 final class CallRun {
-    private static final Problem OTHER_SERVICE =
+    private static final Problem KEY_OF_OTHER_SERVICE =
             Problem.notRun(ProblemKind.KEY_REUSED, "The key was not minted for this service; the request did not run.");
 
-    private final long number;
+    private final long callId;
     private final ServiceRequest call;
-    private final Parts parts;
-    private final Agents agents;
-    private final Ends ends;
+    private final RouterContext context;
+    private final AgentRegistry agents;
+    private final RequestTracker tracker;
     private final PlainCall state;
-    private final Optional<Bound> bound;
-    private final Deque<CallAction> todo = new ArrayDeque<>();
-    private Optional<Incarnation> counted = Optional.empty();
+    private final Optional<BoundIncarnation> bound;
+    private final Deque<CallAction> pendingActions = new ArrayDeque<>();
+    private Optional<Incarnation> countedAgent = Optional.empty();
     private Duration expected = Duration.ZERO;
     private Instant sentAt = Instant.EPOCH;
-    private Optional<Instant> lostAt = Optional.empty();
+    private Optional<Instant> linkLostAt = Optional.empty();
 
-    CallRun(long number, ServiceRequest call, Optional<Bound> bound, Parts parts, Instant now) {
-        this.number = number;
+    CallRun(long callId, ServiceRequest call, Optional<BoundIncarnation> bound, RouterContext context, Instant now) {
+        this.callId = callId;
         this.call = call;
         this.bound = bound;
-        this.parts = parts;
-        this.agents = parts.agents();
-        this.ends = parts.ends();
-        this.state = new PlainCall(bound.map(Bound::agent), now, call.request().deadline());
+        this.context = context;
+        this.agents = context.agents();
+        this.tracker = context.tracker();
+        this.state = new PlainCall(
+                bound.map(BoundIncarnation::agent), now, call.request().deadline());
     }
 
-    /** Starts the call; one whose bound agent has ended goes straight to what the log holds. */
+    /**
+     * Starts the call. If the incarnation that its key is bound to has ended, the result is looked up on the log at
+     * once.
+     */
     void start(Instant now) {
-        apply(state.start(), now, isBoundGone(now));
+        apply(state.start(), now, hasBoundAgentEnded(now));
     }
 
-    /** Starts a call that is refused here, but for what its key's agent says. */
+    /**
+     * Starts a call that this entry refuses. The agent of its key, if it has one, is still asked whether an earlier
+     * attempt ran.
+     */
     void startRefused(Problem why, Instant now) {
-        apply(state.startRefused(why), now, isBoundGone(now));
+        apply(state.startRefused(why), now, hasBoundAgentEnded(now));
     }
 
-    void said(AgentReply word, Instant now) {
-        noteHealth(word, now);
-        apply(state.replyReceived(word, now), now, false);
+    void replyReceived(AgentReply reply, Instant now) {
+        recordHealth(reply, now);
+        apply(state.replyReceived(reply, now), now, false);
     }
 
     void linkLost(Incarnation agent, Instant now) {
-        if (counted.equals(Optional.of(agent)) && lostAt.isEmpty()) {
-            lostAt = Optional.of(now);
+        if (countedAgent.equals(Optional.of(agent)) && linkLostAt.isEmpty()) {
+            linkLostAt = Optional.of(now);
         }
         apply(state.linkLost(agent, now), now, false);
     }
@@ -80,18 +87,18 @@
         apply(state.linkOpened(agent), now, false);
     }
 
-    void gone(Incarnation agent, Instant now) {
+    void incarnationEnded(Incarnation agent, Instant now) {
         apply(state.incarnationGone(agent, now), now, false);
     }
 
-    void lookedUp(Optional<AgentReply> word, Instant now) {
-        apply(state.lookedUp(word), now, false);
+    void lookupCompleted(Optional<AgentReply> reply, Instant now) {
+        apply(state.lookedUp(reply), now, false);
     }
 
     void tick(Instant now) {
         apply(state.tick(now), now, false);
-        if (!state.isEnded() && isBoundGone(now)) {
-            gone(bound.get().agent(), now);
+        if (!state.isEnded() && hasBoundAgentEnded(now)) {
+            incarnationEnded(bound.get().agent(), now);
         }
     }
 
@@ -99,26 +106,29 @@
         return state.isEnded();
     }
 
-    /** Whether the life that the key is bound to has ended: by its own settlement, or since another was seen. */
-    private boolean isBoundGone(Instant now) {
+    /**
+     * Whether the incarnation that the key is bound to has ended, known from its settlement on the log or from a later
+     * incarnation.
+     */
+    private boolean hasBoundAgentEnded(Instant now) {
         if (bound.isEmpty()) {
             return false;
         }
         Incarnation agent = bound.get().agent();
-        return parts.settled().isSettled(agent)
-                || agents.membership().hasEnded(agent, bound.get().at(), now);
+        return context.settlements().isSettled(agent)
+                || agents.membership().hasEnded(agent, bound.get().boundAt(), now);
     }
 
     private void apply(List<CallAction> actions, Instant now, boolean targetGone) {
-        todo.addAll(actions);
+        pendingActions.addAll(actions);
         if (targetGone) {
-            todo.clear();
-            todo.addAll(state.incarnationGone(bound.orElseThrow().agent(), now));
+            pendingActions.clear();
+            pendingActions.addAll(state.incarnationGone(bound.orElseThrow().agent(), now));
         }
-        CallAction action = todo.poll();
+        CallAction action = pendingActions.poll();
         while (action != null) {
             perform(action, now);
-            action = todo.poll();
+            action = pendingActions.poll();
         }
     }
 
@@ -130,8 +140,8 @@
         } else if (action instanceof CallAction.Ask ask) {
             ask(ask.agent(), now);
         } else if (action instanceof CallAction.LookUp lookUp) {
-            ends.decided(call.request(), now, "look-up", "agent=" + lookUp.agent());
-            parts.settled().lookUp(lookUp.agent(), call.key().orElseThrow(), number);
+            tracker.recordDecision(call.request(), now, "look-up", "agent=" + lookUp.agent());
+            context.settlements().lookUp(lookUp.agent(), call.key().orElseThrow(), callId);
         } else if (action instanceof CallAction.Answer answer) {
             answer(answer.result(), now);
         } else if (action instanceof CallAction.Fail fail) {
@@ -141,40 +151,40 @@
 
     private void choose(Instant now) {
         RowKey row = call.request().row().key();
-        if (state.retries() > 0 && !parts.admission().mayRetry(row.organisation(), now)) {
-            ends.decided(call.request(), now, "not-retried", "why=budget");
-            todo.addAll(state.notChosen(Refusals.overloaded("The organisation's retries are used up.")));
+        if (state.retries() > 0 && !context.admission().tryRetry(row.organisation(), now)) {
+            tracker.recordDecision(call.request(), now, "not-retried", "why=budget");
+            pendingActions.addAll(state.notChosen(Refusals.overloaded("The organisation's retries are used up.")));
             return;
         }
         RoutingRequest work =
                 new RoutingRequest(row.service(), 0, 0, call.request().deadline(), "", state.failed());
-        Either<Problem, Choice> choice = parts.selection().chooseRepeatable(work, now);
+        Either<Problem, Choice> choice = context.selection().chooseRepeatable(work, now);
         if (choice.isLeft()) {
-            todo.addAll(state.notChosen(choice.getLeft()));
+            pendingActions.addAll(state.notChosen(choice.getLeft()));
         } else {
             expected = choice.get().expectedTime();
-            todo.addAll(state.chosen(choice.get().stages().get(0).incarnation()));
+            pendingActions.addAll(state.chosen(choice.get().stages().get(0).incarnation()));
         }
     }
 
-    private void noteHealth(AgentReply word, Instant now) {
-        if (counted.isEmpty()) {
+    private void recordHealth(AgentReply reply, Instant now) {
+        if (countedAgent.isEmpty()) {
             return;
         }
-        Optional<ProblemKind> kind = word.problem().map(Problem::kind);
+        Optional<ProblemKind> kind = reply.problem().map(Problem::kind);
         if (kind.isEmpty()) {
-            parts.health().succeeded(counted.get(), Duration.between(sentAt, now), expected, now);
+            context.healthTracker().recordSuccess(countedAgent.get(), Duration.between(sentAt, now), expected, now);
         } else if (kind.get() == ProblemKind.BACKEND_FAILED || kind.get() == ProblemKind.BACKEND_LOST) {
-            parts.health().failed(counted.get(), now);
+            context.healthTracker().recordFailure(countedAgent.get(), now);
         }
     }
 
     /**
-     * A ticket names any agent that its caller writes into it. Sent on unchecked, a call would reach the service of
-     * that agent, for which the caller's organisation may have no row. An agent whose backend server is down shows
-     * no offer, and refuses by itself.
+     * Whether an agent has no offer for the call's service. A caller can write any agent into a ticket. If the ticket
+     * were not checked, the call could reach a service for which the caller's organisation has no row. An agent whose
+     * backend server is down has no offer at all; it would refuse the call itself.
      */
-    private boolean servesOther(Incarnation agent) {
+    private boolean lacksMatchingOffer(Incarnation agent) {
         return agents.membership()
                 .member(agent)
                 .flatMap(Member::offer)
@@ -184,18 +194,18 @@
     }
 
     private void send(Incarnation agent, Instant now) {
-        if (bound.isPresent() && servesOther(agent)) {
-            todo.addAll(state.refuse(OTHER_SERVICE));
+        if (bound.isPresent() && lacksMatchingOffer(agent)) {
+            pendingActions.addAll(state.refuse(KEY_OF_OTHER_SERVICE));
             return;
         }
-        ends.decided(call.request(), now, "sent", "agent=" + agent + " retries=" + state.retries());
+        tracker.recordDecision(call.request(), now, "sent", "agent=" + agent + " retries=" + state.retries());
         Invoke message = new Invoke(
-                number,
+                callId,
                 call.request().id(),
                 call.request().row().key().organisation(),
                 call.idempotent(),
                 call.key(),
-                bound.map(Bound::agent),
+                bound.map(BoundIncarnation::agent),
                 call.request().row().values().priority(),
                 Math.max(0, Duration.between(now, call.request().deadline()).toMillis()),
                 call.method(),
@@ -203,37 +213,37 @@
                 call.contentType(),
                 call.body(),
                 call.fingerprint());
-        count(Optional.of(agent), now);
+        moveCountedWork(Optional.of(agent), now);
         sentAt = now;
         if (!agents.send(agent, message)) {
-            todo.addAll(state.notSent(now));
+            pendingActions.addAll(state.notSent(now));
         }
     }
 
     private void ask(Incarnation agent, Instant now) {
-        ends.decided(call.request(), now, "asked", "agent=" + agent);
-        if (!agents.send(agent, new Settle(number, call.key().orElseThrow(), agent, true))) {
-            todo.addAll(state.notSent(now));
+        tracker.recordDecision(call.request(), now, "asked", "agent=" + agent);
+        if (!agents.send(agent, new Settle(callId, call.key().orElseThrow(), agent, true))) {
+            pendingActions.addAll(state.notSent(now));
         }
     }
 
-    private void count(Optional<Incarnation> agent, Instant now) {
-        counted.ifPresent(agents::end);
-        agent.ifPresent(one -> agents.begin(one, 1, now));
-        counted = agent;
+    private void moveCountedWork(Optional<Incarnation> agent, Instant now) {
+        countedAgent.ifPresent(agents::workEnded);
+        agent.ifPresent(target -> agents.workStarted(target, 1, now));
+        countedAgent = agent;
     }
 
     private void answer(CallResult result, Instant now) {
-        lostAt.ifPresent(at -> ends.timed("settle", Duration.between(at, now)));
-        count(Optional.empty(), now);
-        ends.answered(call.request(), now);
-        call.request().answer().whole(result);
+        linkLostAt.ifPresent(lostAt -> tracker.recordRecoveryTime("settle", Duration.between(lostAt, now)));
+        moveCountedWork(Optional.empty(), now);
+        tracker.recordAnswer(call.request(), now);
+        call.request().answer().complete(result);
     }
 
     private void fail(Problem problem, Instant now) {
-        lostAt.ifPresent(at -> ends.timed("settle", Duration.between(at, now)));
-        count(Optional.empty(), now);
-        ends.failed(call.request(), problem, now);
-        call.request().answer().problem(problem);
+        linkLostAt.ifPresent(lostAt -> tracker.recordRecoveryTime("settle", Duration.between(lostAt, now)));
+        moveCountedWork(Optional.empty(), now);
+        tracker.recordFailure(call.request(), problem, now);
+        call.request().answer().fail(problem);
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/CallerAnswer.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/CallerAnswer.java
@@ -4,25 +4,28 @@
 import org.cornelramp.core.model.Problem;
 
 /**
- * Where the answer to one request goes. Safe for use by any thread; no method blocks.
+ * Receives the answer to one request. Safe for use by any thread; no method blocks.
  *
- * <p>Invariant: after {@link #whole}, {@link #problem} or {@link #endStream} all further calls are ignored.
+ * <p>Invariant: after {@link #complete}, {@link #fail} or {@link #endStream} all further calls are ignored.
  */
 public interface CallerAnswer {
 
-    /** Gives the whole answer. */
-    void whole(int status, String contentType, byte[] body);
+    /** Sends a complete answer. */
+    void complete(int status, String contentType, byte[] body);
 
-    /** Gives the whole answer of a plain service. */
-    default void whole(CallResult result) {
-        whole(result.status(), result.contentType(), result.body());
+    /** Sends the complete answer of a plain service. */
+    default void complete(CallResult result) {
+        complete(result.status(), result.contentType(), result.body());
     }
 
-    /** Gives the final problem; in a stream, as its last event, so that a cut stream never looks complete. */
-    void problem(Problem problem);
+    /** Ends the answer with a problem. In a stream it is the last event, so that a cut stream never looks complete. */
+    void fail(Problem problem);
 
-    /** Adds an event to the stream; false when the caller is gone or too slow, and the stream was cut. */
-    boolean event(byte[] data);
+    /**
+     * Sends an event of the stream. Returns false if the caller has disconnected or reads too slowly and the stream was
+     * cut.
+     */
+    boolean sendEvent(byte[] data);
 
     /** Ends the stream as complete. */
     void endStream();
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/Callers.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/CallerAuthenticator.java
@@ -17,46 +17,46 @@
 import org.cornelramp.daemon.table.TableSource;
 
 /**
- * Tells who calls and what they may use. The organisation comes only from the caller's key, so that nobody can name
- * another's. Safe for use by any thread.
+ * Identifies the caller's organisation and finds its row for a service. The organisation is derived only from the
+ * caller's key, so that no caller can claim another organisation. Safe for use by any thread.
  */
-final class Callers {
+final class CallerAuthenticator {
     private static final String BEARER = "Bearer ";
-    private static final long LONGEST_DEADLINE_MILLIS = 600_000;
+    private static final long MAX_DEADLINE_MILLIS = 600_000;
 
-    private final TableSource source;
+    private final TableSource tableSource;
 
-    Callers(TableSource source) {
-        this.source = source;
+    CallerAuthenticator(TableSource tableSource) {
+        this.tableSource = tableSource;
     }
 
-    /** The row of the organisation that a key belongs to. */
-    Either<Problem, Row> row(String authorization, ServiceName service) {
-        return organisation(authorization).flatMap(organisation -> row(organisation, service));
+    /** Returns the row of the organisation that a caller key belongs to. */
+    Either<Problem, Row> findRow(String authorization, ServiceName service) {
+        return authenticate(authorization).flatMap(organisation -> findRow(organisation, service));
     }
 
-    /** The organisation that the key in an Authorization header belongs to. */
-    Either<Problem, OrganisationId> organisation(String authorization) {
-        if (!source.isReady()) {
+    /** Returns the organisation that the key in an Authorization header belongs to. */
+    Either<Problem, OrganisationId> authenticate(String authorization) {
+        if (!tableSource.isReady()) {
             return Either.left(Refusals.notReady());
         }
         if (authorization == null || !authorization.regionMatches(true, 0, BEARER, 0, BEARER.length())) {
             return unauthorised("The request has no caller key.");
         }
         String key = authorization.substring(BEARER.length()).strip();
-        Optional<OrganisationId> found = source.current().organisationOf(sha256(key));
+        Optional<OrganisationId> found = tableSource.current().organisationOf(sha256(key));
         return found.<Either<Problem, OrganisationId>>map(Either::right)
                 .orElseGet(() -> unauthorised("The caller key is not known."));
     }
 
-    /** The deadline that a caller states, or else the row's. */
-    static Either<Problem, Instant> deadline(String header, Row row, Instant now) {
+    /** Returns the deadline from the header {@link Headers#DEADLINE}, or the row's default without one. */
+    static Either<Problem, Instant> parseDeadline(String header, Row row, Instant now) {
         if (header == null) {
             return Either.right(now.plusMillis(row.values().deadlineMillis()));
         }
         try {
             long millis = Long.parseLong(header.strip());
-            if (millis >= 1 && millis <= LONGEST_DEADLINE_MILLIS) {
+            if (millis >= 1 && millis <= MAX_DEADLINE_MILLIS) {
                 return Either.right(now.plusMillis(millis));
             }
         } catch (NumberFormatException e) {
@@ -65,12 +65,15 @@
         return malformedDeadline();
     }
 
-    /** SHA-256 in lower-case hexadecimal. */
+    /** Returns the SHA-256 of a text in UTF-8, in lower-case hexadecimal. */
     static String sha256(String text) {
         return sha256(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** SHA-256 over all parts, each with its length, in lower-case hexadecimal. */
+    /**
+     * Returns the SHA-256 in lower-case hexadecimal. Several parts are each preceded by their length, so that parts
+     * split differently have different hashes.
+     */
     static String sha256(byte[]... parts) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
@@ -87,8 +90,8 @@
         }
     }
 
-    private Either<Problem, Row> row(OrganisationId organisation, ServiceName service) {
-        Table table = source.current();
+    private Either<Problem, Row> findRow(OrganisationId organisation, ServiceName service) {
+        Table table = tableSource.current();
         Optional<Row> row = table.row(new RowKey(organisation, service));
         if (row.isPresent()) {
             return Either.right(row.get());
@@ -106,7 +109,6 @@
     private static Either<Problem, Instant> malformedDeadline() {
         return Either.left(Problem.notRun(
                 ProblemKind.MALFORMED_REQUEST,
-                Headers.DEADLINE + " is not a whole number of milliseconds from 1 to " + LONGEST_DEADLINE_MILLIS
-                        + "."));
+                Headers.DEADLINE + " is not a whole number of milliseconds from 1 to " + MAX_DEADLINE_MILLIS + "."));
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/ChatHandler.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/ChatHandler.java
@@ -12,21 +12,23 @@
     }
 
     @Override
-    void handle(Arrival arrival) {
+    void handle(ReceivedRequest received) {
         if (context().draining().getAsBoolean()) {
-            refuse(arrival.answer(), Refusals.leaving());
+            refuse(received.answer(), Refusals.leaving());
             return;
         }
-        Either<Problem, ChatRequest> chat = ChatRequestReader.read(arrival.body());
-        Either<Problem, CallerRequest> request = chat.flatMap(one -> admit(arrival, one.model()));
+        Either<Problem, ChatRequest> chat = ChatRequestReader.read(received.body());
+        Either<Problem, CallerRequest> request = chat.flatMap(parsed -> toCallerRequest(received, parsed.model()));
         if (request.isLeft()) {
-            refuse(arrival.answer(), request.getLeft());
+            refuse(received.answer(), request.getLeft());
             return;
         }
         byte[] organisation = request.get().row().key().toString().getBytes(StandardCharsets.UTF_8);
-        String fingerprint = Callers.sha256(organisation, ChatRun.identity(chat.get()));
-        if (!context().intake().chat(request.get(), chat.get(), fingerprint, arrival.answer()::onBroken)) {
-            refuse(arrival.answer(), Refusals.overloaded("The entry's queue is full."));
+        String fingerprint = CallerAuthenticator.sha256(organisation, ChatRun.fingerprintInput(chat.get()));
+        if (!context()
+                .intake()
+                .submitChat(request.get(), chat.get(), fingerprint, received.answer()::onConnectionLost)) {
+            refuse(received.answer(), Refusals.overloaded("The entry's queue is full."));
         }
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/WaitingRoom.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/ChatQueue.java
@@ -23,74 +23,74 @@
 import org.cornelramp.core.table.Row;
 
 /**
- * Where model requests wait while every pipeline of their model is full, in fair shares between organisations.
+ * Queues model requests while every pipeline of their model is full, with fair sharing between organisations.
  *
- * <p>Without it, requests were taken first come, first served while a backend server could still meet their deadline,
- * and the organisation that sent most got most, whatever its weight. Each entry keeps the shares of its own callers;
- * as every entry sees a sample of the same callers, the shares hold over all of them.
+ * <p>If requests were served in order of arrival for as long as a backend server could meet their deadline, the
+ * organisation that sends most would get most, whatever its weight. Each entry keeps the shares of its own callers. As
+ * every entry sees a sample of the same callers, the shares hold over all entries.
  *
- * <p>Confined to the router's thread. Invariants: a request waits only while no pipeline has a free slot, and one
- * that can no longer be answered in time is refused at once.
+ * <p>Confined to the router's thread. Invariants: a request waits only while no pipeline has a free slot, and one that
+ * can no longer be answered in time is refused at once.
  */
-final class WaitingRoom {
-    private final Agents agents;
+final class ChatQueue {
+    private final AgentRegistry agents;
     private final Selection selection;
     private final int capacity;
     private final RandomGenerator random;
-    private final Map<ServiceName, FairQueue<WaitingChat>> queues = new HashMap<>();
+    private final Map<ServiceName, FairQueue<QueuedChat>> queues = new HashMap<>();
 
-    /** One request that waits, with what starts it. */
-    private record WaitingChat(CallerRequest request, Consumer<Instant> start) {}
+    /** A queued request and the action that starts it. */
+    private record QueuedChat(CallerRequest request, Consumer<Instant> start) {}
 
-    /** Tells of a request that is refused after it has waited. */
-    interface Refuser {
+    /** Receives requests that are refused after they were queued. */
+    interface RefusalHandler {
         void refuse(CallerRequest request, Problem problem, Instant now);
     }
 
-    WaitingRoom(Agents agents, Selection selection, int capacity, RandomGenerator random) {
+    ChatQueue(AgentRegistry agents, Selection selection, int capacity, RandomGenerator random) {
         this.agents = agents;
         this.selection = selection;
         this.capacity = capacity;
         this.random = random;
     }
 
-    /** Whether a request for this work has to wait for a slot. */
+    /** Whether a request for this work has to wait for a free slot. */
     boolean mustWait(RoutingRequest work, Instant now) {
-        FairQueue<WaitingChat> queue = queues.get(work.service());
+        FairQueue<QueuedChat> queue = queues.get(work.service());
         return (queue != null && queue.size() > 0) || isFull(work.service(), now);
     }
 
     /**
-     * Takes a request in, or says why it cannot be answered in time.
+     * Queues a request, or returns why it cannot be answered in time.
      *
-     * @param id number under which it can be cancelled
-     * @param start starts the request, once its turn has come
-     * @param refuser told of another request that had to make room
+     * @param id number by which the request can be cancelled
+     * @param start starts the request when it leaves the queue
+     * @param refuser receives other requests that are refused to make room
      */
     Optional<Problem> offer(
             long id,
             CallerRequest request,
             RoutingRequest work,
             Consumer<Instant> start,
-            Refuser refuser,
+            RefusalHandler refuser,
             Instant now) {
         Either<Problem, Choice> idle = selection.chooseAsIfIdle(work, now);
         if (idle.isLeft()) {
             return Optional.of(idle.getLeft());
         }
-        QueuedRequest<WaitingChat> waiting =
-                waiting(id, request, work, idle.get().expectedTime(), new WaitingChat(request, start));
-        Either<Problem, List<Refusal<WaitingChat>>> taken = queues.computeIfAbsent(
+        QueuedRequest<QueuedChat> waiting =
+                queuedRequest(id, request, work, idle.get().expectedTime(), new QueuedChat(request, start));
+        Either<Problem, List<Refusal<QueuedChat>>> result = queues.computeIfAbsent(
                         work.service(), service -> new FairQueue<>(capacity, random))
                 .offer(waiting, now);
-        if (taken.isLeft()) {
-            return Optional.of(taken.getLeft());
+        if (result.isLeft()) {
+            return Optional.of(result.getLeft());
         }
-        taken.get().forEach(refusal -> tell(refusal, refuser, now));
+        result.get().forEach(refusal -> refuse(refusal, refuser, now));
         return Optional.empty();
     }
 
-    /** Takes out a request whose caller has gone; the request, if it waited. */
+    /** Removes a request whose caller has disconnected. Returns the request if it was queued. */
     Optional<CallerRequest> cancel(long id, Instant now) {
         return queues.values().stream()
                 .flatMap(queue -> queue.cancel(id, now).stream())
@@ -98,23 +98,23 @@
                 .findFirst();
     }
 
-    /** Refuses what can no longer be done in time and starts what has a slot. */
-    void tick(Refuser refuser, Instant now) {
+    /** Refuses requests that can no longer be answered in time, and starts requests while slots are free. */
+    void tick(RefusalHandler refuser, Instant now) {
         queues.forEach((service, queue) -> {
-            queue.expire(now).forEach(refusal -> tell(refusal, refuser, now));
+            queue.expire(now).forEach(refusal -> refuse(refusal, refuser, now));
             while (queue.size() > 0 && !isFull(service, now)) {
                 queue.poll(now).ifPresent(waiting -> waiting.work().start().accept(now));
             }
         });
     }
 
-    /** Requests that wait. */
+    /** Returns the number of queued requests. */
     int size() {
         return queues.values().stream().mapToInt(FairQueue::size).sum();
     }
 
-    private static QueuedRequest<WaitingChat> waiting(
-            long id, CallerRequest request, RoutingRequest work, Duration runTime, WaitingChat chat) {
+    private static QueuedRequest<QueuedChat> queuedRequest(
+            long id, CallerRequest request, RoutingRequest work, Duration runTime, QueuedChat chat) {
         Row row = request.row();
         return new QueuedRequest<>(
                 id,
@@ -127,34 +127,37 @@
                 chat);
     }
 
-    private static void tell(Refusal<WaitingChat> refusal, Refuser refuser, Instant now) {
+    private static void refuse(Refusal<QueuedChat> refusal, RefusalHandler refuser, Instant now) {
         refuser.refuse(refusal.waiting().work().request(), refusal.problem(), now);
     }
 
-    /** Full means that agents offer the model and that no chain of free ones makes it whole. */
+    /** Whether the model is full: its agents form a complete pipeline, but those with a free slot do not. */
     private boolean isFull(ServiceName service, Instant now) {
         List<Candidate> all = agents.candidates(now).stream()
                 .filter(candidate -> candidate.offer().service().equals(service))
                 .toList();
-        return isWhole(all) && !isWhole(all.stream().filter(WaitingRoom::isFree).toList());
+        return isCompletePipeline(all)
+                && !isCompletePipeline(
+                        all.stream().filter(ChatQueue::hasFreeSlot).toList());
     }
 
     /**
-     * A session is at one stage at a time, so a stage has its slots full only with as many sessions as the pipeline
-     * has stages for each slot; of these each linked entry uses an equal part.
+     * Whether this entry may send the agent another session. A session occupies one stage at a time, so the slots of a
+     * stage are full only when there are as many sessions for each slot as the pipeline has stages. Each linked entry
+     * uses an equal part of these.
      */
-    private static boolean isFree(Candidate candidate) {
+    private static boolean hasFreeSlot(Candidate candidate) {
         int stages = candidate
                 .offer()
                 .layers()
                 .map(layers -> Math.max(1, layers.total() / (layers.to() - layers.from())))
                 .orElse(1);
         int entries = Math.max(1, candidate.load().linkedEntries());
-        int part = Math.max(1, candidate.offer().slots() * stages / entries);
-        return candidate.outstandingCalls() < part;
+        int entryShare = Math.max(1, candidate.offer().slots() * stages / entries);
+        return candidate.outstandingCalls() < entryShare;
     }
 
-    private static boolean isWhole(List<Candidate> candidates) {
+    private static boolean isCompletePipeline(List<Candidate> candidates) {
         Set<Integer> reached = new HashSet<>(Set.of(0));
         boolean grew = true;
         while (grew) {
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/ChatRequestReader.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/ChatRequestReader.java
@@ -11,13 +11,13 @@
 import org.cornelramp.core.model.ProblemKind;
 import org.cornelramp.core.model.ServiceName;
 
-/** Reads the body of a chat completion request. Stateless, safe for use by any thread. */
+/** Parses the body of a chat completion request. Stateless, safe for use by any thread. */
 final class ChatRequestReader {
-    /** Tokens that are generated when the caller names no limit. */
+    /** Limit on generated tokens if the request has no {@code max_tokens}. */
     static final int DEFAULT_MAX_TOKENS = 128;
 
-    /** The highest limit that a caller may name. */
-    static final int MOST_TOKENS = 4_096;
+    /** Largest value of {@code max_tokens} that is accepted. */
+    static final int MAX_TOKENS = 4_096;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -50,7 +50,7 @@
         for (int i = 0; i < messages.size(); i++) {
             JsonNode content = messages.get(i).path("content");
             if (!content.isTextual()) {
-                return malformed("messages[" + i + "].content is not a text.");
+                return malformed("messages[" + i + "].content is not a string.");
             }
             contents.add(content.textValue());
         }
@@ -65,8 +65,8 @@
         if (max.isMissingNode() || max.isNull()) {
             return Either.right(DEFAULT_MAX_TOKENS);
         }
-        if (!max.isInt() || max.intValue() < 1 || max.intValue() > MOST_TOKENS) {
-            return malformed("max_tokens is not a whole number from 1 to " + MOST_TOKENS + ".");
+        if (!max.isInt() || max.intValue() < 1 || max.intValue() > MAX_TOKENS) {
+            return malformed("max_tokens is not a whole number from 1 to " + MAX_TOKENS + ".");
         }
         return Either.right(max.intValue());
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/ChatText.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/ChatResponseWriter.java
@@ -7,34 +7,34 @@
 import java.time.Instant;
 import org.cornelramp.core.model.ServiceName;
 
-/** Writes chat answers in the form that callers' tools read. Immutable, safe for use by any thread. */
-final class ChatText {
+/** Writes chat completion responses and their stream events as JSON. Immutable, safe for use by any thread. */
+final class ChatResponseWriter {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final String id;
     private final long created;
     private final ServiceName model;
 
-    ChatText(String id, Instant created, ServiceName model) {
+    ChatResponseWriter(String id, Instant created, ServiceName model) {
         this.id = id;
         this.created = created.getEpochSecond();
         this.model = model;
     }
 
-    /** One event of a stream that carries text. */
+    /** Returns a stream event that carries text. */
     byte[] chunk(String text) {
         ObjectNode delta = JsonNodeFactory.instance.objectNode();
         delta.put("role", "assistant").put("content", text);
         return event(delta, null);
     }
 
-    /** The event of a stream that says why it ended. */
+    /** Returns the stream event that carries the finish reason. */
     byte[] lastChunk(String finishReason) {
         return event(JsonNodeFactory.instance.objectNode(), finishReason);
     }
 
-    /** The whole answer. */
-    byte[] whole(String text, String finishReason, int promptTokens, int completionTokens) {
+    /** Returns the complete response of a request that is not streamed. */
+    byte[] completion(String text, String finishReason, int promptTokens, int completionTokens) {
         ObjectNode root = root("chat.completion");
         ObjectNode choice = root.putArray("choices").addObject();
         choice.put("index", 0);
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/ChatRun.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/ChatRun.java
@@ -28,109 +28,111 @@
 import org.cornelramp.wire.message.Token;
 
 /**
- * One chat completion in progress: does what its {@link PipelineSession} decides.
+ * A chat completion in progress. Carries out the actions that its {@link PipelineSession} returns.
  *
- * <p>Confined to the router's thread. Invariant: the caller gets one final answer, and the work counted at agents
- * is uncounted when it ends.
+ * <p>Confined to the router's thread. Invariant: the caller gets one final answer, and work counted at agents is no
+ * longer counted when the session ends.
  */
 final class ChatRun {
-    /** What is recorded when the caller no longer takes its answer. */
+    /** Problem that is recorded when the caller no longer accepts its answer. */
     static final Problem CALLER_GONE =
-            Problem.unknown(ProblemKind.DEADLINE_PASSED, "The caller is gone or reads too slowly.");
+            Problem.unknown(ProblemKind.DEADLINE_PASSED, "The caller has disconnected or reads too slowly.");
 
     private static final int MAX_REBUILDS = 8;
-    private static final int LOSSES_BEFORE_WAIT = 2;
-    private static final Duration REPORT_TIME = Duration.ofMillis(100);
-    private static final Duration PATIENCE = Duration.ofSeconds(5);
-    private static final Duration RETRY_TIME = Duration.ofMillis(20);
+    private static final int LOSSES_BEFORE_DELAY = 2;
+    private static final Duration CRASH_REPORT_DELAY = Duration.ofMillis(100);
+    private static final Duration RECONNECT_TIMEOUT = Duration.ofSeconds(5);
+    private static final Duration RECHOOSE_DELAY = Duration.ofMillis(20);
 
     private final long session;
     private final CallerRequest request;
     private final ChatRequest chat;
     private final String fingerprint;
-    private final Parts parts;
-    private final Agents agents;
-    private final Ends ends;
+    private final RouterContext context;
+    private final AgentRegistry agents;
+    private final RequestTracker tracker;
     private final PipelineSession state;
     private final int promptTokens;
-    private final ChatText text;
-    private final StringBuilder answer = new StringBuilder();
-    private final Deque<SessionAction> todo = new ArrayDeque<>();
-    private List<Incarnation> counted = List.of();
-    private int emitted;
-    private int losses;
+    private final ChatResponseWriter responseWriter;
+    private final StringBuilder answerText = new StringBuilder();
+    private final Deque<SessionAction> pendingActions = new ArrayDeque<>();
+    private List<Incarnation> countedAgents = List.of();
+    private int emittedTokens;
+    private int stageLosses;
     private boolean refusedByLink;
     private Optional<Instant> rechooseAt = Optional.empty();
     private Optional<Instant> lostAt = Optional.empty();
 
-    ChatRun(long session, CallerRequest request, ChatRequest chat, String fingerprint, Parts parts) {
+    ChatRun(long session, CallerRequest request, ChatRequest chat, String fingerprint, RouterContext context) {
         this.session = session;
         this.request = request;
         this.chat = chat;
         this.fingerprint = fingerprint;
-        this.parts = parts;
-        this.agents = parts.agents();
-        this.ends = parts.ends();
-        long[] prompt = Tokenizer.encode(chat.contents());
+        this.context = context;
+        this.agents = context.agents();
+        this.tracker = context.tracker();
+        long[] prompt = Tokenizer.encode(chat.messages());
         this.promptTokens = prompt.length;
         this.state = new PipelineSession(prompt, chat.maxTokens(), MAX_REBUILDS);
-        this.text = new ChatText(request.id(), request.arrived(), chat.model());
+        this.responseWriter = new ChatResponseWriter(request.id(), request.arrived(), chat.model());
     }
 
     /** Chooses the pipeline and opens it. */
     void start(Instant now) {
-        use(parts.selection().chooseRepeatable(work(), now), now);
+        usePipeline(context.selection().chooseRepeatable(work(), now), now);
     }
 
-    void on(StageOpened message, Instant now) {
+    void handle(StageOpened message, Instant now) {
         apply(state.onOpened(message.epoch(), message.stage(), message.position()), now);
     }
 
-    void on(StageRefused message, Instant now) {
+    void handle(StageRefused message, Instant now) {
         Problem why = Problem.notRun(message.kind(), message.detail())
                 .withRetryAfter(Duration.ofMillis(Math.max(0, message.retryAfterMillis())));
         apply(state.onLost(message.epoch(), message.stage(), why), now);
     }
 
-    void on(StageLost message, Instant now) {
-        noteFailure(message, now);
+    void handle(StageLost message, Instant now) {
+        recordFailure(message, now);
         apply(state.onLost(message.epoch(), message.stage(), Problem.notRun(message.kind(), message.detail())), now);
     }
 
-    private void noteFailure(StageLost message, Instant now) {
-        boolean present = message.epoch() == state.epoch() && !state.isAwaitingStages();
-        if (present && message.stage() >= 0 && message.stage() < state.stages().size()) {
-            losses++;
-            parts.health().failed(state.stages().get(message.stage()), now);
+    private void recordFailure(StageLost message, Instant now) {
+        boolean isCurrent = message.epoch() == state.epoch() && !state.isAwaitingStages();
+        if (isCurrent
+                && message.stage() >= 0
+                && message.stage() < state.stages().size()) {
+            stageLosses++;
+            context.healthTracker().recordFailure(state.stages().get(message.stage()), now);
         }
     }
 
-    void on(Token message, Instant now) {
+    void handle(Token message, Instant now) {
         apply(state.onGenerated(message.epoch(), message.position(), message.tokens()), now);
     }
 
-    /** The link to an agent is lost; the agent may live. */
-    void unlinked(Incarnation agent, String detail, Instant now) {
+    /** Handles the loss of the link to an agent, which may still be running. */
+    void linkLost(Incarnation agent, String detail, Instant now) {
         apply(state.onLinkLost(agent, Problem.notRun(ProblemKind.BACKEND_LOST, detail)), now);
     }
 
-    /** The life of an agent has ended. */
-    void lost(Incarnation agent, String detail, Instant now) {
+    /** Handles the end of an incarnation of an agent. */
+    void incarnationEnded(Incarnation agent, String detail, Instant now) {
         apply(state.onLost(agent, Problem.notRun(ProblemKind.BACKEND_LOST, detail)), now);
     }
 
-    /** Time passes. */
+    /** Chooses a pipeline again when that is due, and ends the session at its deadline. */
     void tick(Instant now) {
         if (rechooseAt.isPresent() && !now.isBefore(rechooseAt.get())) {
             rechooseAt = Optional.empty();
             rechoose(now);
         }
         if (!now.isBefore(request.deadline())) {
-            giveUp(Problem.notRun(ProblemKind.DEADLINE_PASSED, "No whole answer came within the deadline."), now);
+            giveUp(Problem.notRun(ProblemKind.DEADLINE_PASSED, "The answer was not complete at the deadline."), now);
         }
     }
 
-    /** Ends the session: its caller is gone, or the process stops. */
+    /** Ends the session with a problem, for example when its caller has disconnected. */
     void giveUp(Problem problem, Instant now) {
         apply(state.fail(problem), now);
     }
@@ -139,42 +141,45 @@
         return state.isEnded();
     }
 
-    private void use(Either<Problem, Choice> choice, Instant now) {
+    private void usePipeline(Either<Problem, Choice> choice, Instant now) {
         if (choice.isLeft()) {
             apply(state.fail(choice.getLeft()), now);
             return;
         }
         List<Incarnation> stages =
                 choice.get().stages().stream().map(Candidate::incarnation).toList();
-        ends.decided(
+        tracker.recordDecision(
                 request,
                 now,
                 "chosen",
                 "epoch=" + (state.epoch() + 1) + " stages=" + stages + " expected_millis="
                         + choice.get().expectedTime().toMillis());
-        count(stages, now);
+        moveCountedWork(stages, now);
         apply(state.assignStages(stages), now);
     }
 
-    private void count(List<Incarnation> stages, Instant now) {
+    private void moveCountedWork(List<Incarnation> stages, Instant now) {
         long tokens = (long) promptTokens + chat.maxTokens();
-        counted.stream().filter(agent -> !stages.contains(agent)).forEach(agents::end);
-        stages.stream().filter(agent -> !counted.contains(agent)).forEach(agent -> agents.begin(agent, tokens, now));
-        counted = stages;
+        countedAgents.stream().filter(agent -> !stages.contains(agent)).forEach(agents::workEnded);
+        stages.stream()
+                .filter(agent -> !countedAgents.contains(agent))
+                .forEach(agent -> agents.workStarted(agent, tokens, now));
+        countedAgents = stages;
     }
 
     private RoutingRequest work() {
-        int left = Math.max(1, chat.maxTokens() - state.generatedTokens());
-        return new RoutingRequest(chat.model(), promptTokens, left, request.deadline(), "", state.failedAgents());
+        int remainingTokens = Math.max(1, chat.maxTokens() - state.generatedTokens());
+        return new RoutingRequest(
+                chat.model(), promptTokens, remainingTokens, request.deadline(), "", state.failedAgents());
     }
 
-    /** A send that fails adds to the actions, so they are done from a list and not by recursion. */
+    /** Performs actions from a queue rather than by recursion, because a failed send adds further actions. */
     private void apply(List<SessionAction> actions, Instant now) {
-        todo.addAll(actions);
-        SessionAction action = todo.poll();
+        pendingActions.addAll(actions);
+        SessionAction action = pendingActions.poll();
         while (action != null) {
             perform(action, now);
-            action = todo.poll();
+            action = pendingActions.poll();
         }
     }
 
@@ -189,10 +194,11 @@
             emit(emit.tokens(), now);
         } else if (action instanceof SessionAction.SelectStages rechoose) {
             lostAt = lostAt.or(() -> Optional.of(now));
-            ends.decided(request, now, "rebuild", "why=" + rechoose.reason() + " failed=" + state.failedAgents());
-            rechooseOrWait(now);
+            tracker.recordDecision(
+                    request, now, "rebuild", "why=" + rechoose.reason() + " failed=" + state.failedAgents());
+            rechooseOrDelay(now);
         } else if (action instanceof SessionAction.Close close) {
-            agents.close(close.agent(), new CloseStage(session, close.epoch()), request.deadline());
+            agents.closeStage(close.agent(), new CloseStage(session, close.epoch()), request.deadline());
         } else if (action instanceof SessionAction.Finish) {
             finish(now);
         } else if (action instanceof SessionAction.Fail fail) {
@@ -201,19 +207,20 @@
     }
 
     /**
-     * A request that crashed two backend servers is set aside once the second crash is reported. Its report comes
-     * shortly after the loss; a third backend server chosen before that would crash as well.
+     * Chooses a replacement at once, or after a delay in two cases. A request that crashed two backend servers is set
+     * aside once the second crash is reported. The report arrives shortly after the loss, and a third backend server
+     * chosen before it would crash as well.
      *
-     * <p>A link that refuses a message may be closed without its end having reached this thread. Chosen again at once
-     * it would refuse again, for ever, and this thread, which must hear of the end, would do nothing else: all
-     * requests of the entry stood still.
+     * <p>A link that refuses a message may be closed although this thread has not yet processed its end. If it were
+     * chosen again at once, it would refuse again in an endless loop. This thread would never get to process the end of
+     * the link, and all requests of the entry would stall.
      */
-    private void rechooseOrWait(Instant now) {
+    private void rechooseOrDelay(Instant now) {
         if (refusedByLink) {
             refusedByLink = false;
-            rechooseAt = Optional.of(now.plus(RETRY_TIME));
-        } else if (losses >= LOSSES_BEFORE_WAIT) {
-            rechooseAt = Optional.of(now.plus(REPORT_TIME));
+            rechooseAt = Optional.of(now.plus(RECHOOSE_DELAY));
+        } else if (stageLosses >= LOSSES_BEFORE_DELAY) {
+            rechooseAt = Optional.of(now.plus(CRASH_REPORT_DELAY));
         } else {
             rechoose(now);
         }
@@ -223,27 +230,27 @@
         if (!state.isAwaitingStages()) {
             return;
         }
-        Optional<Problem> stop = parts.admission().stop(fingerprint, now);
+        Optional<Problem> stop = context.admission().stopReason(fingerprint, now);
         if (stop.isPresent()) {
             giveUp(stop.get(), now);
             return;
         }
-        Either<Problem, Choice> choice = parts.selection().replace(work(), state.stages(), now);
-        if (choice.isLeft() && mayComeBack(now)) {
-            rechooseAt = Optional.of(now.plus(RETRY_TIME));
+        Either<Problem, Choice> choice = context.selection().chooseReplacement(work(), state.stages(), now);
+        if (choice.isLeft() && mayReconnect(now)) {
+            rechooseAt = Optional.of(now.plus(RECHOOSE_DELAY));
         } else {
-            use(choice, now);
+            usePipeline(choice, now);
         }
     }
 
     /**
-     * Whether a stage whose link was lost may be back in a moment. A link that breaks between living processes is up
-     * again within some tens of milliseconds, and the agent still holds its stage; giving up at once would fail
-     * every session through it where there is no other replica.
+     * Whether a stage whose link was lost may be reachable again soon. A link that breaks between running processes is
+     * up again within some tens of milliseconds, and the agent still holds its stage. Where there is no other replica,
+     * giving up at once would fail every session that runs through the agent.
      */
-    private boolean mayComeBack(Instant now) {
-        boolean patient = lostAt.isPresent() && now.isBefore(lostAt.get().plus(PATIENCE));
-        return patient
+    private boolean mayReconnect(Instant now) {
+        boolean withinTimeout = lostAt.isPresent() && now.isBefore(lostAt.get().plus(RECONNECT_TIMEOUT));
+        return withinTimeout
                 && state.stages().stream()
                         .anyMatch(agent ->
                                 !agents.isLinked(agent) && !state.failedAgents().contains(agent));
@@ -256,7 +263,8 @@
                         .map(member -> member.address())
                         .orElse(""))
                 .toList();
-        long budget = Math.max(0, Duration.between(now, request.deadline()).toMillis());
+        long budgetMillis =
+                Math.max(0, Duration.between(now, request.deadline()).toMillis());
         for (int stage = 0; stage < open.stages().size(); stage++) {
             OpenStage message = new OpenStage(
                     session,
@@ -270,7 +278,7 @@
                     promptTokens,
                     chat.maxTokens(),
                     request.row().values().priority(),
-                    budget,
+                    budgetMillis,
                     fingerprint,
                     Optional.empty());
             send(stage, message, open.epoch());
@@ -284,7 +292,7 @@
         if (!agents.send(state.stages().get(stage), message)) {
             Problem why = Problem.notRun(ProblemKind.BACKEND_LOST, "The link to a stage refused a message.");
             refusedByLink = true;
-            todo.addAll(state.onLinkLost(state.stages().get(stage), why));
+            pendingActions.addAll(state.onLinkLost(state.stages().get(stage), why));
         }
     }
 
@@ -293,48 +301,50 @@
         for (int token : tokens) {
             piece.append(Tokenizer.decode(token));
         }
-        emitted += tokens.length;
+        emittedTokens += tokens.length;
         lostAt.ifPresent(at -> resumed(Duration.between(at, now), now));
         if (!chat.stream()) {
-            answer.append(piece);
-        } else if (!request.answer().event(text.chunk(piece.toString()))) {
+            answerText.append(piece);
+        } else if (!request.answer().sendEvent(responseWriter.chunk(piece.toString()))) {
             giveUp(CALLER_GONE, now);
         }
     }
 
     private void resumed(Duration gap, Instant now) {
         lostAt = Optional.empty();
-        ends.timed("rebuild", gap);
-        ends.decided(request, now, "resumed", "epoch=" + state.epoch() + " gap_millis=" + gap.toMillis());
+        tracker.recordRecoveryTime("rebuild", gap);
+        tracker.recordDecision(request, now, "resumed", "epoch=" + state.epoch() + " gap_millis=" + gap.toMillis());
     }
 
     private void finish(Instant now) {
-        state.stages().forEach(agent -> parts.health().succeeded(agent, now));
-        count(List.of(), now);
-        String reason = emitted < chat.maxTokens() ? "stop" : "length";
+        state.stages().forEach(agent -> context.healthTracker().recordSuccess(agent, now));
+        moveCountedWork(List.of(), now);
+        String reason = emittedTokens < chat.maxTokens() ? "stop" : "length";
         if (chat.stream()) {
-            if (!request.answer().event(text.lastChunk(reason))) {
-                ends.failed(request, CALLER_GONE, emitted, now);
+            if (!request.answer().sendEvent(responseWriter.lastChunk(reason))) {
+                tracker.recordFailure(request, CALLER_GONE, emittedTokens, now);
                 return;
             }
-            ends.answered(request, emitted, now);
+            tracker.recordAnswer(request, emittedTokens, now);
             request.answer().endStream();
         } else {
-            byte[] body = text.whole(answer.toString(), reason, promptTokens, emitted);
-            ends.answered(request, emitted, now);
-            request.answer().whole(200, Headers.JSON, body);
+            byte[] body = responseWriter.completion(answerText.toString(), reason, promptTokens, emittedTokens);
+            tracker.recordAnswer(request, emittedTokens, now);
+            request.answer().complete(200, Headers.JSON, body);
         }
     }
 
     private void fail(Problem problem, Instant now) {
-        count(List.of(), now);
-        ends.failed(request, problem, emitted, now);
-        request.answer().problem(problem);
+        moveCountedWork(List.of(), now);
+        tracker.recordFailure(request, problem, emittedTokens, now);
+        request.answer().fail(problem);
     }
 
-    /** The fingerprint of a chat request, without what does not change the work. */
-    static byte[] identity(ChatRequest chat) {
-        String all = chat.model() + "\n" + chat.maxTokens() + "\n" + String.join("\n", chat.contents());
-        return all.getBytes(StandardCharsets.UTF_8);
+    /**
+     * Returns the part of a chat request that its fingerprint is computed from, without what does not change the work.
+     */
+    static byte[] fingerprintInput(ChatRequest chat) {
+        String text = chat.model() + "\n" + chat.maxTokens() + "\n" + String.join("\n", chat.messages());
+        return text.getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/DenialRun.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/DenialRun.java
@@ -12,40 +12,41 @@
 import org.cornelramp.wire.message.Settle;
 
 /**
- * One call that is refused because its key cannot be bound: does what its {@link UnboundCallRefusal} decides.
+ * A call in progress that is refused because its key cannot be bound. Carries out the actions that its {@link UnboundCallRefusal}
+ * returns.
  *
  * <p>Confined to the router's thread. Invariant: the caller gets one final answer.
  */
 final class DenialRun {
-    private final long number;
+    private final long callId;
     private final ServiceRequest call;
-    private final Agents agents;
-    private final Ends ends;
+    private final AgentRegistry agents;
+    private final RequestTracker tracker;
     private final UnboundCallRefusal state;
-    private final Deque<CallAction> todo = new ArrayDeque<>();
+    private final Deque<CallAction> pendingActions = new ArrayDeque<>();
 
-    DenialRun(long number, ServiceRequest call, Problem reason, Parts parts) {
-        this.number = number;
+    DenialRun(long callId, ServiceRequest call, Problem reason, RouterContext context) {
+        this.callId = callId;
         this.call = call;
-        this.agents = parts.agents();
-        this.ends = parts.ends();
+        this.agents = context.agents();
+        this.tracker = context.tracker();
         this.state = new UnboundCallRefusal(reason, call.request().deadline());
     }
 
-    void said(Incarnation agent, AgentReply word, Instant now) {
-        apply(state.replyReceived(agent, word), now);
+    void replyReceived(Incarnation agent, AgentReply reply, Instant now) {
+        apply(state.replyReceived(agent, reply), now);
     }
 
     void linkLost(Incarnation agent, Instant now) {
         apply(state.linkLost(agent), now);
     }
 
-    /** Asks once the VM list was read after the request came; only then are all agents known. */
+    /** Asks the agents once the VM list has been read after the request arrived; only then are all agents known. */
     void tick(Instant now) {
         Instant arrived = call.request().arrived();
-        if (state.isWaiting() && agents.lives().isListReadSince(arrived)) {
+        if (state.isWaiting() && agents.history().isListReadSince(arrived)) {
             apply(
-                    state.ask(agents.lives()
+                    state.ask(agents.history()
                             .possibleHolders(call.request().row().key().service(), call.keyMadeAt(), arrived)),
                     now);
         }
@@ -57,26 +58,26 @@
     }
 
     private void apply(List<CallAction> actions, Instant now) {
-        todo.addAll(actions);
-        CallAction action = todo.poll();
+        pendingActions.addAll(actions);
+        CallAction action = pendingActions.poll();
         while (action != null) {
             perform(action, now);
-            action = todo.poll();
+            action = pendingActions.poll();
         }
     }
 
     private void perform(CallAction action, Instant now) {
         if (action instanceof CallAction.Ask ask) {
-            Settle settle = new Settle(number, call.key().orElseThrow(), ask.agent(), true);
+            Settle settle = new Settle(callId, call.key().orElseThrow(), ask.agent(), true);
             if (!agents.send(ask.agent(), settle)) {
-                todo.addAll(state.linkLost(ask.agent()));
+                pendingActions.addAll(state.linkLost(ask.agent()));
             }
         } else if (action instanceof CallAction.Answer answer) {
-            ends.answered(call.request(), now);
-            call.request().answer().whole(answer.result());
+            tracker.recordAnswer(call.request(), now);
+            call.request().answer().complete(answer.result());
         } else if (action instanceof CallAction.Fail fail) {
-            ends.failed(call.request(), fail.problem(), now);
-            call.request().answer().problem(fail.problem());
+            tracker.recordFailure(call.request(), fail.problem(), now);
+            call.request().answer().fail(fail.problem());
         }
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/EntryContext.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/EntryContext.java
@@ -4,25 +4,25 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What the handlers of callers' requests work with. Immutable, safe for use by any thread.
+ * The collaborators and settings of the HTTP handlers for callers' requests. Immutable, safe for use by any thread.
  *
  * @param clock the clock
- * @param intake where requests go
- * @param callers who calls
- * @param ends records of ends
- * @param maxBodyBytes largest body
- * @param maxWaitingBytes most bytes of a stream that may wait for its caller
- * @param keyWindowMillis age at which keys are refused
+ * @param intake passes requests to the router
+ * @param authenticator identifies callers and their organisations' rows
+ * @param tracker records decisions and outcomes
+ * @param maxBodyBytes maximum size of a request body in bytes
+ * @param maxBufferedBytes maximum number of bytes of a stream that are buffered for its caller
+ * @param keyWindowMillis age in milliseconds from which idempotency keys are refused
  * @param draining whether the entry is stopping
- * @param open answers that are not out yet
+ * @param openAnswers answers that are not fully written yet
  */
 record EntryContext(
         Clock clock,
         RequestIntake intake,
-        Callers callers,
-        Ends ends,
+        CallerAuthenticator authenticator,
+        RequestTracker tracker,
         int maxBodyBytes,
-        int maxWaitingBytes,
+        int maxBufferedBytes,
         long keyWindowMillis,
         BooleanSupplier draining,
-        OpenAnswers open) {}
+        OpenAnswers openAnswers) {}
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/EntryHandler.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/EntryHandler.java
@@ -14,8 +14,8 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * What the handlers of callers' requests share: the request id, the body within its bound, and the row that the
- * request is judged by. Safe for use by any thread.
+ * Base of the HTTP handlers for callers' requests. Assigns the request id, reads the body within its bound, and finds
+ * the row that applies to the request. Safe for use by any thread.
  */
 abstract class EntryHandler extends Handler.Abstract.NonBlocking {
     private final EntryContext context;
@@ -29,23 +29,25 @@
         Instant now = context.clock().instant();
         ThreadLocalRandom random = ThreadLocalRandom.current();
         String id = "r-" + Long.toHexString(random.nextLong()) + Long.toHexString(random.nextLong());
-        HttpAnswer answer = new HttpAnswer(id, response, context.open().track(callback), context.maxWaitingBytes());
-        // The deadline ends a request, not the connection's idle timeout: a caller that waits sends nothing.
-        request.addIdleTimeoutListener(timeout -> !answer.isWaiting());
+        HttpAnswer answer =
+                new HttpAnswer(id, response, context.openAnswers().track(callback), context.maxBufferedBytes());
+        // The deadline ends a request, not the connection's idle timeout, because a caller that waits for its answer
+        // sends nothing.
+        request.addIdleTimeoutListener(timeout -> !answer.isCallerWaiting());
         new BodyReader(request, context.maxBodyBytes(), body -> {
                     if (body.isLeft()) {
                         refuse(answer, body.getLeft());
                     } else {
-                        answer.bodyCame();
-                        handle(new Arrival(id, request, body.get(), answer, now));
+                        answer.requestBodyReceived();
+                        handle(new ReceivedRequest(id, request, body.get(), answer, now));
                     }
                 })
                 .start();
         return true;
     }
 
-    /** Handles one request whose body is there. */
-    abstract void handle(Arrival arrival);
+    /** Handles a request whose body has been received. */
+    abstract void handle(ReceivedRequest received);
 
     final EntryContext context() {
         return context;
@@ -55,32 +57,33 @@
         return context.clock();
     }
 
-    /** Refuses a request before its row is known, or without one. */
+    /** Refuses a request before its row is known, or one that has no row. */
     final void refuse(CallerAnswer answer, Problem problem) {
-        context.ends().refused(problem);
-        answer.problem(problem);
+        context.tracker().recordRefusal(problem);
+        answer.fail(problem);
     }
 
-    /** The request with its row and deadline, or why there is none. */
-    final Either<Problem, CallerRequest> admit(Arrival arrival, ServiceName service) {
-        String authorization = arrival.header(HttpHeader.AUTHORIZATION.asString());
-        return context.callers().row(authorization, service).flatMap(row -> Callers.deadline(
-                        arrival.header(Headers.DEADLINE), row, arrival.at())
-                .map(deadline -> new CallerRequest(arrival.id(), row, arrival.at(), deadline, arrival.answer())));
+    /** Returns the request with its row and deadline, or why it is refused. */
+    final Either<Problem, CallerRequest> toCallerRequest(ReceivedRequest received, ServiceName service) {
+        String authorization = received.header(HttpHeader.AUTHORIZATION.asString());
+        return context.authenticator().findRow(authorization, service).flatMap(row -> CallerAuthenticator.parseDeadline(
+                        received.header(Headers.DEADLINE), row, received.arrivedAt())
+                .map(deadline ->
+                        new CallerRequest(received.id(), row, received.arrivedAt(), deadline, received.answer())));
     }
 
     /**
-     * One request whose body is there. Immutable if the array is not changed.
+     * A request whose body has been received. Immutable as long as the array is not modified.
      *
      * @param id id of the request
-     * @param request the request
+     * @param request the HTTP request
      * @param body its body
-     * @param answer where the answer goes
-     * @param at when it came
+     * @param answer receives the answer
+     * @param arrivedAt when the request arrived
      */
-    record Arrival(String id, Request request, byte[] body, HttpAnswer answer, Instant at) {
+    record ReceivedRequest(String id, Request request, byte[] body, HttpAnswer answer, Instant arrivedAt) {
 
-        /** The value of a header; null if there is none. */
+        /** Returns the value of a header; null if there is none. */
         String header(String name) {
             return request.getHeaders().get(name);
         }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/EntryPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/EntryPlugin.java
@@ -34,10 +34,10 @@
 import org.cornelramp.wire.message.Heartbeat;
 import org.cornelramp.wire.message.Hello;
 
-/** Builds the entry role. Stateless. */
+/** Assembles the entry role. Stateless. */
 public final class EntryPlugin implements Plugin {
     private static final int ORDER = 100;
-    private static final int MAX_WAITING_BYTES = 1 << 18;
+    private static final int MAX_BUFFERED_BYTES = 1 << 18;
     private static final List<String> METHODS = List.of("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS");
 
     @Override
@@ -59,81 +59,93 @@
     public void register(Registry registry) {
         DaemonSettings settings = registry.settings();
         Clock clock = registry.clock();
-        TableSource table = registry.need(TableSource.class);
+        TableSource table = registry.require(TableSource.class);
         RandomGenerator random = new SplittableRandom();
         Router router = new Router(clock, settings.bounds().ringSlots(), random);
-        LogClient log = registry.need(LogClient.class);
+        LogClient log = registry.require(LogClient.class);
         Duration keyWindow = Duration.ofMillis(settings.timing().keyWindowMillis());
         KeyStream stream = new KeyStream(log, new KeyIndex(keyWindow), router);
-        Poison poison = new Poison(log, router, random);
-        Parts parts = parts(registry, stream, poison, random);
-        RequestIntake intake = new RequestIntake(router, parts, random);
+        PoisonTracker poisonTracker = new PoisonTracker(log, router, random);
+        RouterContext context = routerContext(registry, stream, poisonTracker, random);
+        RequestIntake intake = new RequestIntake(router, context, random);
         KeyBinder binder = new KeyBinder(
-                log, stream, router, settings.bounds().inProgress(), intake::startBound, time -> parts.ends()
-                        .timed("bind", time));
+                log,
+                stream,
+                router,
+                settings.bounds().inProgress(),
+                intake::startBoundCall,
+                duration -> context.tracker().recordRecoveryTime("bind", duration));
         intake.connect(binder);
-        stream.onProgress(binder::progressed);
-        Told told = new Told(parts.admission(), poison);
-        OpenAnswers open = new OpenAnswers();
-        EntryState state = new EntryState(router, open);
-        LinkedAgents linked = new LinkedAgents();
-        registry.share(LinkedAgents.class, linked);
-        EntryLinks listener = new EntryLinks(router, table, linked);
+        stream.addProgressListener(binder::startBoundCalls);
+        HeartbeatContents heartbeatContents = new HeartbeatContents(context.admission(), poisonTracker);
+        OpenAnswers openAnswers = new OpenAnswers();
+        EntryState state = new EntryState(router, openAnswers);
+        LinkedAgents linkedAgents = new LinkedAgents();
+        registry.share(LinkedAgents.class, linkedAgents);
+        EntryLinkListener listener = new EntryLinkListener(router, table, linkedAgents);
         LinkLoop loop = new LinkLoop(
                 "links",
                 LinkOptions.of(
                         settings.timing().heartbeatMillis(), settings.bounds().frameBytes()),
                 hello(settings),
-                () -> heartbeat(state, table, told.news()),
+                () -> heartbeat(state, table, heartbeatContents.snapshot()),
                 listener);
         Duration interval = Duration.ofMillis(settings.timing().vmListMillis());
         new LinkMeters(loop.counters()).bindTo(registry.meters());
         VmListReader reader =
-                new VmListReader(registry.need(VmListClient.class), interval, router, parts.agents(), loop);
-        router.connect(parts, reader::readSoon);
-        router.eachTick(reader::tick);
-        router.eachTick(stream::tick);
-        router.eachTick(binder::tick);
-        router.eachTick(poison::tick);
-        router.eachTick(told::tick);
-        FleetView view = new FleetView(parts.agents().membership());
-        router.eachTick(view::tick);
+                new VmListReader(registry.require(VmListClient.class), interval, router, context.agents(), loop);
+        router.connect(context, reader::readSoon);
+        router.addTickAction(reader::tick);
+        router.addTickAction(stream::tick);
+        router.addTickAction(binder::tick);
+        router.addTickAction(poisonTracker::tick);
+        router.addTickAction(heartbeatContents::tick);
+        FleetView view = new FleetView(context.agents().membership());
+        router.addTickAction(view::tick);
         registry.share(FleetView.class, view);
         registry.add(router.duty());
         registry.add(new LinkComponent(loop));
         registry.add(state);
-        addRoutes(registry.need(Routes.class), context(registry, intake, table, parts.ends(), state, open));
+        addRoutes(
+                registry.require(Routes.class),
+                entryContext(registry, intake, table, context.tracker(), state, openAnswers));
         registry.meters().gauge("cornelramp.entry.in.progress", router, Router::inProgress);
     }
 
-    private static Parts parts(Registry registry, KeyStream stream, Poison poison, RandomGenerator random) {
+    private static RouterContext routerContext(
+            Registry registry, KeyStream stream, PoisonTracker poisonTracker, RandomGenerator random) {
         DaemonSettings settings = registry.settings();
         Duration keyWindow = Duration.ofMillis(settings.timing().keyWindowMillis());
-        Admission admission =
-                new Admission(settings.bounds().inProgress(), settings.timing().heartbeatMillis(), poison, random);
-        Health health = new Health();
-        Agents agents = new Agents(new IncarnationHistory(keyWindow, IdempotencyKey.CLOCK_SKEW), health);
+        Admission admission = new Admission(
+                settings.bounds().inProgress(), settings.timing().heartbeatMillis(), poisonTracker, random);
+        AgentHealthTracker healthTracker = new AgentHealthTracker();
+        AgentRegistry agents =
+                new AgentRegistry(new IncarnationHistory(keyWindow, IdempotencyKey.CLOCK_SKEW), healthTracker);
         Chooser chooser = settings.choice().newChooser(PrefixHints.NONE);
         Selection selection = new Selection(agents, chooser, settings.dataCentre(), StaticLinkCosts.DEFAULTS, random);
-        Ends ends = new Ends(registry.need(RequestRecorder.class), registry.meters(), admission);
-        WaitingRoom waiting =
-                new WaitingRoom(agents, selection, settings.bounds().inProgress(), random);
-        return new Parts(agents, selection, admission, health, waiting, stream, ends);
+        RequestTracker tracker = new RequestTracker(registry.require(RequestRecorder.class), registry.meters(), admission);
+        ChatQueue chatQueue = new ChatQueue(agents, selection, settings.bounds().inProgress(), random);
+        return new RouterContext(agents, selection, admission, healthTracker, chatQueue, stream, tracker);
     }
 
-    private static EntryContext context(
-            Registry registry, RequestIntake intake, TableSource table, Ends ends, EntryState state, OpenAnswers open) {
+    private static EntryContext entryContext(
+            Registry registry,
+            RequestIntake intake,
+            TableSource table,
+            RequestTracker tracker,
+            EntryState state,
+            OpenAnswers openAnswers) {
         DaemonSettings settings = registry.settings();
         return new EntryContext(
                 registry.clock(),
                 intake,
-                new Callers(table),
-                ends,
+                new CallerAuthenticator(table),
+                tracker,
                 settings.bounds().bodyBytes(),
-                MAX_WAITING_BYTES,
+                MAX_BUFFERED_BYTES,
                 settings.timing().keyWindowMillis(),
                 state::isDraining,
-                open);
+                openAnswers);
     }
 
     private static void addRoutes(Routes routes, EntryContext context) {
@@ -144,22 +156,22 @@
     }
 
     private static Supplier<Hello> hello(DaemonSettings settings) {
-        long life = ThreadLocalRandom.current().nextLong();
-        Incarnation incarnation = new Incarnation(new BackendServerId(settings.name()), life);
+        long incarnationNumber = ThreadLocalRandom.current().nextLong();
+        Incarnation incarnation = new Incarnation(new BackendServerId(settings.name()), incarnationNumber);
         Hello hello = new Hello(settings.name(), true, incarnation, settings.dataCentre(), Optional.empty(), "");
         return () -> hello;
     }
 
-    private static Heartbeat heartbeat(EntryState state, TableSource table, Told.News news) {
+    private static Heartbeat heartbeat(EntryState state, TableSource table, HeartbeatContents.Snapshot snapshot) {
         return new Heartbeat(
                 state.isDraining() ? AgentState.LEAVING : AgentState.ACTIVE,
                 AgentLoad.IDLE,
                 Optional.empty(),
                 table.current().offset(),
                 0,
-                news.setAside(),
-                news.suspects(),
-                news.demand(),
+                snapshot.setAside(),
+                snapshot.suspects(),
+                snapshot.demand(),
                 Map.of());
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/EntryState.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/EntryState.java
@@ -4,21 +4,20 @@
 import org.cornelramp.daemon.kernel.Component;
 
 /**
- * Whether the entry takes new requests.
+ * Whether the entry accepts new requests.
  *
- * <p>Safe for use by any thread. Invariant: a drain never ends but by the end of the process, and cuts no request
- * in progress.
+ * <p>Safe for use by any thread. Invariants: a drain ends only with the process; it interrupts no request in progress.
  */
 final class EntryState implements Component {
     private static final System.Logger LOG = System.getLogger(EntryState.class.getName());
 
     private final Router router;
-    private final OpenAnswers open;
+    private final OpenAnswers openAnswers;
     private volatile boolean draining;
 
-    EntryState(Router router, OpenAnswers open) {
+    EntryState(Router router, OpenAnswers openAnswers) {
         this.router = router;
-        this.open = open;
+        this.openAnswers = openAnswers;
     }
 
     boolean isDraining() {
@@ -41,8 +40,8 @@
 
     @Override
     public boolean isDrained() {
-        // A request may have ended for the router while its last bytes still wait for a slow caller.
-        return open.count() == 0 && router.inProgress() == 0;
+        // The router may have finished a request whose last bytes are still being written to a slow caller.
+        return openAnswers.count() == 0 && router.inProgress() == 0;
     }
 
     @Override
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/FleetPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/FleetPlugin.java
@@ -13,10 +13,10 @@
 import org.cornelramp.core.settings.Role;
 import org.cornelramp.daemon.kernel.Plugin;
 import org.cornelramp.daemon.kernel.Registry;
-import org.cornelramp.daemon.operator.AgentBoard;
-import org.cornelramp.daemon.report.StatusBoard;
+import org.cornelramp.daemon.operator.OperatorAgentAccess;
+import org.cornelramp.daemon.report.StatusSections;
 
-/** Shows operators the agents as the entry sees them, and passes drains on to them. Stateless. */
+/** Shows operators the agents that this entry knows, and forwards drain requests to agents. Stateless. */
 public final class FleetPlugin implements Plugin {
     private static final int ORDER = 110;
 
@@ -37,14 +37,16 @@
 
     @Override
     public void register(Registry registry) {
-        LinkedAgents linked = registry.need(LinkedAgents.class);
-        FleetView view = registry.need(FleetView.class);
-        registry.need(AgentBoard.class).connect(linked::tableOffsets, linked::drain);
-        registry.need(StatusBoard.class)
+        LinkedAgents linkedAgents = registry.require(LinkedAgents.class);
+        FleetView view = registry.require(FleetView.class);
+        registry.require(OperatorAgentAccess.class).connect(linkedAgents::tableOffsets, linkedAgents::drain);
+        registry.require(StatusSections.class)
                 .add(
                         "agents",
                         () -> agents(
-                                view, linked.tableOffsets(), registry.clock().instant()));
+                                view,
+                                linkedAgents.tableOffsets(),
+                                registry.clock().instant()));
     }
 
     private static JsonNode agents(FleetView view, Map<String, Long> offsets, Instant now) {
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/FleetView.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/FleetView.java
@@ -7,9 +7,9 @@
 import org.cornelramp.core.member.Membership;
 
 /**
- * The agents as this entry sees them, for status pages: a copy that the router renews at an interval.
+ * A snapshot of the agents that this entry knows, for status pages. The router refreshes it at an interval.
  *
- * <p>{@link #members} is safe for use by any thread; the rest is confined to the router's.
+ * <p>{@link #members} is safe for use by any thread; everything else is confined to the router's thread.
  */
 public final class FleetView {
     private static final Duration INTERVAL = Duration.ofMillis(100);
@@ -22,7 +22,7 @@
         this.membership = membership;
     }
 
-    /** The agents, at most a tenth of a second old. */
+    /** Returns the agents, refreshed every 100 ms. */
     public List<Member> members() {
         return members;
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/Headers.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/Headers.java
@@ -1,6 +1,6 @@
 package org.cornelramp.daemon.entry;
 
-/** Names of the headers that callers send and get. */
+/** Names of the HTTP headers, and media types, that callers send and receive. */
 final class Headers {
     static final String DEADLINE = "Cornelramp-Deadline-Millis";
     static final String REQUEST_ID = "Cornelramp-Request-Id";
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/HttpAnswer.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/HttpAnswer.java
@@ -12,10 +12,10 @@
 import org.eclipse.jetty.util.IteratingCallback;
 
 /**
- * Writes one answer over HTTP without blocking whoever gives it.
+ * Writes one answer over HTTP without blocking the calling thread.
  *
- * <p>Safe for use by any thread. Invariants: the headers go out once; what waits for a slow caller stays within a
- * bound, beyond which the connection is cut; a stream reads as complete only after {@link #endStream}.
+ * <p>Safe for use by any thread. Invariants: the headers are sent once; the bytes buffered for a slow caller are
+ * bounded, and beyond the bound the connection is cut; a stream reads as complete only after {@link #endStream}.
  */
 final class HttpAnswer implements CallerAnswer {
     private static final byte[] DATA = "data: ".getBytes(StandardCharsets.UTF_8);
@@ -27,58 +27,58 @@
     private final String requestId;
     private final Response response;
     private final Callback callback;
-    private final int maxWaiting;
+    private final int maxBufferedBytes;
     private final Writer writer = new Writer();
-    private final ByteArrayOutputStream waiting = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
     private boolean streaming;
     private boolean ended;
-    private boolean broken;
-    private volatile boolean waitingForAnswer;
-    private Runnable onBroken = () -> {};
+    private boolean connectionLost;
+    private volatile boolean callerWaiting;
+    private Runnable connectionLostAction = () -> {};
 
     /**
      * @param requestId id of the request
-     * @param response the response, of which nothing has been sent
-     * @param callback completed when the answer is out
-     * @param maxWaiting most bytes of a stream that may wait for its caller
+     * @param response the response, of which nothing has been sent yet
+     * @param callback completed when the answer has been written
+     * @param maxBufferedBytes maximum number of bytes of a stream that are buffered for its caller
      */
-    HttpAnswer(String requestId, Response response, Callback callback, int maxWaiting) {
+    HttpAnswer(String requestId, Response response, Callback callback, int maxBufferedBytes) {
         this.requestId = requestId;
         this.response = response;
         this.callback = callback;
-        this.maxWaiting = maxWaiting;
+        this.maxBufferedBytes = maxBufferedBytes;
     }
 
-    /** Says that the body has come, so that from now on the caller waits for the entry. */
-    void bodyCame() {
-        waitingForAnswer = true;
+    /** Records that the request body has been received, so that the caller now waits for the entry. */
+    void requestBodyReceived() {
+        callerWaiting = true;
     }
 
-    /** Whether the caller waits while nothing is being written to it. */
-    boolean isWaiting() {
-        return waitingForAnswer;
+    /** Whether the request body has been received, so that the caller waits for the answer. */
+    boolean isCallerWaiting() {
+        return callerWaiting;
     }
 
-    /** Sets what is called, once, when the caller is found gone in mid-stream. */
-    synchronized void onBroken(Runnable action) {
-        onBroken = action;
+    /** Sets the action that runs once when the connection fails during the answer. */
+    synchronized void onConnectionLost(Runnable action) {
+        connectionLostAction = action;
     }
 
     @Override
-    public void whole(int status, String contentType, byte[] body) {
+    public void complete(int status, String contentType, byte[] body) {
         synchronized (this) {
             if (ended || streaming) {
                 return;
             }
             ended = true;
         }
-        head(status, contentType);
+        setStatusAndHeaders(status, contentType);
         response.getHeaders().put(Headers.OUTCOME, Outcome.ANSWERED.text());
         send(body);
     }
 
     @Override
-    public void problem(Problem problem) {
+    public void fail(Problem problem) {
         byte[] body = ProblemWriter.toJson(problem, requestId).getBytes(StandardCharsets.UTF_8);
         synchronized (this) {
             if (ended) {
@@ -86,14 +86,14 @@
             }
             ended = true;
             if (streaming) {
-                append(ERROR, body);
+                bufferEvent(ERROR, body);
             }
         }
         if (streaming) {
             writer.iterate();
             return;
         }
-        head(problem.kind().status(), ProblemWriter.MEDIA_TYPE);
+        setStatusAndHeaders(problem.kind().status(), ProblemWriter.MEDIA_TYPE);
         response.getHeaders().put(Headers.OUTCOME, problem.outcome().text());
         if (!problem.retryAfter().isZero()) {
             long seconds = (problem.retryAfter().toMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
@@ -103,26 +103,26 @@
     }
 
     @Override
-    public boolean event(byte[] data) {
+    public boolean sendEvent(byte[] data) {
         boolean first;
-        boolean full;
+        boolean overBound;
         synchronized (this) {
             if (ended) {
-                return !broken;
+                return !connectionLost;
             }
             first = !streaming;
             streaming = true;
-            append(DATA, data);
-            full = waiting.size() > maxWaiting;
+            bufferEvent(DATA, data);
+            overBound = buffer.size() > maxBufferedBytes;
         }
-        if (full) {
-            // A caller that reads too slowly would hold ever more memory; cutting the connection is safe, since
-            // the stream lacks its end and so cannot pass for complete.
+        if (overBound) {
+            // A caller that reads too slowly would make the buffer grow without bound. Cutting the connection is safe,
+            // because a stream without its end cannot pass for complete.
             writer.abort(new IllegalStateException("The caller reads too slowly"));
             return false;
         }
         if (first) {
-            head(200, Headers.EVENT_STREAM);
+            setStatusAndHeaders(200, Headers.EVENT_STREAM);
             response.getHeaders().put(HttpHeader.CACHE_CONTROL, "no-store");
         }
         writer.iterate();
@@ -136,12 +136,12 @@
                 return;
             }
             ended = true;
-            append(DATA, DONE);
+            bufferEvent(DATA, DONE);
         }
         writer.iterate();
     }
 
-    private void head(int status, String contentType) {
+    private void setStatusAndHeaders(int status, String contentType) {
         response.setStatus(status);
         if (!contentType.isEmpty()) {
             response.getHeaders().put(HttpHeader.CONTENT_TYPE, contentType);
@@ -154,31 +154,31 @@
         response.write(true, ByteBuffer.wrap(body), callback);
     }
 
-    private void append(byte[] prefix, byte[] data) {
-        waiting.writeBytes(prefix);
-        waiting.writeBytes(data);
-        waiting.writeBytes(END_OF_EVENT);
+    private void bufferEvent(byte[] prefix, byte[] data) {
+        buffer.writeBytes(prefix);
+        buffer.writeBytes(data);
+        buffer.writeBytes(END_OF_EVENT);
     }
 
-    /** Writes what waits, one write at a time. */
+    /** Writes the buffered bytes, one write at a time. */
     private final class Writer extends IteratingCallback {
-        private boolean last;
+        private boolean lastWriteIssued;
 
         @Override
         protected Action process() {
             ByteBuffer next;
             synchronized (HttpAnswer.this) {
-                if (last) {
+                if (lastWriteIssued) {
                     return Action.SUCCEEDED;
                 }
-                if (waiting.size() == 0) {
+                if (buffer.size() == 0) {
                     return Action.IDLE;
                 }
-                last = ended;
-                next = ByteBuffer.wrap(waiting.toByteArray());
-                waiting.reset();
+                lastWriteIssued = ended;
+                next = ByteBuffer.wrap(buffer.toByteArray());
+                buffer.reset();
             }
-            response.write(last, next, this);
+            response.write(lastWriteIssued, next, this);
             return Action.SCHEDULED;
         }
 
@@ -191,9 +191,9 @@
         protected void onCompleteFailure(Throwable cause) {
             Runnable action;
             synchronized (HttpAnswer.this) {
-                broken = true;
+                connectionLost = true;
                 ended = true;
-                action = onBroken;
+                action = connectionLostAction;
             }
             callback.failed(cause);
             action.run();
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/KeyBinder.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/KeyBinder.java
@@ -21,71 +21,76 @@
 import org.cornelramp.ports.PlatformException;
 
 /**
- * Binds callers' own keys by records on the log, many in one append.
+ * Binds keys that callers generated themselves to an agent, by records on the log. One append carries many records.
  *
- * <p>Confined to the router's thread. Invariants: one append is on its way at a time; a call goes on only with the
- * binding that was read back, which may be that of another entry; an append whose answer was lost is settled by
- * reading, never by assuming.
+ * <p>Confined to the router's thread. Invariants: one append is in flight at a time; a call starts only with the
+ * binding that was read back, which may have been made by another entry; the result of an append whose answer was lost
+ * is found by reading the log, never assumed.
  */
 final class KeyBinder {
     private static final System.Logger LOG = System.getLogger(KeyBinder.class.getName());
-    private static final int BATCH = 500;
-    private static final Duration LONGEST_WAIT = Duration.ofSeconds(2);
-    private static final Duration SOON = Duration.ofSeconds(1);
+    private static final int MAX_BATCH_SIZE = 500;
+    private static final Duration MAX_RETRY_DELAY = Duration.ofSeconds(2);
+    private static final Duration DEFAULT_RETRY_AFTER = Duration.ofSeconds(1);
 
     private final LogClient log;
     private final KeyStream stream;
     private final Router router;
-    private final Starter starter;
-    private final Consumer<Duration> timer;
-    private final int maxWaiting;
-    private final Deque<Wanted> queue = new ArrayDeque<>();
-    private final List<Wanted> appended = new ArrayList<>();
+    private final CallStarter starter;
+    private final Consumer<Duration> bindTimeRecorder;
+    private final int maxPending;
+    private final Deque<PendingBinding> queue = new ArrayDeque<>();
+    private final List<PendingBinding> appended = new ArrayList<>();
     private boolean appending;
     private Instant nextAt = Instant.MIN;
 
     /** Starts a call whose key was found bound. */
-    interface Starter {
+    interface CallStarter {
         void start(ServiceRequest call, KeyIndex.Binding binding, Optional<Problem> refusal, Instant now);
     }
 
     /**
-     * @param maxWaiting most calls that wait for their binding
-     * @param starter starts a call with its binding
-     * @param timer told how long each binding took from the arrival of its call
+     * @param maxPending maximum number of calls that wait for their binding
+     * @param starter starts each call with its binding
+     * @param bindTimeRecorder receives the time of each binding, from the arrival of its call
      */
     KeyBinder(
-            LogClient log, KeyStream stream, Router router, int maxWaiting, Starter starter, Consumer<Duration> timer) {
-        this.timer = timer;
+            LogClient log,
+            KeyStream stream,
+            Router router,
+            int maxPending,
+            CallStarter starter,
+            Consumer<Duration> bindTimeRecorder) {
+        this.bindTimeRecorder = bindTimeRecorder;
         this.log = log;
         this.stream = stream;
         this.router = router;
         this.starter = starter;
-        this.maxWaiting = maxWaiting;
+        this.maxPending = maxPending;
     }
 
     /**
      * Binds the key of a call and starts the call.
      *
      * @param bind the binding to propose
-     * @param refusal why the call is refused here, if so; its key is bound all the same, so that its agent can say
+     * @param refusal why this entry refuses the call, if it does; the key is still bound, so that its agent can tell
      *     whether an earlier attempt ran
      */
     void bind(ServiceRequest call, KeyRecord.Bind bind, Optional<Problem> refusal, Instant now) {
-        Wanted wanted = new Wanted(
+        PendingBinding pending = new PendingBinding(
                 call, bind, refusal, PlainCall.askAt(now, call.request().deadline()));
-        if (settleFromIndex(wanted, now)) {
+        if (startIfBound(pending, now)) {
             return;
         }
-        if (waiting() >= maxWaiting) {
+        if (pendingCount() >= maxPending) {
             router.deny(call, Refusals.overloaded("Too many keys wait to be bound."), now);
             return;
         }
-        queue.add(wanted);
+        queue.add(pending);
         flush(now);
     }
 
-    /** Starts a call if its key is bound, and denies it otherwise, since nothing can be bound now. */
+    /** Starts a call whose key is bound already, and denies any other, since no key can be bound now. */
     void denyUnlessBound(ServiceRequest call, Problem reason, Instant now) {
         Optional<KeyIndex.Binding> found = stream.index()
                 .binding(call.request().row().key().organisation(), call.key().orElseThrow());
@@ -96,21 +101,21 @@
         }
     }
 
-    /** Calls that wait for their binding. */
-    int waiting() {
+    /** Returns the number of calls that wait for their binding. */
+    int pendingCount() {
         return queue.size() + appended.size();
     }
 
     /** Starts the calls whose bindings have been read back. */
-    void progressed(Instant now) {
-        appended.removeIf(wanted -> wanted.offset < stream.index().nextOffset() && settleFromIndex(wanted, now));
-        queue.removeIf(wanted -> settleFromIndex(wanted, now));
+    void startBoundCalls(Instant now) {
+        appended.removeIf(pending -> pending.offset < stream.index().nextOffset() && startIfBound(pending, now));
+        queue.removeIf(pending -> startIfBound(pending, now));
     }
 
-    /** Gives up on calls whose time is over, and appends what waits. */
+    /** Denies calls whose time to wait is over, and appends the queued bindings. */
     void tick(Instant now) {
-        giveUpLate(queue.iterator(), now);
-        giveUpLate(appended.iterator(), now);
+        denyExpired(queue.iterator(), now);
+        denyExpired(appended.iterator(), now);
         flush(now);
     }
 
@@ -118,47 +123,51 @@
         if (appending || queue.isEmpty() || now.isBefore(nextAt)) {
             return;
         }
-        List<Wanted> batch = new ArrayList<>();
-        while (!queue.isEmpty() && batch.size() < BATCH) {
+        List<PendingBinding> batch = new ArrayList<>();
+        while (!queue.isEmpty() && batch.size() < MAX_BATCH_SIZE) {
             batch.add(queue.poll());
         }
-        List<JsonNode> records =
-                batch.stream().map(wanted -> KeyRecordCodec.write(wanted.bind)).toList();
+        List<JsonNode> records = batch.stream()
+                .map(pending -> KeyRecordCodec.write(pending.bind))
+                .toList();
         appending = true;
         appended.addAll(batch);
-        router.whenDone(log.append(LogStream.KEYS, records), (first, failure, at) -> took(batch, first, failure, at));
+        router.whenDone(
+                log.append(LogStream.KEYS, records),
+                (firstOffset, failure, at) -> appendCompleted(batch, firstOffset, failure, at));
     }
 
-    private void took(List<Wanted> batch, Long first, Throwable failure, Instant now) {
+    private void appendCompleted(List<PendingBinding> batch, Long firstOffset, Throwable failure, Instant now) {
         appending = false;
         if (failure == null) {
             for (int i = 0; i < batch.size(); i++) {
-                batch.get(i).offset = first + i;
+                batch.get(i).offset = firstOffset + i;
             }
-            progressed(now);
-            stream.readToEnd(read -> {});
+            startBoundCalls(now);
+            stream.readToEnd(endReached -> {});
         } else {
-            failed(batch, failure, now);
+            appendFailed(batch, failure, now);
         }
         flush(now);
     }
 
-    private void failed(List<Wanted> batch, Throwable failure, Instant now) {
+    private void appendFailed(List<PendingBinding> batch, Throwable failure, Instant now) {
         boolean hadNoEffect = failure instanceof PlatformException e
                 && (e.kind() == PlatformException.Kind.REFUSED || e.kind() == PlatformException.Kind.NOT_SENT);
         if (!hadNoEffect) {
-            settleByReading(batch);
+            resolveByReading(batch);
             return;
         }
         Duration wait = Duration.ofMillis(((PlatformException) failure).retryAfterMillis());
-        boolean rateLimited = !wait.isZero() && wait.compareTo(LONGEST_WAIT) <= 0;
-        List<Wanted> again =
-                rateLimited ? batch.stream().filter(Wanted::mayTryAgain).toList() : List.of();
-        if (!again.isEmpty()) {
+        boolean rateLimited = !wait.isZero() && wait.compareTo(MAX_RETRY_DELAY) <= 0;
+        List<PendingBinding> toRetry =
+                rateLimited ? batch.stream().filter(PendingBinding::tryRetry).toList() : List.of();
+        if (!toRetry.isEmpty()) {
             nextAt = now.plus(wait);
-            takeBack(again);
+            requeue(toRetry);
         }
-        List<Wanted> denied = batch.stream().filter(one -> !again.contains(one)).toList();
+        List<PendingBinding> denied =
+                batch.stream().filter(pending -> !toRetry.contains(pending)).toList();
         if (!denied.isEmpty()) {
             LOG.log(System.Logger.Level.WARNING, "entry: keys were not bound; why=" + failure.getMessage());
             denyAll(denied, wait, now);
@@ -166,23 +175,23 @@
     }
 
     /**
-     * The append may have taken effect although its answer was lost. A binding that is read back counts, whoever
-     * made it; a key without one is appended again, which is harmless, since the first record wins.
+     * Resolves an append that may have taken effect although its answer was lost. A binding that is read back is used,
+     * whichever entry made it. A key without one is appended again, which is safe because the first record wins.
      */
-    private void settleByReading(List<Wanted> batch) {
-        stream.readToEnd(read -> router.later(now -> {
-            if (!read) {
+    private void resolveByReading(List<PendingBinding> batch) {
+        stream.readToEnd(endReached -> router.runAfterCurrent(now -> {
+            if (!endReached) {
                 denyAll(batch, Duration.ZERO, now);
                 return;
             }
-            progressed(now);
-            batch.removeIf(wanted -> settleFromIndex(wanted, now));
-            takeBack(batch);
+            startBoundCalls(now);
+            batch.removeIf(pending -> startIfBound(pending, now));
+            requeue(batch);
             flush(now);
         }));
     }
 
-    private void takeBack(List<Wanted> batch) {
+    private void requeue(List<PendingBinding> batch) {
         for (int i = batch.size() - 1; i >= 0; i--) {
             if (appended.remove(batch.get(i))) {
                 queue.addFirst(batch.get(i));
@@ -190,54 +199,54 @@
         }
     }
 
-    private void denyAll(List<Wanted> batch, Duration wait, Instant now) {
-        for (Wanted wanted : batch) {
-            if (appended.remove(wanted)) {
-                router.deny(wanted.call, unavailable(wait), now);
+    private void denyAll(List<PendingBinding> batch, Duration wait, Instant now) {
+        for (PendingBinding pending : batch) {
+            if (appended.remove(pending)) {
+                router.deny(pending.call, unavailable(wait), now);
             }
         }
     }
 
-    private void giveUpLate(Iterator<Wanted> all, Instant now) {
-        while (all.hasNext()) {
-            Wanted wanted = all.next();
-            if (!now.isBefore(wanted.giveUpAt)) {
-                all.remove();
-                router.deny(wanted.call, unavailable(Duration.ZERO), now);
+    private void denyExpired(Iterator<PendingBinding> bindings, Instant now) {
+        while (bindings.hasNext()) {
+            PendingBinding pending = bindings.next();
+            if (!now.isBefore(pending.giveUpAt)) {
+                bindings.remove();
+                router.deny(pending.call, unavailable(Duration.ZERO), now);
             }
         }
     }
 
     private static Problem unavailable(Duration wait) {
-        return Problem.notRun(ProblemKind.LOG_UNAVAILABLE, "The log service did not take the key's binding.")
-                .withRetryAfter(wait.isZero() ? SOON : wait);
+        return Problem.notRun(ProblemKind.LOG_UNAVAILABLE, "The log service did not accept the key's binding.")
+                .withRetryAfter(wait.isZero() ? DEFAULT_RETRY_AFTER : wait);
     }
 
-    private boolean settleFromIndex(Wanted wanted, Instant now) {
-        if (wanted.settled) {
+    private boolean startIfBound(PendingBinding pending, Instant now) {
+        if (pending.started) {
             return true;
         }
-        Optional<KeyIndex.Binding> found = stream.index().binding(wanted.bind.organisation(), wanted.bind.key());
+        Optional<KeyIndex.Binding> found = stream.index().binding(pending.bind.organisation(), pending.bind.key());
         if (found.isEmpty()) {
             return false;
         }
-        wanted.settled = true;
-        timer.accept(Duration.between(wanted.call.request().arrived(), now));
-        starter.start(wanted.call, found.get(), wanted.refusal, now);
+        pending.started = true;
+        bindTimeRecorder.accept(Duration.between(pending.call.request().arrived(), now));
+        starter.start(pending.call, found.get(), pending.refusal, now);
         return true;
     }
 
     /** One call that waits for its binding. */
-    private static final class Wanted {
+    private static final class PendingBinding {
         final ServiceRequest call;
         final KeyRecord.Bind bind;
         final Optional<Problem> refusal;
         final Instant giveUpAt;
         long offset = Long.MAX_VALUE;
-        boolean settled;
-        private boolean refusedBefore;
+        boolean started;
+        private boolean retried;
 
-        Wanted(ServiceRequest call, KeyRecord.Bind bind, Optional<Problem> refusal, Instant giveUpAt) {
+        PendingBinding(ServiceRequest call, KeyRecord.Bind bind, Optional<Problem> refusal, Instant giveUpAt) {
             this.call = call;
             this.bind = bind;
             this.refusal = refusal;
@@ -245,13 +254,13 @@
         }
 
         /**
-         * A refusal with a short wait is a passing rate limit, or the start of an outage. Tried again until the
-         * deadline, a call in an outage would be held that long, and no time would be left to prove that it did not
-         * run: its caller would be told "unknown". So it is tried again once.
+         * Returns true on the first invocation only, so that a call is retried once. A refusal with a short retry delay
+         * is either a brief rate limit or the start of an outage. If a call were retried until its deadline, an outage
+         * would leave no time to prove that it did not run, and its caller would get the outcome "unknown".
          */
-        boolean mayTryAgain() {
-            boolean first = !refusedBefore;
-            refusedBefore = true;
+        boolean tryRetry() {
+            boolean first = !retried;
+            retried = true;
             return first;
         }
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/KeyHandler.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/KeyHandler.java
@@ -13,7 +13,10 @@
 import org.cornelramp.core.model.ProblemKind;
 import org.cornelramp.core.model.ServiceName;
 
-/** Serves {@code POST /v1/keys}: mints a ticket. Asking twice is harmless. Safe for use by any thread. */
+/**
+ * Serves {@code POST /v1/keys}: issues a {@link Ticket}, an idempotency key that names its agent. Repeated requests are
+ * safe: each gets a new key. Safe for use by any thread.
+ */
 final class KeyHandler extends EntryHandler {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -22,20 +25,21 @@
     }
 
     @Override
-    void handle(Arrival arrival) {
+    void handle(ReceivedRequest received) {
         if (context().draining().getAsBoolean()) {
-            refuse(arrival.answer(), Refusals.leaving());
+            refuse(received.answer(), Refusals.leaving());
             return;
         }
-        Either<Problem, CallerRequest> request = service(arrival.body()).flatMap(service -> admit(arrival, service));
+        Either<Problem, CallerRequest> request =
+                readService(received.body()).flatMap(service -> toCallerRequest(received, service));
         if (request.isLeft()) {
-            refuse(arrival.answer(), request.getLeft());
+            refuse(received.answer(), request.getLeft());
             return;
         }
-        boolean taken = context().intake().mint(request.get(), ticket -> arrival.answer()
-                .whole(200, Headers.JSON, write(ticket)));
-        if (!taken) {
-            refuse(arrival.answer(), Refusals.overloaded("The entry's queue is full."));
+        boolean accepted = context().intake().submitTicketRequest(request.get(), ticket -> received.answer()
+                .complete(200, Headers.JSON, write(ticket)));
+        if (!accepted) {
+            refuse(received.answer(), Refusals.overloaded("The entry's queue is full."));
         }
     }
 
@@ -48,7 +52,7 @@
         return node.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    private static Either<Problem, ServiceName> service(byte[] body) {
+    private static Either<Problem, ServiceName> readService(byte[] body) {
         try {
             JsonNode name = JSON.readTree(body).path("service");
             if (name.isTextual() && NameValidator.isValid(name.textValue())) {
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/KeyStream.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/KeyStream.java
@@ -9,8 +9,8 @@
 import org.cornelramp.ports.LogRecord;
 import org.cornelramp.ports.LogStream;
 
-/** Folds the key stream of the log into the index. Confined to the router's thread. */
-final class KeyStream implements SettledLookup, LogFollower.Fold {
+/** Applies the key stream of the log to the key index. Confined to the router's thread. */
+final class KeyStream implements SettlementLookup, LogFollower.RecordHandler {
     private final KeyIndex index;
     private final Router router;
     private final LogFollower follower;
@@ -25,9 +25,9 @@
         return index;
     }
 
-    /** Adds something to do after records were folded; called before the start. */
-    void onProgress(Consumer<Instant> action) {
-        follower.onProgress(action);
+    /** Adds a listener that runs after records were applied. Called before the start. */
+    void addProgressListener(Consumer<Instant> action) {
+        follower.addProgressListener(action);
     }
 
     void tick(Instant now) {
@@ -35,9 +35,9 @@
         follower.tick(now);
     }
 
-    /** Reads to the present end of the stream and says whether it was reached. */
-    void readToEnd(Consumer<Boolean> then) {
-        follower.readToEnd(then);
+    /** Reads to the current end of the stream and passes on whether it was reached. */
+    void readToEnd(Consumer<Boolean> callback) {
+        follower.readToEnd(callback);
     }
 
     @Override
@@ -46,16 +46,17 @@
     }
 
     @Override
-    public void lookUp(Incarnation agent, String key, long call) {
+    public void lookUp(Incarnation agent, String key, long callId) {
         if (index.isSettled(agent)) {
-            router.later(now -> router.lookedUp(call, index.settledReply(agent, key), now));
+            router.runAfterCurrent(now -> router.lookupCompleted(callId, index.settledReply(agent, key), now));
         } else {
-            readToEnd(read -> router.later(now -> router.lookedUp(call, index.settledReply(agent, key), now)));
+            readToEnd(endReached ->
+                    router.runAfterCurrent(now -> router.lookupCompleted(callId, index.settledReply(agent, key), now)));
         }
     }
 
     @Override
-    public long next() {
+    public long nextOffset() {
         return index.nextOffset();
     }
 
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/LinkedAgents.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/LinkedAgents.java
@@ -8,32 +8,37 @@
 import org.cornelramp.wire.message.Heartbeat;
 
 /**
- * The agents that this entry holds links to, with the table offset that each last told. Safe for use by any thread.
+ * The agents that this entry has links to, with the table offset that each last reported. Safe for use by any thread.
  */
 public final class LinkedAgents {
     private final Map<Link, Long> offsets = new ConcurrentHashMap<>();
 
-    void opened(Link link) {
+    void linkOpened(Link link) {
         offsets.put(link, 0L);
     }
 
-    /** A heartbeat behind the end of its link must not bring the link back. */
-    void heard(Link link, Heartbeat beat) {
-        offsets.computeIfPresent(link, (key, old) -> beat.tableOffset());
+    /**
+     * Records the table offset. A heartbeat that is processed after its link was closed must not add the link again.
+     */
+    void heartbeatReceived(Link link, Heartbeat heartbeat) {
+        offsets.computeIfPresent(link, (key, old) -> heartbeat.tableOffset());
     }
 
-    void closed(Link link) {
+    void linkClosed(Link link) {
         offsets.remove(link);
     }
 
-    /** The table offset that each linked agent last told, by its name. */
+    /** Returns the table offset that each linked agent last reported, by agent name. */
     Map<String, Long> tableOffsets() {
         Map<String, Long> byName = new TreeMap<>();
         offsets.forEach((link, offset) -> byName.merge(link.peer().process(), offset, Math::max));
         return byName;
     }
 
-    /** Passes a drain on over every link to the named agent; false if there is none or it takes no message. */
+    /**
+     * Sends a drain request over every link to the named agent. Returns false if there is no link or none accepts the
+     * message.
+     */
     boolean drain(String agent, String by) {
         boolean sent = false;
         for (Link link : offsets.keySet()) {
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/LogFollower.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/LogFollower.java
@@ -13,123 +13,123 @@
 import org.cornelramp.ports.PlatformException;
 
 /**
- * Follows one stream of the log and folds its records.
+ * Follows one stream of the log and passes its records to a handler.
  *
- * <p>Confined to the router's thread, to which the log's answers are handed over. Invariant: records are folded in
- * order, each once, whatever order the answers come in.
+ * <p>Confined to the router's thread, on which the log's answers are processed. Invariant: records are handled in
+ * order, each once, in whatever order the answers arrive.
  */
 final class LogFollower {
     private static final System.Logger LOG = System.getLogger(LogFollower.class.getName());
-    private static final int PAGE = 1_000;
-    private static final long WAIT_MILLIS = 1_000;
-    private static final Duration PAUSE = Duration.ofMillis(200);
+    private static final int PAGE_SIZE = 1_000;
+    private static final long LONG_POLL_MILLIS = 1_000;
+    private static final Duration READ_INTERVAL = Duration.ofMillis(200);
 
     private final LogClient log;
     private final LogStream stream;
-    private final Fold fold;
+    private final RecordHandler handler;
     private final Router router;
-    private final List<Consumer<Instant>> onProgress = new ArrayList<>();
+    private final List<Consumer<Instant>> progressListeners = new ArrayList<>();
     private CompletableFuture<LogPage> pending = CompletableFuture.completedFuture(null);
     private Instant nextAt = Instant.MIN;
-    private boolean failing;
+    private boolean readsFail;
 
-    /** What the records are folded into. */
-    interface Fold {
+    /** Applies the records of the stream. */
+    interface RecordHandler {
 
-        /** Offset of the next record to fold. */
-        long next();
+        /** Returns the offset of the next record to apply. */
+        long nextOffset();
 
-        /** Goes on from an offset, since the records before it are no longer kept. */
+        /** Continues from an offset because the log no longer keeps the records before it. */
         void skipTo(long offset);
 
-        /** Folds the record at {@link #next}. */
+        /** Applies the record at {@link #nextOffset}. */
         void apply(LogRecord record, Instant now);
     }
 
-    LogFollower(LogClient log, LogStream stream, Fold fold, Router router) {
+    LogFollower(LogClient log, LogStream stream, RecordHandler handler, Router router) {
         this.log = log;
         this.stream = stream;
-        this.fold = fold;
+        this.handler = handler;
         this.router = router;
     }
 
-    /** Adds something to do after records were folded; called before the start. */
-    void onProgress(Consumer<Instant> action) {
-        onProgress.add(action);
+    /** Adds a listener that runs after records were applied. Called before the start. */
+    void addProgressListener(Consumer<Instant> action) {
+        progressListeners.add(action);
     }
 
-    /** Reads on; one read waits at the log for the next record. */
+    /** Starts the next read if none is pending. The read waits at the log for the next record. */
     void tick(Instant now) {
         if (!pending.isDone() || now.isBefore(nextAt)) {
             return;
         }
-        nextAt = now.plus(PAUSE);
-        pending = log.read(stream, fold.next(), PAGE, failing ? 0 : WAIT_MILLIS);
-        router.whenDone(pending, this::took);
+        nextAt = now.plus(READ_INTERVAL);
+        pending = log.read(stream, handler.nextOffset(), PAGE_SIZE, readsFail ? 0 : LONG_POLL_MILLIS);
+        router.whenDone(pending, this::handlePage);
     }
 
     /**
-     * Reads to the present end of the stream.
+     * Reads to the current end of the stream.
      *
-     * @param then told whether the end was reached
+     * @param callback receives whether the end was reached
      */
-    void readToEnd(Consumer<Boolean> then) {
-        router.whenDone(log.read(stream, fold.next(), PAGE, 0), (page, failure, now) -> {
-            took(page, failure, now);
-            if (failure != null || fold.next() >= page.next()) {
-                then.accept(failure == null);
+    void readToEnd(Consumer<Boolean> callback) {
+        router.whenDone(log.read(stream, handler.nextOffset(), PAGE_SIZE, 0), (page, failure, now) -> {
+            handlePage(page, failure, now);
+            if (failure != null || handler.nextOffset() >= page.next()) {
+                callback.accept(failure == null);
             } else {
-                readToEnd(then);
+                readToEnd(callback);
             }
         });
     }
 
-    private void took(LogPage page, Throwable failure, Instant now) {
+    private void handlePage(LogPage page, Throwable failure, Instant now) {
         if (failure != null) {
-            failed(failure);
+            readFailed(failure);
             return;
         }
-        failing = false;
-        if (page.oldest() > fold.next()) {
-            fold.skipTo(page.oldest());
+        readsFail = false;
+        if (page.oldest() > handler.nextOffset()) {
+            handler.skipTo(page.oldest());
         }
         for (LogRecord record : page.records()) {
-            if (record.offset() == fold.next()) {
-                fold.apply(record, now);
+            if (record.offset() == handler.nextOffset()) {
+                handler.apply(record, now);
             }
         }
         if (!page.records().isEmpty()) {
             nextAt = now;
-            onProgress.forEach(action -> action.accept(now));
+            progressListeners.forEach(action -> action.accept(now));
         }
     }
 
-    private void failed(Throwable failure) {
+    private void readFailed(Throwable failure) {
         if (failure instanceof PlatformException e && e.kind() == PlatformException.Kind.GONE) {
             skipToOldest();
             return;
         }
-        if (!failing) {
+        if (!readsFail) {
             LOG.log(
                     System.Logger.Level.WARNING,
                     "entry: a stream of the log cannot be read; stream=" + stream.text() + " why="
                             + failure.getMessage());
         }
-        failing = true;
+        readsFail = true;
     }
 
     /**
-     * The records that this entry missed are older than the log keeps. Skipping them is safe as long as the log keeps
-     * records for longer than keys are used: no key that is still accepted was bound by one of them.
+     * Skips records that the log no longer keeps. This is safe as long as the log keeps records for longer than keys
+     * are accepted: then none of the skipped records bound a key that is still accepted.
      */
     private void skipToOldest() {
         router.whenDone(log.bounds(stream), (page, failure, now) -> {
             if (failure == null) {
                 LOG.log(
                         System.Logger.Level.WARNING,
-                        "entry: records of the log are no longer kept; stream=" + stream.text() + " from=" + fold.next()
-                                + " to=" + page.oldest());
-                fold.skipTo(page.oldest());
+                        "entry: records of the log are no longer kept; stream=" + stream.text() + " from="
+                                + handler.nextOffset() + " to=" + page.oldest());
+                handler.skipTo(page.oldest());
             }
         });
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/OpenAnswers.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/OpenAnswers.java
@@ -3,11 +3,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.eclipse.jetty.util.Callback;
 
-/** Counts the answers that are not out yet. Safe for use by any thread. */
+/** Counts the answers that are not fully written yet. Safe for use by any thread. */
 final class OpenAnswers {
     private final AtomicInteger count = new AtomicInteger();
 
-    /** Answers that are not out yet. */
+    /** Returns the number of answers that are not fully written yet. */
     int count() {
         return count.get();
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/RequestIntake.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/RequestIntake.java
@@ -19,43 +19,44 @@
 import org.cornelramp.core.text.Tokenizer;
 
 /**
- * Takes callers' requests to the router: refuses what may not start, binds keys, and starts the rest.
+ * Submits callers' requests to the router: refuses those that may not start, binds keys, and starts or queues the
+ * others.
  *
- * <p>{@link #chat}, {@link #call} and {@link #mint} may be called by any thread; false means that the router's ring
- * is full. The rest is confined to the router's thread.
+ * <p>{@link #submitChat}, {@link #submitCall} and {@link #submitTicketRequest} may be called by any thread and return false if
+ * the router's ring is full. Everything else is confined to the router's thread.
  */
 final class RequestIntake {
     private final Router router;
-    private final Parts parts;
+    private final RouterContext context;
     private final RandomGenerator random;
     private KeyBinder binder;
 
-    RequestIntake(Router router, Parts parts, RandomGenerator random) {
+    RequestIntake(Router router, RouterContext context, RandomGenerator random) {
         this.router = router;
-        this.parts = parts;
+        this.context = context;
         this.random = random;
     }
 
-    /** Joins the binder, which needs the intake itself; called before the start. */
+    /** Sets the binder, which needs the intake to be constructed. Called before the start. */
     void connect(KeyBinder keyBinder) {
         binder = keyBinder;
     }
 
     /**
-     * Takes a chat completion.
+     * Submits a chat completion.
      *
-     * @param onCallerGone takes what is to be run when the caller is found gone
+     * @param onCallerGone receives the action to run when the caller has disconnected
      */
-    boolean chat(CallerRequest request, ChatRequest chat, String fingerprint, Consumer<Runnable> onCallerGone) {
-        return router.run(now -> {
+    boolean submitChat(CallerRequest request, ChatRequest chat, String fingerprint, Consumer<Runnable> onCallerGone) {
+        return router.tryRun(now -> {
             Optional<Problem> refusal =
-                    parts.admission().admit(request, fingerprint, chat.maxTokens(), router.count(), now);
+                    context.admission().admit(request, fingerprint, chat.maxTokens(), router.countInProgress(), now);
             if (refusal.isPresent()) {
                 router.refuse(request, refusal.get(), now);
                 return;
             }
             long session = random.nextLong();
-            onCallerGone.accept(() -> router.must(at -> router.callerGone(session, at)));
+            onCallerGone.accept(() -> router.runReliably(at -> router.callerGone(session, at)));
             startOrWait(session, request, chat, fingerprint, now);
         });
     }
@@ -63,69 +64,72 @@
     private void startOrWait(long session, CallerRequest request, ChatRequest chat, String fingerprint, Instant now) {
         RoutingRequest work = new RoutingRequest(
                 chat.model(),
-                Tokenizer.encode(chat.contents()).length,
+                Tokenizer.encode(chat.messages()).length,
                 chat.maxTokens(),
                 request.deadline(),
                 "",
                 Set.of());
-        if (!parts.waiting().mustWait(work, now)) {
+        if (!context.chatQueue().mustWait(work, now)) {
             router.startChat(session, request, chat, fingerprint, now);
             return;
         }
-        parts.ends().decided(request, now, "waits", "reason=no-free-slot");
+        context.tracker().recordDecision(request, now, "waits", "reason=no-free-slot");
         Consumer<Instant> start = at -> router.startChat(session, request, chat, fingerprint, at);
-        parts.waiting()
+        context.chatQueue()
                 .offer(session, request, work, start, router::refuse, now)
                 .ifPresent(problem -> router.refuse(request, problem, now));
     }
 
     /**
-     * Takes a call to a plain service.
+     * Submits a call to a plain service.
      *
-     * @param refusal why it is refused already, if so; a call with a key is still settled with its agent
+     * @param refusal why the call is refused already, if it is; the agent of its key is still asked whether an earlier
+     *     attempt ran
      */
-    boolean call(ServiceRequest call, Optional<IdempotencyKey> key, Optional<Problem> refusal) {
-        return router.run(now -> {
-            Optional<Problem> why = refusal.or(
-                    () -> parts.admission().admit(call.request(), call.fingerprint(), 0, router.count(), now));
+    boolean submitCall(ServiceRequest call, Optional<IdempotencyKey> key, Optional<Problem> refusal) {
+        return router.tryRun(now -> {
+            Optional<Problem> reason = refusal.or(() ->
+                    context.admission().admit(call.request(), call.fingerprint(), 0, router.countInProgress(), now));
             if (key.isEmpty()) {
-                router.startCall(call, Optional.empty(), why, now);
+                router.startCall(call, Optional.empty(), reason, now);
             } else if (key.get() instanceof Ticket ticket) {
-                router.startCall(call, Optional.of(new Bound(ticket.incarnation(), ticket.madeAt())), why, now);
-            } else if (key.get() instanceof UuidKey own) {
-                bind(call, own, why, now);
+                router.startCall(
+                        call, Optional.of(new BoundIncarnation(ticket.incarnation(), ticket.madeAt())), reason, now);
+            } else if (key.get() instanceof UuidKey ownKey) {
+                bindKey(call, ownKey, reason, now);
             }
         });
     }
 
-    /** Takes a request for a ticket. */
-    boolean mint(CallerRequest request, Consumer<Ticket> then) {
-        return router.run(now -> {
-            Either<Problem, Incarnation> agent = agent(request, now);
+    /** Submits a request for a ticket. */
+    boolean submitTicketRequest(CallerRequest request, Consumer<Ticket> callback) {
+        return router.tryRun(now -> {
+            Either<Problem, Incarnation> agent = chooseAgent(request, now);
             if (agent.isLeft()) {
-                parts.ends().refused(agent.getLeft());
-                request.answer().problem(agent.getLeft());
+                context.tracker().recordRefusal(agent.getLeft());
+                request.answer().fail(agent.getLeft());
                 return;
             }
-            parts.ends().decided(request, now, "minted", "agent=" + agent.get());
-            then.accept(new Ticket(agent.get(), Instant.ofEpochMilli(now.toEpochMilli()), random.nextLong()));
+            context.tracker().recordDecision(request, now, "minted", "agent=" + agent.get());
+            callback.accept(new Ticket(agent.get(), Instant.ofEpochMilli(now.toEpochMilli()), random.nextLong()));
         });
     }
 
-    /** Starts a call whose key was found bound. */
-    void startBound(ServiceRequest call, KeyIndex.Binding binding, Optional<Problem> refusal, Instant now) {
+    /** Starts a call whose key is bound, or refuses it if the key is bound to another request. */
+    void startBoundCall(ServiceRequest call, KeyIndex.Binding binding, Optional<Problem> refusal, Instant now) {
         if (!binding.fingerprint().equals(call.fingerprint())) {
             Problem reused = Problem.notRun(
                     ProblemKind.KEY_REUSED, "The key is bound to another request; this one did not run.");
             router.refuse(call.request(), reused, now);
             return;
         }
-        parts.ends().decided(call.request(), now, "bound", "agent=" + binding.incarnation());
-        router.startCall(call, Optional.of(new Bound(binding.incarnation(), binding.boundAt())), refusal, now);
+        context.tracker().recordDecision(call.request(), now, "bound", "agent=" + binding.incarnation());
+        router.startCall(
+                call, Optional.of(new BoundIncarnation(binding.incarnation(), binding.boundAt())), refusal, now);
     }
 
-    private void bind(ServiceRequest call, UuidKey key, Optional<Problem> refusal, Instant now) {
-        Either<Problem, Incarnation> agent = agent(call.request(), now);
+    private void bindKey(ServiceRequest call, UuidKey key, Optional<Problem> refusal, Instant now) {
+        Either<Problem, Incarnation> agent = chooseAgent(call.request(), now);
         if (agent.isLeft()) {
             binder.denyUnlessBound(call, agent.getLeft(), now);
             return;
@@ -135,9 +139,9 @@
         binder.bind(call, bind, refusal, now);
     }
 
-    private Either<Problem, Incarnation> agent(CallerRequest request, Instant now) {
+    private Either<Problem, Incarnation> chooseAgent(CallerRequest request, Instant now) {
         RoutingRequest work = new RoutingRequest(request.row().key().service(), 0, 0, request.deadline(), "", Set.of());
-        Either<Problem, Choice> choice = parts.selection().choose(work, now);
+        Either<Problem, Choice> choice = context.selection().choose(work, now);
         return choice.map(chosen -> chosen.stages().get(0).incarnation());
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/Router.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/Router.java
@@ -16,7 +16,7 @@
 import org.cornelramp.core.call.AgentReply;
 import org.cornelramp.core.model.Incarnation;
 import org.cornelramp.core.model.Problem;
-import org.cornelramp.daemon.kernel.Duty;
+import org.cornelramp.daemon.kernel.EventLoop;
 import org.cornelramp.wire.link.Link;
 import org.cornelramp.wire.message.Heartbeat;
 import org.cornelramp.wire.message.InvokeResult;
@@ -27,98 +27,103 @@
 import org.cornelramp.wire.message.Token;
 
 /**
- * The one thread of an entry that owns all that is known of agents, sessions and calls.
+ * The single thread of an entry that owns the state of agents, sessions and calls.
  *
- * <p>{@link #run}, {@link #must} and {@link #whenDone} may be called by any thread and never block; all else is
- * confined to the router's thread. Invariant: every request that was taken gets one final answer by its deadline.
+ * <p>{@link #tryRun}, {@link #runReliably} and {@link #whenDone} may be called by any thread and never block;
+ * everything else is confined to the router's thread. Invariant: every accepted request gets one final answer by its
+ * deadline.
  */
 final class Router {
     private static final long TICK_MILLIS = 5;
 
     private final Clock clock;
     private final RandomGenerator random;
-    private final Duty<Runnable> duty;
+    private final EventLoop<Runnable> duty;
     private final Map<Long, ChatRun> chats = new HashMap<>();
     private final Map<Long, CallRun> calls = new HashMap<>();
     private final Map<Long, DenialRun> denials = new HashMap<>();
-    private final Queue<Consumer<Instant>> urgent = new ConcurrentLinkedQueue<>();
-    private final List<Consumer<Instant>> onTick = new ArrayList<>();
-    private Parts parts;
-    private Runnable readListSoon = () -> {};
+    private final Queue<Consumer<Instant>> deferred = new ConcurrentLinkedQueue<>();
+    private final List<Consumer<Instant>> tickActions = new ArrayList<>();
+    private RouterContext context;
+    private Runnable requestVmListRead = () -> {};
     private volatile int inProgress;
 
     Router(Clock clock, int ringSlots, RandomGenerator random) {
         this.clock = clock;
         this.random = random;
-        this.duty = new Duty<>("router", ringSlots, Runnable::run, this::tick, TICK_MILLIS);
+        this.duty = new EventLoop<>("router", ringSlots, Runnable::run, this::tick, TICK_MILLIS);
     }
 
-    /** Joins the parts that need the router themselves; called before the start. */
-    void connect(Parts all, Runnable listReader) {
-        parts = all;
-        readListSoon = listReader;
+    /** Sets the collaborators that need the router to be constructed. Called before the start. */
+    void connect(RouterContext routerContext, Runnable listReader) {
+        context = routerContext;
+        requestVmListRead = listReader;
     }
 
-    /** What an operation of the platform came to; one of result and failure is null. */
+    /** Receives the result of an asynchronous operation; either result or failure is null. */
     interface Completion<T> {
         void done(T result, Throwable failure, Instant now);
     }
 
-    /** The thread that the kernel starts and stops. */
-    Duty<Runnable> duty() {
+    /** Returns the thread that the kernel starts and stops. */
+    EventLoop<Runnable> duty() {
         return duty;
     }
 
-    /** Requests in progress now. */
+    /** Returns the number of requests in progress, as of the last action or tick. */
     int inProgress() {
         return inProgress;
     }
 
-    /** Adds something to do on the router's thread at each tick; called before the start. */
-    void eachTick(Consumer<Instant> action) {
-        onTick.add(action);
+    /** Adds an action that runs on the router's thread at each tick. Called before the start. */
+    void addTickAction(Consumer<Instant> action) {
+        tickActions.add(action);
     }
 
-    /** Runs an action on the router's thread; false when the ring is full. */
-    boolean run(Consumer<Instant> action) {
+    /** Submits an action to the router's thread. Returns false if the ring is full. */
+    boolean tryRun(Consumer<Instant> action) {
         return duty.offer(() -> perform(action));
     }
 
     /**
-     * Runs an action on the router's thread, at the latest at its next tick. Only for what is bounded by itself, such
-     * as the end of an operation that the router began: losing it would leave the router waiting for ever.
+     * Submits an action to the router's thread that must not be lost; it runs at the next tick at the latest. Only for
+     * actions whose number is bounded otherwise, such as the end of an operation that the router started: if that were
+     * lost, the router would wait forever.
      */
-    void must(Consumer<Instant> action) {
-        if (!run(action)) {
-            urgent.add(action);
+    void runReliably(Consumer<Instant> action) {
+        if (!tryRun(action)) {
+            deferred.add(action);
         }
     }
 
-    /** Runs an action after the one that runs now. Called on the router's thread. */
-    void later(Consumer<Instant> action) {
-        urgent.add(action);
+    /** Runs an action after the current one. Called on the router's thread. */
+    void runAfterCurrent(Consumer<Instant> action) {
+        deferred.add(action);
     }
 
-    /** Hands the end of an operation over to the router's thread. */
-    <T> void whenDone(CompletableFuture<T> operation, Completion<T> then) {
+    /** Passes the result of an operation to the router's thread. */
+    <T> void whenDone(CompletableFuture<T> operation, Completion<T> completion) {
         CompletableFuture<T> unused = operation.whenComplete((result, failure) -> {
             Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-            must(now -> then.done(result, cause, now));
+            runReliably(now -> completion.done(result, cause, now));
         });
     }
 
-    /** Starts a chat completion; gives the number by which its caller's loss is told. */
+    /** Starts a chat completion. The session number identifies it in {@link #callerGone}. */
     void startChat(long session, CallerRequest request, ChatRequest chat, String fingerprint, Instant now) {
-        ChatRun run = new ChatRun(session, request, chat, fingerprint, parts);
+        ChatRun run = new ChatRun(session, request, chat, fingerprint, context);
         chats.put(session, run);
         run.start(now);
     }
 
-    /** Starts a call, refused here or not. */
-    void startCall(ServiceRequest call, Optional<Bound> bound, Optional<Problem> refusal, Instant now) {
-        long number = random.nextLong();
-        CallRun run = new CallRun(number, call, bound, parts, now);
-        calls.put(number, run);
+    /**
+     * Starts a call. A call with a refusal is not run; if it has a key, the key's agent is still asked about earlier
+     * attempts.
+     */
+    void startCall(ServiceRequest call, Optional<BoundIncarnation> bound, Optional<Problem> refusal, Instant now) {
+        long callId = random.nextLong();
+        CallRun run = new CallRun(callId, call, bound, context, now);
+        calls.put(callId, run);
         if (refusal.isPresent()) {
             run.startRefused(refusal.get(), now);
         } else {
@@ -126,97 +131,102 @@
         }
     }
 
-    /** Refuses a call whose key cannot be bound, and finds out whether it can be said not to have run. */
+    /** Refuses a call whose key cannot be bound, after finding out whether an earlier attempt may have run. */
     void deny(ServiceRequest call, Problem reason, Instant now) {
-        long number = random.nextLong();
-        parts.ends()
-                .decided(call.request(), now, "denied", "kind=" + reason.kind().text());
-        DenialRun run = new DenialRun(number, call, reason, parts);
-        denials.put(number, run);
-        readListSoon.run();
+        long callId = random.nextLong();
+        context.tracker()
+                .recordDecision(
+                        call.request(), now, "denied", "kind=" + reason.kind().text());
+        DenialRun run = new DenialRun(callId, call, reason, context);
+        denials.put(callId, run);
+        requestVmListRead.run();
         run.tick(now);
     }
 
-    /** Refuses a request that nothing was done for. */
+    /** Refuses a request for which nothing has been done. */
     void refuse(CallerRequest request, Problem problem, Instant now) {
-        parts.ends().failed(request, problem, now);
-        request.answer().problem(problem);
+        context.tracker().recordFailure(request, problem, now);
+        request.answer().fail(problem);
     }
 
-    /** Requests in progress, counted on the router's thread. */
-    int count() {
-        return chats.size() + calls.size() + denials.size() + parts.waiting().size();
+    /** Counts the requests in progress. Called on the router's thread. */
+    int countInProgress() {
+        return chats.size()
+                + calls.size()
+                + denials.size()
+                + context.chatQueue().size();
     }
 
-    /** Tells a call what the log holds of its key. */
-    void lookedUp(long call, Optional<AgentReply> word, Instant now) {
-        CallRun run = calls.get(call);
+    /** Passes to a call what the log holds for its key. */
+    void lookupCompleted(long callId, Optional<AgentReply> reply, Instant now) {
+        CallRun run = calls.get(callId);
         if (run != null) {
-            run.lookedUp(word, now);
+            run.lookupCompleted(reply, now);
         }
     }
 
     void callerGone(long session, Instant now) {
-        parts.waiting().cancel(session, now).ifPresent(request -> refuse(request, ChatRun.CALLER_GONE, now));
-        onChat(session, run -> run.giveUp(ChatRun.CALLER_GONE, now));
+        context.chatQueue().cancel(session, now).ifPresent(request -> refuse(request, ChatRun.CALLER_GONE, now));
+        withChat(session, run -> run.giveUp(ChatRun.CALLER_GONE, now));
     }
 
-    void opened(Link link, Instant now) {
+    void linkOpened(Link link, Instant now) {
         if (!link.isOpen()) {
-            // Its end may have overtaken this event; taken as new, it would stand for an agent without a link.
+            // The end of the link may have been processed before this event. Registering the link now would leave an
+            // agent with a dead link.
             return;
         }
-        Optional<Incarnation> ended = parts.agents().opened(link, now);
-        ended.ifPresent(agent -> gone(agent, now));
+        Optional<Incarnation> ended = context.agents().linkOpened(link, now);
+        ended.ifPresent(agent -> incarnationEnded(agent, now));
         Incarnation agent = link.peer().incarnation();
         calls.values().forEach(call -> call.linkOpened(agent, now));
     }
 
-    void closed(Link link, String why, Instant now) {
-        if (!parts.agents().closed(link)) {
+    void linkClosed(Link link, String why, Instant now) {
+        if (!context.agents().linkClosed(link)) {
             return;
         }
         Incarnation agent = link.peer().incarnation();
-        parts.admission().lost(agent);
+        context.admission().linkLost(agent);
         calls.values().forEach(call -> call.linkLost(agent, now));
         denials.values().forEach(denial -> denial.linkLost(agent, now));
-        chats.values().forEach(chat -> chat.unlinked(agent, "The link to a stage was lost: " + why, now));
+        chats.values().forEach(chat -> chat.linkLost(agent, "The link to a stage was lost: " + why, now));
     }
 
-    void received(Link link, Message message, Instant now) {
-        if (message instanceof Heartbeat beat) {
-            parts.agents().heard(link.peer().incarnation(), beat, now);
-            parts.admission().heard(link.peer().incarnation(), beat, now);
+    void messageReceived(Link link, Message message, Instant now) {
+        if (message instanceof Heartbeat heartbeat) {
+            context.agents().heartbeatReceived(link.peer().incarnation(), heartbeat, now);
+            context.admission().heartbeatReceived(link.peer().incarnation(), heartbeat, now);
         } else if (message instanceof InvokeResult result) {
-            said(link.peer().incarnation(), result, now);
+            replyReceived(link.peer().incarnation(), result, now);
         } else if (message instanceof StageOpened opened) {
-            onChat(opened.session(), run -> run.on(opened, now));
+            withChat(opened.session(), run -> run.handle(opened, now));
         } else if (message instanceof StageRefused refused) {
-            onChat(refused.session(), run -> run.on(refused, now));
+            withChat(refused.session(), run -> run.handle(refused, now));
         } else if (message instanceof StageLost lost) {
-            onChat(lost.session(), run -> run.on(lost, now));
+            withChat(lost.session(), run -> run.handle(lost, now));
         } else if (message instanceof Token token) {
-            onChat(token.session(), run -> run.on(token, now));
+            withChat(token.session(), run -> run.handle(token, now));
         }
     }
 
-    private void said(Incarnation agent, InvokeResult result, Instant now) {
+    private void replyReceived(Incarnation agent, InvokeResult result, Instant now) {
         CallRun call = calls.get(result.call());
         if (call != null) {
-            call.said(AgentWords.of(result), now);
+            call.replyReceived(AgentReplies.from(result), now);
         }
         DenialRun denial = denials.get(result.call());
         if (denial != null) {
-            denial.said(agent, AgentWords.of(result), now);
+            denial.replyReceived(agent, AgentReplies.from(result), now);
         }
     }
 
-    private void gone(Incarnation agent, Instant now) {
-        calls.values().forEach(call -> call.gone(agent, now));
-        chats.values().forEach(chat -> chat.lost(agent, "A stage's agent was started anew.", now));
+    private void incarnationEnded(Incarnation agent, Instant now) {
+        calls.values().forEach(call -> call.incarnationEnded(agent, now));
+        chats.values().forEach(chat -> chat.incarnationEnded(agent, "A stage's agent was restarted.", now));
     }
 
-    private void onChat(long session, Consumer<ChatRun> action) {
+    private void withChat(long session, Consumer<ChatRun> action) {
         ChatRun run = chats.get(session);
         if (run != null) {
             action.accept(run);
@@ -226,30 +236,30 @@
     private void perform(Consumer<Instant> action) {
         Instant now = clock.instant();
         action.accept(now);
-        doUrgent(now);
-        inProgress = count();
+        runDeferred(now);
+        inProgress = countInProgress();
     }
 
-    private void doUrgent(Instant now) {
-        Consumer<Instant> action = urgent.poll();
+    private void runDeferred(Instant now) {
+        Consumer<Instant> action = deferred.poll();
         while (action != null) {
             action.accept(now);
-            action = urgent.poll();
+            action = deferred.poll();
         }
     }
 
     private void tick() {
         Instant now = clock.instant();
-        doUrgent(now);
-        onTick.forEach(action -> action.accept(now));
-        parts.waiting().tick(this::refuse, now);
+        runDeferred(now);
+        tickActions.forEach(action -> action.accept(now));
+        context.chatQueue().tick(this::refuse, now);
         chats.values().forEach(chat -> chat.tick(now));
         calls.values().forEach(call -> call.tick(now));
         denials.values().forEach(denial -> denial.tick(now));
-        doUrgent(now);
+        runDeferred(now);
         chats.values().removeIf(ChatRun::isEnded);
         calls.values().removeIf(CallRun::isEnded);
         denials.values().removeIf(DenialRun::isEnded);
-        inProgress = count();
+        inProgress = countInProgress();
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/Selection.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/Selection.java
@@ -20,20 +20,25 @@
 import org.cornelramp.core.route.LinkCosts;
 import org.cornelramp.core.route.RoutingRequest;
 
-/** Chooses backend servers among the agents that are known. Confined to the router's thread. */
+/** Chooses backend servers among the known agents. Confined to the router's thread. */
 final class Selection {
-    private static final Duration UNHURRIED = Duration.ofDays(1);
+    private static final Duration REPLACEMENT_HORIZON = Duration.ofDays(1);
 
-    private final Agents agents;
+    private final AgentRegistry agents;
     private final Chooser chooser;
-    private final DataCentre here;
+    private final DataCentre localDataCentre;
     private final LinkCosts costs;
     private final RandomGenerator random;
 
-    Selection(Agents agents, Chooser chooser, DataCentre here, LinkCosts costs, RandomGenerator random) {
+    Selection(
+            AgentRegistry agents,
+            Chooser chooser,
+            DataCentre localDataCentre,
+            LinkCosts costs,
+            RandomGenerator random) {
         this.agents = agents;
         this.chooser = chooser;
-        this.here = here;
+        this.localDataCentre = localDataCentre;
         this.costs = costs;
         this.random = random;
     }
@@ -44,12 +49,12 @@
     }
 
     /**
-     * Chooses for new work that may safely run again elsewhere. An ejected agent that is due a probe gets it: only
-     * such work tells whether the agent is well again, and it has all its retries left.
+     * Chooses for new work that may safely run again elsewhere. An ejected agent that is due for a probe is chosen for
+     * it: only such work can safely test whether the agent has recovered, and it has all its retries left.
      */
     Either<Problem, Choice> chooseRepeatable(RoutingRequest work, Instant now) {
         List<Candidate> candidates = agents.candidates(now);
-        Optional<Candidate> probe = agents.probe(work.service(), work.excludedAgents(), now);
+        Optional<Candidate> probe = agents.claimProbe(work.service(), work.excludedAgents(), now);
         if (probe.isPresent()) {
             candidates.removeIf(candidate ->
                     candidate.offer().layers().equals(probe.get().offer().layers())
@@ -59,7 +64,7 @@
         return choose(candidates, work, now);
     }
 
-    /** Chooses as if no backend server had any work, to tell how long the request itself takes. */
+    /** Chooses as if no backend server had any work, to estimate how long the request itself takes. */
     Either<Problem, Choice> chooseAsIfIdle(RoutingRequest work, Instant now) {
         List<Candidate> idle =
                 agents.candidates(now).stream().map(Selection::asIfIdle).toList();
@@ -67,42 +72,44 @@
     }
 
     /**
-     * Chooses for a session that lost a stage: the stages that live stay, since they hold the session's state, and
-     * others may come only in place of lost ones. Where that gives no whole pipeline, all are chosen anew.
+     * Chooses for a session that lost a stage. The remaining stages stay, because they hold the session's state, and
+     * only lost ones are replaced. If this gives no complete pipeline, all stages are chosen again.
      */
-    Either<Problem, Choice> replace(RoutingRequest lost, List<Incarnation> stages, Instant now) {
-        // A prediction must not cut a stream under way that may still be in time: only its deadline ends it. Speeds
-        // measured in the seconds after a fault are low, and streams were given up on with half their time left.
+    Either<Problem, Choice> chooseReplacement(RoutingRequest original, List<Incarnation> stages, Instant now) {
+        // A prediction must not end a running stream that may still complete in time; only its deadline does. Speeds
+        // measured in the seconds after a fault are low, and with the real deadline streams would be ended with half
+        // their time left.
         RoutingRequest work = new RoutingRequest(
-                lost.service(),
-                lost.promptTokens(),
-                lost.maxTokens(),
-                now.plus(UNHURRIED),
-                lost.prefixHash(),
-                lost.excludedAgents());
+                original.service(),
+                original.promptTokens(),
+                original.maxTokens(),
+                now.plus(REPLACEMENT_HORIZON),
+                original.prefixHash(),
+                original.excludedAgents());
         Set<Incarnation> kept = new HashSet<>(stages);
         kept.removeAll(work.excludedAgents());
-        List<Candidate> survivors = agents.linked(kept);
-        List<Candidate> mixed = new ArrayList<>(survivors);
+        List<Candidate> survivors = agents.linkedCandidates(kept);
+        List<Candidate> candidates = new ArrayList<>(survivors);
         agents.candidates(now).stream()
-                .filter(candidate -> survivors.stream().noneMatch(survivor -> overlap(survivor, candidate)))
-                .forEach(mixed::add);
-        Either<Problem, Choice> choice = choose(mixed, work, now);
+                .filter(candidate -> survivors.stream().noneMatch(survivor -> layersOverlap(survivor, candidate)))
+                .forEach(candidates::add);
+        Either<Problem, Choice> choice = choose(candidates, work, now);
         return choice.isRight() ? choice : choose(work, now);
     }
 
     private Either<Problem, Choice> choose(List<Candidate> candidates, RoutingRequest work, Instant now) {
-        return chooser.choose(candidates, work, here, costs, now, random);
+        return chooser.choose(candidates, work, localDataCentre, costs, now, random);
     }
 
     private static Candidate asIfIdle(Candidate candidate) {
-        AgentLoad told = candidate.load();
-        AgentLoad none = new AgentLoad(0, 0, 0, told.tokensPerSecond(), told.meanServiceMicros(), told.linkedEntries());
+        AgentLoad reported = candidate.load();
+        AgentLoad idle = new AgentLoad(
+                0, 0, 0, reported.tokensPerSecond(), reported.meanServiceMicros(), reported.linkedEntries());
         return new Candidate(
-                candidate.incarnation(), candidate.dataCentre(), candidate.offer(), none, 0, 0, candidate.share());
+                candidate.incarnation(), candidate.dataCentre(), candidate.offer(), idle, 0, 0, candidate.share());
     }
 
-    private static boolean overlap(Candidate one, Candidate other) {
+    private static boolean layersOverlap(Candidate one, Candidate other) {
         Optional<LayerRange> a = one.offer().layers();
         Optional<LayerRange> b = other.offer().layers();
         return a.isPresent()
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/ServiceHandler.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/ServiceHandler.java
@@ -14,78 +14,83 @@
 
 /** Serves {@code /services/{service}/{path}}: calls to plain services. Safe for use by any thread. */
 final class ServiceHandler extends EntryHandler {
-    /** The path that all calls start with. */
+    /** Prefix of the path of all calls. */
     static final String PREFIX = "/services/";
 
-    private static final Set<String> IDEMPOTENT = Set.of("GET", "HEAD");
+    private static final Set<String> IDEMPOTENT_METHODS = Set.of("GET", "HEAD");
 
     ServiceHandler(EntryContext context) {
         super(context);
     }
 
     @Override
-    void handle(Arrival arrival) {
-        String path = arrival.request().getHttpURI().getPathQuery();
-        Either<Problem, CallerRequest> request = service(path).flatMap(service -> admit(arrival, service));
+    void handle(ReceivedRequest received) {
+        String path = received.request().getHttpURI().getPathQuery();
+        Either<Problem, CallerRequest> request =
+                readService(path).flatMap(service -> toCallerRequest(received, service));
         if (request.isLeft()) {
-            refuse(arrival.answer(), request.getLeft());
+            refuse(received.answer(), request.getLeft());
             return;
         }
-        Either<Problem, Optional<IdempotencyKey>> key = key(arrival);
+        Either<Problem, Optional<IdempotencyKey>> key = readKey(received);
         if (key.isLeft()) {
-            refuse(arrival.answer(), key.getLeft());
+            refuse(received.answer(), key.getLeft());
             return;
         }
-        submit(request.get(), key.get(), read(arrival, path, request.get(), key.get()));
+        submit(request.get(), key.get(), toServiceRequest(received, path, request.get(), key.get()));
     }
 
     private void submit(CallerRequest request, Optional<IdempotencyKey> key, ServiceRequest call) {
         boolean draining = context().draining().getAsBoolean();
         Optional<Problem> refusal = draining ? Optional.of(Refusals.leaving()) : Optional.empty();
-        if (!context().intake().call(call, key, refusal)) {
+        if (!context().intake().submitCall(call, key, refusal)) {
             refuse(request.answer(), queueFull(key.isPresent()));
         }
     }
 
-    /** A full ring leaves nobody to ask whether an earlier attempt with the key ran, so it is not denied. */
+    /**
+     * Returns the problem for a full ring. Without the router nobody can find out whether an earlier attempt with the
+     * key ran, so the outcome of a call with a key is unknown.
+     */
     private static Problem queueFull(boolean keyed) {
         Problem full = Refusals.overloaded("The entry's queue is full.");
         return keyed ? Problem.unknown(full.kind(), full.detail()).withRetryAfter(full.retryAfter()) : full;
     }
 
-    private ServiceRequest read(Arrival arrival, String path, CallerRequest request, Optional<IdempotencyKey> key) {
-        String method = arrival.request().getMethod();
-        String contentType = Optional.ofNullable(arrival.header(HttpHeader.CONTENT_TYPE.asString()))
+    private ServiceRequest toServiceRequest(
+            ReceivedRequest received, String path, CallerRequest request, Optional<IdempotencyKey> key) {
+        String method = received.request().getMethod();
+        String contentType = Optional.ofNullable(received.header(HttpHeader.CONTENT_TYPE.asString()))
                 .orElse("");
-        String rest = rest(path);
-        byte[] identity = (request.row().key() + "\n" + method + "\n" + rest + "\n" + contentType)
+        String servicePath = pathWithinService(path);
+        byte[] identity = (request.row().key() + "\n" + method + "\n" + servicePath + "\n" + contentType)
                 .getBytes(StandardCharsets.UTF_8);
         return new ServiceRequest(
                 request,
-                IDEMPOTENT.contains(method),
+                IDEMPOTENT_METHODS.contains(method),
                 key.map(IdempotencyKey::text),
-                key.map(IdempotencyKey::madeAt).orElse(arrival.at()),
+                key.map(IdempotencyKey::madeAt).orElse(received.arrivedAt()),
                 method,
-                rest,
+                servicePath,
                 contentType,
-                arrival.body(),
-                Callers.sha256(identity, arrival.body()));
+                received.body(),
+                CallerAuthenticator.sha256(identity, received.body()));
     }
 
-    private Either<Problem, Optional<IdempotencyKey>> key(Arrival arrival) {
-        String text = arrival.header(Headers.IDEMPOTENCY_KEY);
-        if (IDEMPOTENT.contains(arrival.request().getMethod())) {
+    private Either<Problem, Optional<IdempotencyKey>> readKey(ReceivedRequest received) {
+        String text = received.header(Headers.IDEMPOTENCY_KEY);
+        if (IDEMPOTENT_METHODS.contains(received.request().getMethod())) {
             return Either.right(Optional.empty());
         }
         if (text == null) {
             return Either.left(Problem.notRun(
-                    ProblemKind.KEY_MISSING, "A call that may not be repeated needs an idempotency key."));
+                    ProblemKind.KEY_MISSING, "A call that is not idempotent needs an Idempotency-Key header."));
         }
         Duration window = Duration.ofMillis(context().keyWindowMillis());
-        return IdempotencyKey.read(text.strip(), arrival.at(), window).map(Optional::of);
+        return IdempotencyKey.read(text.strip(), received.arrivedAt(), window).map(Optional::of);
     }
 
-    private static Either<Problem, ServiceName> service(String path) {
+    private static Either<Problem, ServiceName> readService(String path) {
         String name = path.substring(PREFIX.length()).split("[/?]", 2)[0];
         if (NameValidator.isValid(name)) {
             return Either.right(new ServiceName(name));
@@ -93,13 +98,13 @@
         return Either.left(Problem.notRun(ProblemKind.UNKNOWN_SERVICE, "The path names no service."));
     }
 
-    private static String rest(String path) {
-        String all = path.substring(PREFIX.length());
-        int at = all.indexOf('/');
-        int query = all.indexOf('?');
-        if (at >= 0 && (query < 0 || at < query)) {
-            return all.substring(at);
+    private static String pathWithinService(String path) {
+        String afterPrefix = path.substring(PREFIX.length());
+        int slash = afterPrefix.indexOf('/');
+        int query = afterPrefix.indexOf('?');
+        if (slash >= 0 && (query < 0 || slash < query)) {
+            return afterPrefix.substring(slash);
         }
-        return query < 0 ? "/" : "/" + all.substring(query);
+        return query < 0 ? "/" : "/" + afterPrefix.substring(query);
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/VmListReader.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/VmListReader.java
@@ -16,9 +16,9 @@
 import org.cornelramp.wire.link.LinkLoop;
 
 /**
- * Reads the VM list at an interval and keeps links to the agents that it shows.
+ * Reads the VM list at an interval and maintains links to the agents on it.
  *
- * <p>Confined to the router's thread. A list that cannot be read changes nothing: what is known stays.
+ * <p>Confined to the router's thread. If the list cannot be read, the known agents and links stay unchanged.
  */
 final class VmListReader {
     private static final System.Logger LOG = System.getLogger(VmListReader.class.getName());
@@ -26,17 +26,17 @@
     private final VmListClient client;
     private final Duration interval;
     private final Router router;
-    private final Agents agentsKnown;
+    private final AgentRegistry knownAgents;
     private final LinkLoop links;
     private Instant nextAt = Instant.MIN;
     private CompletableFuture<VmList> pending = CompletableFuture.completedFuture(null);
-    private boolean failing;
+    private boolean readsFail;
 
-    VmListReader(VmListClient client, Duration interval, Router router, Agents agents, LinkLoop links) {
+    VmListReader(VmListClient client, Duration interval, Router router, AgentRegistry knownAgents, LinkLoop links) {
         this.client = client;
         this.interval = interval;
         this.router = router;
-        this.agentsKnown = agents;
+        this.knownAgents = knownAgents;
         this.links = links;
     }
 
@@ -46,34 +46,34 @@
             return;
         }
         nextAt = now.plus(interval);
-        Instant askedAt = now;
+        Instant requestedAt = now;
         pending = client.list();
-        router.whenDone(pending, (list, failure, readAt) -> took(list, failure, askedAt, readAt));
+        router.whenDone(pending, (list, failure, readAt) -> handleList(list, failure, requestedAt, readAt));
     }
 
-    /** Asks for a read soon, since something waits for one that begins after now. */
+    /** Schedules a read for the next tick, for a caller that needs a list read after this moment. */
     void readSoon() {
         nextAt = Instant.MIN;
     }
 
-    private void took(VmList list, Throwable failure, Instant askedAt, Instant readAt) {
+    private void handleList(VmList list, Throwable failure, Instant requestedAt, Instant readAt) {
         if (failure != null) {
-            if (!failing) {
+            if (!readsFail) {
                 LOG.log(System.Logger.Level.WARNING, "entry: the VM list cannot be read; why=" + failure.getMessage());
             }
-            failing = true;
+            readsFail = true;
             return;
         }
-        failing = false;
+        readsFail = false;
         List<ListedAgent> agents = list.vms().stream()
                 .filter(vm -> vm.role() == Role.AGENT)
                 .map(VmListReader::listed)
                 .toList();
         Set<BackendServerId> names = agents.stream().map(ListedAgent::server).collect(Collectors.toSet());
-        agentsKnown.lives().updateList(askedAt, names, readAt);
-        Membership.LinkChange change = agentsKnown.membership().updateList(agents);
-        change.forget().forEach(address -> links.forget(HostPort.parse(address)));
-        change.keep().forEach(address -> links.keep(HostPort.parse(address)));
+        knownAgents.history().updateList(requestedAt, names, readAt);
+        Membership.LinkChange change = knownAgents.membership().updateList(agents);
+        change.forget().forEach(address -> links.disconnect(HostPort.parse(address)));
+        change.keep().forEach(address -> links.keepConnected(HostPort.parse(address)));
     }
 
     private static ListedAgent listed(VmList.Vm vm) {
--- a/daemon/src/main/java/org/cornelramp/daemon/http/BodyLengthLimit.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/http/BodyLengthLimit.java
@@ -7,25 +7,25 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Refuses requests whose length is above the bound, such that their callers hear it (see {@link RefusedBody}). The server's own
- * limit closes the connection at once; it stays behind this one for bodies that tell no length. Stateless, safe for use by
- * any thread.
+ * Refuses requests whose declared length is above the limit, and first reads and discards their bodies, so that the
+ * callers receive the refusal (see {@link RefusedBodyDrain}). The server's own limit closes the connection at once; it
+ * remains in place behind this handler for bodies without a declared length. Stateless, safe for use by any thread.
  */
 final class BodyLengthLimit extends Handler.Wrapper {
-    private final long mostBytes;
+    private final long maxBytes;
 
-    /** @param mostBytes longest body that is passed on */
-    BodyLengthLimit(long mostBytes, Handler next) {
+    /** @param maxBytes longest body that is passed to the next handler */
+    BodyLengthLimit(long maxBytes, Handler next) {
         super(next);
-        this.mostBytes = mostBytes;
+        this.maxBytes = maxBytes;
     }
 
     @Override
     public boolean handle(Request request, Response response, Callback callback) throws Exception {
-        if (request.getLength() <= mostBytes) {
+        if (request.getLength() <= maxBytes) {
             return super.handle(request, response, callback);
         }
-        RefusedBody.drop(
+        RefusedBodyDrain.discard(
                 request, () -> Response.writeError(request, response, callback, HttpStatus.PAYLOAD_TOO_LARGE_413));
         return true;
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/http/BodyReader.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/http/BodyReader.java
@@ -14,31 +14,32 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Reads the body of one request without holding a thread while the caller is slow.
+ * Reads the body of one request asynchronously, without blocking a thread while the caller is slow.
  *
- * <p>Called by the server, one call at a time, and by its scheduler. Invariants: at most the bound is held, and what
- * follows is called once, at the latest when the time for the body is over.
+ * <p>Called by the server, one call at a time, and by its scheduler. Invariants: little more than the limit is held in
+ * memory (a chunk above it is dropped at once), and the callback is called exactly once, at the latest after the
+ * timeout for the body.
  */
 public final class BodyReader implements Runnable {
-    /** Longest time for a whole body; a caller that sends a byte now and then would else hold its place for ever. */
-    private static final long LONGEST_SECONDS = 10;
+    /** Timeout for the whole body; without it, a caller that sends a byte now and then would hold its slot for ever. */
+    private static final long TIMEOUT_SECONDS = 10;
 
     private final Request request;
     private final int maxBytes;
-    private final Consumer<Either<Problem, byte[]>> then;
+    private final Consumer<Either<Problem, byte[]>> onResult;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private final AtomicBoolean ended = new AtomicBoolean();
+    private final AtomicBoolean completed = new AtomicBoolean();
     private Scheduler.Task timeout = () -> true;
     private boolean refused;
 
-    /** @param then called once, with the whole body or why there is none */
-    public BodyReader(Request request, int maxBytes, Consumer<Either<Problem, byte[]>> then) {
+    /** @param onResult called once, with the whole body or the reason why there is none */
+    public BodyReader(Request request, int maxBytes, Consumer<Either<Problem, byte[]>> onResult) {
         this.request = request;
         this.maxBytes = maxBytes;
-        this.then = then;
+        this.onResult = onResult;
     }
 
-    /** Starts reading. */
+    /** Starts to read the body. */
     public void start() {
         if (request.getLength() > maxBytes) {
             refuse();
@@ -46,27 +47,27 @@
         }
         timeout = request.getComponents()
                 .getScheduler()
-                .schedule(() -> end(Either.left(notWhole())), LONGEST_SECONDS, TimeUnit.SECONDS);
+                .schedule(() -> complete(Either.left(incomplete())), TIMEOUT_SECONDS, TimeUnit.SECONDS);
         run();
     }
 
     @Override
     public void run() {
-        while (!ended.get() && !refused) {
+        while (!completed.get() && !refused) {
             Content.Chunk chunk = request.read();
             if (chunk == null) {
                 request.demand(this);
                 return;
             }
             if (Content.Chunk.isFailure(chunk)) {
-                end(Either.left(failure(chunk.getFailure())));
+                complete(Either.left(failure(chunk.getFailure())));
                 return;
             }
-            take(chunk);
+            append(chunk);
         }
     }
 
-    private void take(Content.Chunk chunk) {
+    private void append(Content.Chunk chunk) {
         byte[] bytes = new byte[chunk.remaining()];
         chunk.getByteBuffer().get(bytes);
         chunk.release();
@@ -74,31 +75,31 @@
         if (body.size() > maxBytes) {
             refuse();
         } else if (chunk.isLast()) {
-            end(Either.right(body.toByteArray()));
+            complete(Either.right(body.toByteArray()));
         }
     }
 
     private void refuse() {
         refused = true;
         body.reset();
-        RefusedBody.drop(request, () -> end(Either.left(tooLarge())));
+        RefusedBodyDrain.discard(request, () -> complete(Either.left(tooLarge())));
     }
 
-    private void end(Either<Problem, byte[]> result) {
-        if (ended.compareAndSet(false, true)) {
+    private void complete(Either<Problem, byte[]> result) {
+        if (completed.compareAndSet(false, true)) {
             timeout.cancel();
-            then.accept(result);
+            onResult.accept(result);
         }
     }
 
     private Problem failure(Throwable cause) {
         boolean large = cause instanceof HttpException http && http.getCode() == HttpStatus.PAYLOAD_TOO_LARGE_413;
-        return large ? tooLarge() : notWhole();
+        return large ? tooLarge() : incomplete();
     }
 
-    private static Problem notWhole() {
+    private static Problem incomplete() {
         return Problem.notRun(
-                ProblemKind.MALFORMED_REQUEST, "The body did not come whole within " + LONGEST_SECONDS + " s.");
+                ProblemKind.MALFORMED_REQUEST, "The body did not arrive completely within " + TIMEOUT_SECONDS + " s.");
     }
 
     private Problem tooLarge() {
