--- a/daemon/src/main/java/org/cornelramp/daemon/http/HttpPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/http/HttpPlugin.java
@@ -13,7 +13,10 @@
 import org.cornelramp.daemon.kernel.Plugin;
 import org.cornelramp.daemon.kernel.Registry;
 
-/** Shares the routes and the readiness, and serves health, readiness and metrics. Stateless. */
+/**
+ * Creates the HTTP server, shares its routes and the readiness checks, and serves health, readiness and metrics.
+ * Stateless.
+ */
 public final class HttpPlugin implements Plugin {
     private static final String JSON = "application/json";
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -39,7 +42,8 @@
         Readiness readiness = new Readiness();
         HttpServer server =
                 new HttpServer(registry.settings().http(), registry.settings().bounds(), routes, registry.meters());
-        readiness.add("http", () -> server.isLeaving() ? Optional.of("This process is stopping.") : Optional.empty());
+        readiness.add(
+                "http", () -> server.isDrainStarted() ? Optional.of("This process is stopping.") : Optional.empty());
         routes.add("GET", "/health", new TextHandler(() -> new TextHandler.Text(200, JSON, "{\"status\":\"up\"}")));
         routes.add("GET", "/ready", new TextHandler(() -> ready(readiness)));
         routes.add("GET", "/metrics", new TextHandler(() -> metrics(registry.meters())));
@@ -64,6 +68,6 @@
         if (meters instanceof PrometheusMeterRegistry prometheus) {
             return new TextHandler.Text(200, "text/plain; version=0.0.4; charset=utf-8", prometheus.scrape());
         }
-        return new TextHandler.Text(503, "text/plain", "This process keeps no metrics in Prometheus format.\n");
+        return new TextHandler.Text(503, "text/plain", "This process has no metrics in Prometheus format.\n");
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/http/HttpServer.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/http/HttpServer.java
@@ -14,9 +14,9 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /**
- * The daemon's HTTP server: few threads, bounded heads and bodies.
+ * The daemon's HTTP server, with a small thread pool and limits on the sizes of headers and bodies.
  *
- * <p>It goes on serving while the process drains, so that callers hear a refusal instead of a closed connection.
+ * <p>It continues to serve while the process drains, so that callers receive a refusal instead of a closed connection.
  * Started and stopped by the kernel's thread; {@link #address} may be called by any thread after the start.
  */
 public final class HttpServer implements Component {
@@ -26,31 +26,31 @@
     private static final long IDLE_MILLIS = 30_000;
     private static final int CONNECTIONS_PER_REQUEST = 2;
 
-    private final HostPort wanted;
+    private final HostPort configuredAddress;
     private final Server server;
     private final ServerConnector connector;
-    private volatile boolean leaving;
+    private volatile boolean drainStarted;
 
-    HttpServer(HostPort wanted, BoundSettings bounds, Routes routes, MeterRegistry meters) {
-        this(wanted, bounds, routes, meters, IDLE_MILLIS);
+    HttpServer(HostPort configuredAddress, BoundSettings bounds, Routes routes, MeterRegistry meters) {
+        this(configuredAddress, bounds, routes, meters, IDLE_MILLIS);
     }
 
     /**
-     * @param idleMillis silence after which a connection without a request in progress is closed, and a body that
-     *     does not come on or an answer that is not taken is given up on
+     * @param idleMillis idle timeout in milliseconds: a connection without a request in progress is closed, and a
+     *     stalled read of a body or write of an answer fails
      */
-    HttpServer(HostPort wanted, BoundSettings bounds, Routes routes, MeterRegistry meters, long idleMillis) {
-        this.wanted = wanted;
+    HttpServer(HostPort configuredAddress, BoundSettings bounds, Routes routes, MeterRegistry meters, long idleMillis) {
+        this.configuredAddress = configuredAddress;
         QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
         threads.setName("http");
         this.server = new Server(threads);
         this.connector = new ServerConnector(server, 1, 1, new HttpConnectionFactory(configuration(bounds)));
-        connector.setHost(wanted.host());
-        connector.setPort(wanted.port());
+        connector.setHost(configuredAddress.host());
+        connector.setPort(configuredAddress.port());
         connector.setAcceptQueueSize(BACKLOG);
         connector.setIdleTimeout(idleMillis);
         server.addConnector(connector);
-        // A caller that opens connections and sends nothing on them must not fill the memory.
+        // Limits connections, so that callers that open many and send nothing on them cannot exhaust the memory.
         server.addBean(new NetworkConnectionLimit(CONNECTIONS_PER_REQUEST * bounds.inProgress() + MAX_THREADS, server));
         SizeLimitHandler limit = new SizeLimitHandler(bounds.bodyBytes(), -1);
         limit.setHandler(new RouteHandler(routes, meters));
@@ -65,14 +65,14 @@
         return configuration;
     }
 
-    /** The address that is served, with the port that the system chose if the settings left it open. */
+    /** Returns the address of the server, with the port that the operating system chose if the settings give port 0. */
     public HostPort address() {
-        return new HostPort(wanted.host(), connector.getLocalPort());
+        return new HostPort(configuredAddress.host(), connector.getLocalPort());
     }
 
-    /** Whether a planned stop has begun. */
-    boolean isLeaving() {
-        return leaving;
+    /** Whether a planned stop has started. */
+    boolean isDrainStarted() {
+        return drainStarted;
     }
 
     @Override
@@ -87,7 +87,7 @@
 
     @Override
     public void drain(Instant limit) {
-        leaving = true;
+        drainStarted = true;
     }
 
     @Override
--- a/daemon/src/main/java/org/cornelramp/daemon/http/ProblemErrorHandler.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/http/ProblemErrorHandler.java
@@ -10,7 +10,7 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Answers what the HTTP server itself refuses, such as a head that is too large, with a problem document.
+ * Answers requests that the HTTP server itself refuses, such as those with too large a header, with a problem document.
  * Safe for use by any thread.
  */
 final class ProblemErrorHandler extends ErrorHandler {
@@ -30,17 +30,19 @@
 
     private static Problem problem(int status) {
         if (status == HttpStatus.PAYLOAD_TOO_LARGE_413) {
-            return Problem.notRun(ProblemKind.REQUEST_TOO_LARGE, "The body is larger than this process takes.");
+            return Problem.notRun(ProblemKind.REQUEST_TOO_LARGE, "The body is larger than the limit of this process.");
         }
         if (status == HttpStatus.REQUEST_HEADER_FIELDS_TOO_LARGE_431 || status == HttpStatus.URI_TOO_LONG_414) {
-            return Problem.notRun(ProblemKind.HEADERS_TOO_LARGE, "The head is larger than this process takes.");
+            return Problem.notRun(
+                    ProblemKind.HEADERS_TOO_LARGE,
+                    "The request line and headers are larger than the limit of this process.");
         }
         boolean handlerFailed =
                 status == HttpStatus.INTERNAL_SERVER_ERROR_500 || status == HttpStatus.SERVICE_UNAVAILABLE_503;
         if (!handlerFailed) {
             return Problem.notRun(ProblemKind.MALFORMED_REQUEST, "The request is not valid HTTP/1.1.");
         }
-        // The handler failed at an unknown point, so nobody may say that the request did not run.
+        // The handler failed at an unknown point, so the request may have run.
         return Problem.unknown(ProblemKind.BACKEND_FAILED, "The process failed on this request.");
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/http/ProblemWriter.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/http/ProblemWriter.java
@@ -20,12 +20,12 @@
 
     private ProblemWriter() {}
 
-    /** The problem as JSON, for a request without an id. */
+    /** Returns the problem as JSON, for a request without an id. */
     public static String toJson(Problem problem) {
         return toNode(problem).toString();
     }
 
-    /** The problem as JSON. */
+    /** Returns the problem as JSON, with the id of the request. */
     public static String toJson(Problem problem, String requestId) {
         return toNode(problem).put("requestId", requestId).toString();
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/http/Readiness.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/http/Readiness.java
@@ -7,7 +7,7 @@
 import java.util.function.Supplier;
 
 /**
- * Whether this process is ready for work, asked of each part that has a say.
+ * Determines whether this process is ready for work, from the checks that its parts add.
  *
  * <p>Safe for use by any thread; parts add their checks while they register.
  */
@@ -20,13 +20,13 @@
      * Adds a check.
      *
      * @param part name of the part
-     * @param fault gives why the part is not ready, as a sentence, or nothing if it is; must not block
+     * @param fault returns why the part is not ready, as a sentence, or empty if it is ready; must not block
      */
     public void add(String part, Supplier<Optional<String>> fault) {
         checks.add(new Check(part, fault));
     }
 
-    /** Why this process is not ready; empty if it is. */
+    /** Returns the reasons why this process is not ready; empty if it is ready. */
     public List<String> faults() {
         List<String> faults = new ArrayList<>();
         for (Check check : checks) {
--- a/daemon/src/main/java/org/cornelramp/daemon/http/RouteHandler.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/http/RouteHandler.java
@@ -10,7 +10,7 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** Hands each request to the handler of its route. Safe for use by any thread. */
+/** Dispatches each request to the handler of its route. Safe for use by any thread. */
 final class RouteHandler extends Handler.Abstract {
     private final Routes routes;
     private final Counter unrouted;
@@ -22,7 +22,7 @@
 
     @Override
     public boolean handle(Request request, Response response, Callback callback) throws Exception {
-        // A request that waits for its answer is not idle; reads and writes that stall still time out.
+        // The idle timeout must not end a request that waits for its answer; stalled reads and writes still time out.
         request.addIdleTimeoutListener(timeout -> false);
         Optional<Handler> handler = routes.find(request.getMethod(), Request.getPathInContext(request));
         if (handler.isPresent() && handler.get().handle(request, response, callback)) {
@@ -30,9 +30,7 @@
         }
         unrouted.increment();
         ProblemWriter.write(
-                response,
-                callback,
-                Problem.notRun(ProblemKind.NOT_FOUND, "Nothing is served at this method and path."));
+                response, callback, Problem.notRun(ProblemKind.NOT_FOUND, "No route matches this method and path."));
         return true;
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/http/Routes.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/http/Routes.java
@@ -12,14 +12,15 @@
 public final class Routes {
     private final ConcurrentSkipListMap<String, Handler> handlers = new ConcurrentSkipListMap<>();
 
-    /** Adds a route; a path that ends in a slash takes everything below it. */
+    /** Adds a route; a path that ends in a slash matches every path below it. */
     public void add(String method, String path, Handler handler) {
         if (handlers.putIfAbsent(method + " " + path, handler) != null) {
-            throw new IllegalStateException("Two plug-ins serve " + method + " " + path + "; remove one of them");
+            throw new IllegalStateException(
+                    "Two plug-ins register the route " + method + " " + path + "; remove one of them");
         }
     }
 
-    /** The handler of the exact path, else of the longest prefix that ends in a slash. */
+    /** Returns the handler of the exact path, else that of the longest matching prefix that ends in a slash. */
     public Optional<Handler> find(String method, String path) {
         Handler exact = handlers.get(method + " " + path);
         if (exact != null) {
--- a/daemon/src/main/java/org/cornelramp/daemon/http/TextHandler.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/http/TextHandler.java
@@ -9,16 +9,16 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** Answers with a text that is made on the spot. Safe for use by any thread if its source is. */
+/** Answers each request with a text from a supplier. Safe for use by any thread if the supplier is. */
 public final class TextHandler extends Handler.Abstract {
     private final Supplier<Text> source;
 
     /**
-     * What to answer. Immutable, safe for use by any thread.
+     * An answer. Immutable, safe for use by any thread.
      *
      * @param status HTTP status
      * @param contentType media type
-     * @param body the text
+     * @param body the body
      */
     public record Text(int status, String contentType, String body) {}
 
--- a/daemon/src/main/java/org/cornelramp/daemon/http/package-info.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/http/package-info.java
@@ -1,2 +1,2 @@
-/** The daemon's HTTP side: one Jetty server whose routes the plug-ins register. */
+/** The daemon's HTTP server: one Jetty server whose routes the plug-ins register. */
 package org.cornelramp.daemon.http;
--- a/daemon/src/main/java/org/cornelramp/daemon/kernel/Duty.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/kernel/EventLoop.java
@@ -5,17 +5,18 @@
 import org.jctools.queues.MpscArrayQueue;
 
 /**
- * One thread with one bounded ring before it. The state that the handler touches belongs to this thread alone.
+ * An event loop: one thread that handles the events of one bounded queue, a ring buffer. The state that the handler
+ * uses is confined to this thread.
  *
- * <p>{@link #offer} may be called by any thread and never blocks: a full ring refuses the event, and the one who
- * offered it must refuse its own work in turn. Without that bound a stalled duty would let the queue grow until
- * the process dies with all requests in it.
+ * <p>{@link #offer} may be called by any thread and never blocks: if the queue is full, it refuses the event, and the
+ * caller must refuse its own work in turn. Without the bound, the queue of a stalled loop would grow until the process
+ * runs out of memory and loses all requests in it.
  *
  * @param <E> type of the events
  */
-public final class Duty<E> implements Component {
-    private static final System.Logger LOG = System.getLogger(Duty.class.getName());
-    private static final int SPINS = 64;
+public final class EventLoop<E> implements Component {
+    private static final System.Logger LOG = System.getLogger(EventLoop.class.getName());
+    private static final int SPIN_LIMIT = 64;
 
     private final String name;
     private final MpscArrayQueue<E> ring;
@@ -24,16 +25,16 @@
     private final long tickNanos;
     private final Thread thread;
     private volatile boolean running = true;
-    private volatile boolean parked;
+    private volatile boolean idle;
 
     /**
      * @param name name of the thread
-     * @param slots events that the ring holds
-     * @param handler handles each event, on this duty's thread
-     * @param tick called about every {@code tickMillis}, on this duty's thread
+     * @param slots capacity of the queue
+     * @param handler handles each event, on the thread of this loop
+     * @param tick called about every {@code tickMillis}, on the thread of this loop
      * @param tickMillis interval of the tick, in milliseconds
      */
-    public Duty(String name, int slots, Consumer<E> handler, Runnable tick, long tickMillis) {
+    public EventLoop(String name, int slots, Consumer<E> handler, Runnable tick, long tickMillis) {
         this.name = name;
         this.ring = new MpscArrayQueue<>(slots);
         this.handler = handler;
@@ -42,19 +43,19 @@
         this.thread = new Thread(this::run, name);
     }
 
-    /** Hands an event to this duty; false when the ring is full. */
+    /** Enqueues an event; returns false if the queue is full. */
     public boolean offer(E event) {
         if (!ring.offer(event)) {
             return false;
         }
-        if (parked) {
+        if (idle) {
             LockSupport.unpark(thread);
         }
         return true;
     }
 
-    /** Events that wait in the ring now. */
-    public int waiting() {
+    /** Returns the number of queued events. */
+    public int queueSize() {
         return ring.size();
     }
 
@@ -82,44 +83,47 @@
     private void run() {
         long nextTick = System.nanoTime() + tickNanos;
         while (running) {
-            E event = poll(nextTick);
+            E event = awaitEvent(nextTick);
             if (event != null) {
-                guard(() -> handler.accept(event));
+                runSafely(() -> handler.accept(event));
             }
             long now = System.nanoTime();
             if (now - nextTick >= 0) {
-                guard(tick);
+                runSafely(tick);
                 nextTick = now + tickNanos;
             }
         }
     }
 
-    private E poll(long nextTick) {
+    private E awaitEvent(long nextTick) {
         E event = ring.poll();
-        for (int i = 0; event == null && i < SPINS; i++) {
+        for (int i = 0; event == null && i < SPIN_LIMIT; i++) {
             Thread.onSpinWait();
             event = ring.poll();
         }
         if (event != null) {
             return event;
         }
-        parked = true;
+        idle = true;
         event = ring.poll();
         long wait = nextTick - System.nanoTime();
         if (event == null && wait > 0) {
             LockSupport.parkNanos(this, wait);
             event = ring.poll();
         }
-        parked = false;
+        idle = false;
         return event;
     }
 
-    /** A fault in one event must not end the thread, which would stall every request behind it. */
-    private void guard(Runnable work) {
+    /** Logs an exception in one event instead of ending the thread, which would stall every request behind it. */
+    private void runSafely(Runnable work) {
         try {
             work.run();
         } catch (RuntimeException e) {
-            LOG.log(System.Logger.Level.ERROR, "kernel: a duty failed on one event, it goes on; duty=" + name, e);
+            LOG.log(
+                    System.Logger.Level.ERROR,
+                    "kernel: the handler of one event failed, the loop continues; duty=" + name,
+                    e);
         }
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/kernel/Kernel.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/kernel/Kernel.java
@@ -11,7 +11,7 @@
 /**
  * Starts the components of all plug-ins that serve the role, and stops them in reverse order.
  *
- * <p>Confined to the main thread, but for {@link #isDrained}, which only reads. Invariant: a component is stopped
+ * <p>Confined to the main thread, except for {@link #isDrained}, which only reads. Invariant: a component is stopped
  * only after all work in progress has ended or the drain limit has passed.
  */
 public final class Kernel {
@@ -27,7 +27,7 @@
         this.clock = clock;
     }
 
-    /** Finds the plug-ins, lets them register in order, and starts what they added. */
+    /** Loads the plug-ins, registers them in order, and starts the components that they added. */
     public void start() throws Exception {
         List<Plugin> plugins = new ArrayList<>();
         ServiceLoader.load(Plugin.class).forEach(plugins::add);
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Drains all components; true if all work ended before the limit. */
+    /** Drains all components; returns true if all work ended before the limit. */
     public boolean drain(Instant limit) throws InterruptedException {
         started.forEach(component -> component.drain(limit));
         while (!isDrained()) {
@@ -61,7 +61,7 @@
         return started.stream().allMatch(Component::isDrained);
     }
 
-    /** Stops all components, the last started first. */
+    /** Stops all components in reverse start order. */
     public void stop() {
         List<Component> reverse = new ArrayList<>(started);
         Collections.reverse(reverse);
@@ -74,6 +74,6 @@
                 .filter(component -> !component.isDrained())
                 .forEach(component -> LOG.log(
                         System.Logger.Level.WARNING,
-                        "kernel: work was cut at the drain limit; component=" + component.name()));
+                        "kernel: work in progress was aborted at the drain limit; component=" + component.name()));
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/kernel/Registry.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/kernel/Registry.java
@@ -9,8 +9,8 @@
 import org.cornelramp.core.settings.DaemonSettings;
 
 /**
- * What a plug-in is given while it registers: the settings, the clock, the meters, what earlier plug-ins shared,
- * and the place to add components.
+ * Gives a plug-in, while it registers, the settings, the clock, the meters and the objects that earlier plug-ins
+ * shared, and collects the components that it adds.
  *
  * <p>Confined to the kernel's thread.
  */
@@ -27,17 +27,20 @@
         this.meters = meters;
     }
 
-    /** The settings of this daemon. */
+    /** Returns the settings of this daemon. */
     public DaemonSettings settings() {
         return settings;
     }
 
-    /** The clock of this daemon, read only at the edges; deciding functions take the time as an argument. */
+    /**
+     * Returns the clock of this daemon. Only code that does I/O reads it; functions that decide take the time as an
+     * argument.
+     */
     public Clock clock() {
         return clock;
     }
 
-    /** Where meters are registered. */
+    /** Returns the registry for meters. */
     public MeterRegistry meters() {
         return meters;
     }
@@ -49,8 +52,8 @@
         }
     }
 
-    /** What an earlier plug-in shared. */
-    public <T> T need(Class<T> type) {
+    /** Returns the object of this type that an earlier plug-in shared. */
+    public <T> T require(Class<T> type) {
         Object object = shared.get(type);
         if (object == null) {
             throw new IllegalStateException(
@@ -59,12 +62,12 @@
         return type.cast(object);
     }
 
-    /** Adds a component, to be started after those added before. */
+    /** Adds a component; components start in the order in which they are added. */
     public void add(Component component) {
         components.add(component);
     }
 
-    /** The components in the order in which they were added. */
+    /** Returns the components in the order in which they were added. */
     public List<Component> components() {
         return List.copyOf(components);
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/kernel/Signals.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/kernel/Signals.java
@@ -4,23 +4,26 @@
 import java.util.List;
 
 /**
- * Hands signals to the program instead of to the virtual machine.
+ * Installs handlers of operating system signals in place of those of the virtual machine.
  *
- * <p>A shutdown hook hears only the first signal: while it runs, the virtual machine ignores the second, and an
- * operator could not end a drain that takes too long. The platform's only other interface is {@code sun.misc.Signal},
- * reached by reflection because the compiler warns of it. Stateless, safe for use by any thread.
+ * <p>A shutdown hook is not enough: while it runs, the virtual machine ignores a second signal, so an operator could
+ * not end a drain that takes too long. The only other interface of the platform is {@code sun.misc.Signal}, which is
+ * called by reflection because the compiler warns about it. Stateless, safe for use by any thread.
  */
 public final class Signals {
-    private static final List<String> STOP = List.of("TERM", "INT");
+    private static final List<String> STOP_SIGNALS = List.of("TERM", "INT");
 
     private Signals() {}
 
     /** Calls the handler on each stop signal, on a thread of the virtual machine. */
     public static void onStop(Runnable handler) throws ReflectiveOperationException {
-        install(STOP, handler);
+        install(STOP_SIGNALS, handler);
     }
 
-    /** Calls the handler when the settings file has changed; without one the signal would end the process. */
+    /**
+     * Calls the handler on SIGHUP, which an operator sends after changing the settings file; without a handler the
+     * signal would end the process.
+     */
     public static void onReload(Runnable handler) throws ReflectiveOperationException {
         install(List.of("HUP"), handler);
     }
@@ -35,8 +38,8 @@
             return null;
         });
         for (String name : names) {
-            Object one = signal.getConstructor(String.class).newInstance(name);
-            signal.getMethod("handle", signal, type).invoke(null, one, proxy);
+            Object signalInstance = signal.getConstructor(String.class).newInstance(name);
+            signal.getMethod("handle", signal, type).invoke(null, signalInstance, proxy);
         }
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/kernel/StopSwitch.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/kernel/StopSwitch.java
@@ -1,8 +1,8 @@
 package org.cornelramp.daemon.kernel;
 
-/** Begins this process's planned stop, as its first stop signal does. Safe for use by any thread. */
+/** Starts the planned stop of this process, as the first stop signal does. Safe for use by any thread. */
 public interface StopSwitch {
 
-    /** Begins the planned stop; a repeat changes nothing. */
+    /** Starts the planned stop; repeated calls have no effect. */
     void stop();
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/kernel/package-info.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/kernel/package-info.java
@@ -1,2 +1,2 @@
-/** The small core of the daemon: plug-ins register their components, and the kernel starts, drains and stops them. */
+/** The life cycle of the daemon: plug-ins register their components, and the kernel starts, drains and stops them. */
 package org.cornelramp.daemon.kernel;
--- a/daemon/src/main/java/org/cornelramp/daemon/log/JsonLineFormatter.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/log/JsonLineFormatter.java
@@ -9,8 +9,9 @@
 import java.util.regex.Pattern;
 
 /**
- * One JSON object on a line for each record: time, level, part, message, and the key=value facts after the last
- * semicolon as fields of their own. Stateless, safe for use by any thread.
+ * Formats each log record as one JSON object on one line, with the fields time, level, part and message. The key=value
+ * facts after the last semicolon of the message become fields of the object {@code facts}. Stateless, safe for use by
+ * any thread.
  */
 final class JsonLineFormatter extends Formatter {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -39,7 +40,7 @@
             }
         }
         if (record.getThrown() != null) {
-            node.put("trace", Traces.of(record.getThrown()));
+            node.put("trace", StackTraces.format(record.getThrown()));
         }
         return node + System.lineSeparator();
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/log/Logs.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/log/LoggingSetup.java
@@ -8,15 +8,15 @@
 import java.util.logging.Logger;
 import org.cornelramp.core.settings.LogSettings;
 
-/** Sets the form of log lines for the whole process. Called once, before the kernel starts. */
-public final class Logs {
-    private static final String OWN = "org.cornelramp";
-    /** Held, because the log manager forgets the level of a logger that nobody refers to. */
-    private static final Logger OWN_LOGGER = Logger.getLogger(OWN);
+/** Configures logging for the whole process. Called once, before the kernel starts. */
+public final class LoggingSetup {
+    private static final String BASE_LOGGER_NAME = "org.cornelramp";
+    /** A strong reference: the log manager holds loggers weakly, and the level of a collected logger is lost. */
+    private static final Logger BASE_LOGGER = Logger.getLogger(BASE_LOGGER_NAME);
 
-    private Logs() {}
+    private LoggingSetup() {}
 
-    /** Replaces the handlers of the virtual machine's logging. */
+    /** Replaces the handlers of {@code java.util.logging} by one that writes to the console. */
     public static void install(LogSettings settings) {
         LogManager.getLogManager().reset();
         Formatter formatter = settings.json() ? new JsonLineFormatter() : new TextLineFormatter();
@@ -26,6 +26,6 @@
         Logger root = Logger.getLogger("");
         root.addHandler(handler);
         root.setLevel(Level.WARNING);
-        OWN_LOGGER.setLevel(settings.debug() ? Level.FINE : Level.INFO);
+        BASE_LOGGER.setLevel(settings.debug() ? Level.FINE : Level.INFO);
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/log/Traces.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/log/StackTraces.java
@@ -3,12 +3,12 @@
 import java.io.PrintWriter;
 import java.io.StringWriter;
 
-/** Writes stack traces as text. Stateless, safe for use by any thread. */
-final class Traces {
-    private Traces() {}
+/** Formats stack traces as text. Stateless, safe for use by any thread. */
+final class StackTraces {
+    private StackTraces() {}
 
-    /** The trace, or an empty text for no exception. */
-    static String of(Throwable thrown) {
+    /** Returns the stack trace, or an empty string if {@code thrown} is null. */
+    static String format(Throwable thrown) {
         if (thrown == null) {
             return "";
         }
--- a/daemon/src/main/java/org/cornelramp/daemon/log/package-info.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/log/package-info.java
@@ -1,2 +1,2 @@
-/** The form of the daemon's own log lines. */
+/** Configuration and formatters of the daemon's log. */
 package org.cornelramp.daemon.log;
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/EditEndpoint.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/EditEndpoint.java
@@ -27,9 +27,12 @@
 import org.cornelramp.core.table.TableFold;
 import org.cornelramp.daemon.table.TableKeeper;
 
-/** Checks edits, passes on those that may be accepted, and answers for each. Confined to the operators' duty. */
+/**
+ * Validates edits, submits those that may be accepted, and returns a result for each. Confined to the operators' event
+ * loop.
+ */
 final class EditEndpoint implements Endpoint {
-    private static final int MAX_NAME = 100;
+    private static final int MAX_NAME_CHARS = 100;
 
     private final TableKeeper keeper;
     private final EditService service;
@@ -46,7 +49,8 @@
             return Either.left(request.getLeft());
         }
         if (!keeper.isReady()) {
-            return Either.left(Problem.notRun(ProblemKind.NOT_READY, "No table is known at this entry yet."));
+            return Either.left(
+                    Problem.notRun(ProblemKind.NOT_READY, "This entry has no table yet; retry when it is ready."));
         }
         return apply(request.get());
     }
@@ -54,41 +58,42 @@
     private static Either<Problem, EditRequest> read(String body) {
         try {
             EditRequest request = OperatorJson.STRICT.readValue(body, EditRequest.class);
-            return fault(request)
+            return validate(request)
                     .<Either<Problem, EditRequest>>map(
                             detail -> Either.left(Problem.notRun(ProblemKind.MALFORMED_REQUEST, detail)))
                     .orElseGet(() -> Either.right(request));
         } catch (JsonMappingException e) {
             return Either.left(
-                    Problem.notRun(ProblemKind.MALFORMED_REQUEST, placeOf(e) + ": " + e.getOriginalMessage()));
+                    Problem.notRun(ProblemKind.MALFORMED_REQUEST, jsonPath(e) + ": " + e.getOriginalMessage()));
         } catch (JsonProcessingException e) {
-            return Either.left(
-                    Problem.notRun(ProblemKind.MALFORMED_REQUEST, "The body is no JSON: " + e.getOriginalMessage()));
+            return Either.left(Problem.notRun(
+                    ProblemKind.MALFORMED_REQUEST, "The body is not valid JSON: " + e.getOriginalMessage()));
         }
     }
 
-    private static String placeOf(JsonMappingException e) {
+    private static String jsonPath(JsonMappingException e) {
         return e.getPath().stream()
                 .map(part -> part.getFieldName() == null ? "[" + part.getIndex() + "]" : "/" + part.getFieldName())
                 .collect(Collectors.joining());
     }
 
-    private static Optional<String> fault(EditRequest request) {
+    private static Optional<String> validate(EditRequest request) {
         if (request == null || request.edits().isEmpty() || request.edits().size() > EditRequest.MAX_EDITS) {
-            return Optional.of("Give 1 to " + EditRequest.MAX_EDITS + " edits.");
+            return Optional.of("Send 1 to " + EditRequest.MAX_EDITS + " edits.");
         }
         if (!NameValidator.isValid(request.id())) {
-            return Optional.of("Give in id a name for the request that no other has, such as a UUID.");
+            return Optional.of("Set the field id to a valid name that is unique to this request, such as a UUID.");
         }
-        if (request.by().isBlank() || request.by().length() > MAX_NAME) {
-            return Optional.of("Say in by who edits, in 1 to " + MAX_NAME + " characters.");
+        if (request.by().isBlank() || request.by().length() > MAX_NAME_CHARS) {
+            return Optional.of(
+                    "Set the field by to the name of the editor, in 1 to " + MAX_NAME_CHARS + " characters.");
         }
         Set<RowKey> keys = new HashSet<>();
         for (int i = 0; i < request.edits().size(); i++) {
             EditDocument edit = request.edits().get(i);
             String place = "edits[" + i + "] of " + edit.key() + ": ";
             if (!keys.add(edit.key())) {
-                return Optional.of(place + "Give each row once.");
+                return Optional.of(place + "Edit each row at most once in a request.");
             }
             List<ColumnFault> faults = edit.values().map(RowChecks::validate).orElse(List.of());
             if (!faults.isEmpty()) {
@@ -102,9 +107,9 @@
 
     private Either<Problem, Object> apply(EditRequest request) throws InterruptedException {
         FoldedTable table = keeper.folded();
-        List<TableEdit> passed = new ArrayList<>();
+        List<TableEdit> submitted = new ArrayList<>();
         EditResult[] results = new EditResult[request.edits().size()];
-        List<Integer> places = new ArrayList<>();
+        List<Integer> indexes = new ArrayList<>();
         for (int i = 0; i < results.length; i++) {
             EditDocument document = request.edits().get(i);
             TableEdit edit = new TableEdit(
@@ -114,23 +119,27 @@
                 results[i] = EditResultResolver.rejected(
                         table, edit, Optional.empty(), verdict.get().detail());
             } else {
-                passed.add(edit);
-                places.add(i);
+                submitted.add(edit);
+                indexes.add(i);
             }
         }
-        if (!passed.isEmpty()) {
-            Either<Problem, List<EditResult>> applied = service.apply(passed);
+        if (!submitted.isEmpty()) {
+            Either<Problem, List<EditResult>> applied = service.apply(submitted);
             if (applied.isLeft()) {
                 return Either.left(applied.getLeft());
             }
-            for (int i = 0; i < places.size(); i++) {
-                results[places.get(i)] = applied.get().get(i);
+            for (int i = 0; i < indexes.size(); i++) {
+                results[indexes.get(i)] = applied.get().get(i);
             }
         }
         return Either.right(new EditAnswer(keeper.folded().offset(), List.of(results)));
     }
 
-    /** Versions only grow, so an edit against a lower one is lost for good; one against a higher is ahead of us. */
+    /**
+     * Rejects an edit at once if it cannot be accepted any more: versions only grow, so an edit against a lower version
+     * can never be accepted. An edit against a higher version is submitted, because this entry may not have read that
+     * version yet.
+     */
     private static Optional<RecordOutcome> rejection(FoldedTable table, TableEdit edit) {
         return edit.baseVersion() > table.version(edit.key()) ? Optional.empty() : TableFold.findRejection(table, edit);
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/EditService.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/EditService.java
@@ -24,20 +24,20 @@
 import org.cornelramp.ports.PlatformException;
 
 /**
- * Appends edits to the log and tells what became of them, by reading them back.
+ * Appends edits to the log and determines their results by reading them back.
  *
- * <p>An append whose answer is lost is made again: an edit is accepted against one version only, so the second
- * record of it changes nothing if the first took effect. Only an append that was refused each time is said not to
- * have run. Waits for the log; confined to the operators' duty.
+ * <p>An append whose answer is lost is repeated. This is safe because an edit is accepted against one version only, so
+ * a second record of it has no effect if the first took effect. An append is reported as not run only if every attempt
+ * was refused. Waits for the log; confined to the operators' event loop.
  */
 final class EditService {
-    private static final long MAX_RACE = 1_000;
-    private static final int REFUSALS = 4;
+    private static final long MAX_CONFLICT_DISTANCE = 1_000;
+    private static final int MAX_REFUSALS = 4;
     private static final long PAUSE_MILLIS = 200;
     private static final long MAX_PAUSE_MILLIS = 2_000;
 
     private final LogClient log;
-    private final LogBack back;
+    private final TableLogReader logReader;
     private final TableKeeper keeper;
     private final Clock clock;
     private final EditLimits limits;
@@ -45,12 +45,12 @@
     EditService(LogClient log, TableKeeper keeper, Clock clock, EditLimits limits) {
         this.limits = limits;
         this.log = log;
-        this.back = new LogBack(log);
+        this.logReader = new TableLogReader(log);
         this.keeper = keeper;
         this.clock = clock;
     }
 
-    /** Appends edits of different rows and gives one result for each, or says that none was appended. */
+    /** Appends edits of different rows and returns one result for each, or a problem if none was appended. */
     Either<Problem, List<EditResult>> apply(List<TableEdit> edits) throws InterruptedException {
         long start = keeper.folded().offset();
         List<JsonNode> records =
@@ -63,30 +63,41 @@
         FoldedTable table = first.isPresent()
                 ? keeper.await(first.get() + edits.size(), limits.readBack())
                 : keeper.await(endOfLog(), limits.readBack());
-        return Either.right(settle(table, edits, first, start));
+        return Either.right(resolveResults(table, edits, first, start));
     }
 
-    /** The answer to an edit against a version that is in force no more; it names the winner if the log tells it. */
-    EditResult lost(FoldedTable table, TableEdit edit) throws InterruptedException {
-        long start = startOfRace(table.offset(), edit.baseVersion());
+    /**
+     * Returns the result of an edit against a version that is no longer in force; it names the edit that was accepted
+     * instead if that is still on the log.
+     */
+    EditResult staleVersionResult(FoldedTable table, TableEdit edit) throws InterruptedException {
+        long start = conflictStart(table.offset(), edit.baseVersion());
         return EditResultResolver.staleVersion(
-                table, edit, back.read(start, table.offset()).orElse(List.of()));
+                table, edit, logReader.read(start, table.offset()).orElse(List.of()));
     }
 
-    /** The records since the edits were appended, and those that they may have lost to where the log keeps them. */
+    /**
+     * Returns the records since the edits were appended and, if the log still holds them, the earlier records that may
+     * conflict with the edits.
+     */
     private Optional<List<LoggedRecord>> readBack(List<TableEdit> edits, long start, long end)
             throws InterruptedException {
-        long early = edits.stream().mapToLong(TableEdit::baseVersion).reduce(start, this::startOfRace);
-        Optional<List<LoggedRecord>> records = back.read(early, end);
-        return records.isPresent() || early == start ? records : back.read(start, end);
+        long early = edits.stream().mapToLong(TableEdit::baseVersion).reduce(start, this::conflictStart);
+        Optional<List<LoggedRecord>> records = logReader.read(early, end);
+        return records.isPresent() || early == start ? records : logReader.read(start, end);
     }
 
-    /** Where the record that won against a version may be, unless that is too far back to read for a message. */
-    private long startOfRace(long offset, long against) {
-        return offset - against <= MAX_RACE ? Math.min(offset, against + 1) : offset;
+    /**
+     * Returns the first offset at which an edit that replaced version {@code against} can be. Returns {@code offset} if
+     * that is more than {@link #MAX_CONFLICT_DISTANCE} records back, too many to read for an error message.
+     */
+    private long conflictStart(long offset, long against) {
+        return offset - against <= MAX_CONFLICT_DISTANCE ? Math.min(offset, against + 1) : offset;
     }
 
-    /** The offset of the first record; empty if it may have been appended and no answer came. */
+    /**
+     * Appends the records. Returns the offset of the first, or empty if they may have been appended but no answer came.
+     */
     private Either<Problem, Optional<Long>> append(List<JsonNode> records) throws InterruptedException {
         Instant limit = clock.instant().plus(limits.append());
         boolean lost = false;
@@ -97,16 +108,16 @@
                 return Either.right(Optional.of(
                         log.append(LogStream.TABLE, records).get(limits.answer().toMillis(), TimeUnit.MILLISECONDS)));
             } catch (ExecutionException | TimeoutException e) {
-                fault = faultOf(e);
+                fault = failureOf(e);
             }
             boolean refused =
                     fault.kind() == PlatformException.Kind.REFUSED || fault.kind() == PlatformException.Kind.NOT_SENT;
             lost |= !refused;
             refusals++;
-            if (!lost && refusals >= REFUSALS) {
+            if (!lost && refusals >= MAX_REFUSALS) {
                 return Either.left(Problem.notRun(
                         ProblemKind.EDIT_NOT_TAKEN,
-                        "The log took no record, so nothing was changed: " + fault.getMessage()));
+                        "The log refused every append, so nothing was changed: " + fault.getMessage()));
             }
             if (!clock.instant().isBefore(limit)) {
                 return Either.right(Optional.empty());
@@ -115,25 +126,27 @@
         }
     }
 
-    /** Whatever is not known to be a refusal may have taken effect. */
-    private static PlatformException faultOf(Exception e) {
+    /**
+     * Any failure that is not known to be a refusal counts as a lost answer, because the append may have taken effect.
+     */
+    private static PlatformException failureOf(Exception e) {
         return e.getCause() instanceof PlatformException fault
                 ? fault
                 : new PlatformException(PlatformException.Kind.ANSWER_LOST, "No answer from the log: " + e, 0);
     }
 
     private long endOfLog() throws InterruptedException {
-        return back.bounds().map(bounds -> bounds.next()).orElse(0L);
+        return logReader.bounds().map(bounds -> bounds.next()).orElse(0L);
     }
 
-    private List<EditResult> settle(FoldedTable table, List<TableEdit> edits, Optional<Long> first, long start)
+    private List<EditResult> resolveResults(FoldedTable table, List<TableEdit> edits, Optional<Long> first, long start)
             throws InterruptedException {
         Optional<List<LoggedRecord>> since = Optional.empty();
         List<EditResult> results = new ArrayList<>();
         for (int i = 0; i < edits.size(); i++) {
             TableEdit edit = edits.get(i);
-            int at = i;
-            Optional<Long> offset = first.map(one -> one + at);
+            int index = i;
+            Optional<Long> offset = first.map(firstOffset -> firstOffset + index);
             if (offset.isPresent() && table.version(edit.key()) == offset.get()) {
                 results.add(EditResultResolver.accepted(table, edit, offset.get()));
                 continue;
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/Endpoint.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/Endpoint.java
@@ -3,10 +3,10 @@
 import io.vavr.control.Either;
 import org.cornelramp.core.model.Problem;
 
-/** Answers one kind of operators' call. Called by one thread at a time; may wait. */
+/** Answers one kind of request to the operators' interface. Called by one thread at a time; may block. */
 @FunctionalInterface
 interface Endpoint {
 
-    /** Gives the document of the answer, or why there is none. */
+    /** Returns the document to answer with, or the problem that prevents it. */
     Either<Problem, Object> answer(OperatorCall call) throws InterruptedException;
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/EntryList.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/EntryList.java
@@ -13,9 +13,9 @@
 import org.cornelramp.ports.VmList;
 import org.cornelramp.ports.VmListClient;
 
-/** The entries that the VM list shows as live. Waits for the VM list; confined to the operators' duty. */
+/** The entries that the VM list shows as live. Waits for the VM list; confined to the operators' event loop. */
 final class EntryList {
-    private static final long ANSWER_MILLIS = 3_000;
+    private static final long ANSWER_TIMEOUT_MILLIS = 3_000;
 
     private final VmListClient vms;
 
@@ -23,11 +23,13 @@
         this.vms = vms;
     }
 
-    /** What the VM list shows, for status; its trouble if it cannot be read. */
+    /**
+     * Returns the VM list as a section of the status document; only {@code reachable} with false if it cannot be read.
+     */
     ObjectNode status() throws InterruptedException {
         ObjectNode node = JsonNodeFactory.instance.objectNode();
         try {
-            VmList list = vms.list().get(ANSWER_MILLIS, TimeUnit.MILLISECONDS);
+            VmList list = vms.list().get(ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             node.put("reachable", true);
             node.put("at", list.at());
             for (VmList.Vm vm : list.vms()) {
@@ -43,10 +45,10 @@
         return node;
     }
 
-    /** The entries; none if the VM list cannot be read. */
+    /** Returns the live entries; empty if the VM list cannot be read. */
     List<PeerEntry> live() throws InterruptedException {
         try {
-            return vms.list().get(ANSWER_MILLIS, TimeUnit.MILLISECONDS).vms().stream()
+            return vms.list().get(ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS).vms().stream()
                     .filter(vm -> vm.role() == Role.ENTRY && vm.state() == VmList.State.LIVE)
                     .map(vm -> new PeerEntry(vm.vm(), vm.address().toString()))
                     .toList();
@@ -55,7 +57,7 @@
         }
     }
 
-    /** The live entry of a name. */
+    /** Returns the live entry with the given name. */
     Optional<PeerEntry> find(String name) throws InterruptedException {
         return live().stream().filter(entry -> entry.name().equals(name)).findFirst();
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/HistoryEndpoint.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/HistoryEndpoint.java
@@ -14,29 +14,30 @@
 import org.cornelramp.core.table.RowKey;
 import org.cornelramp.daemon.table.TableKeeper;
 
-/** Gives the edits of a row that the log keeps. Confined to the operators' duty. */
+/** Returns the edits of a row that the log still holds. Confined to the operators' event loop. */
 final class HistoryEndpoint implements Endpoint {
     private final TableKeeper keeper;
-    private final LogBack back;
+    private final TableLogReader logReader;
 
-    HistoryEndpoint(TableKeeper keeper, LogBack back) {
+    HistoryEndpoint(TableKeeper keeper, TableLogReader logReader) {
         this.keeper = keeper;
-        this.back = back;
+        this.logReader = logReader;
     }
 
     @Override
     public Either<Problem, Object> answer(OperatorCall call) throws InterruptedException {
-        Either<Problem, RowKey> key = TableEndpoint.key(call.tail());
+        Either<Problem, RowKey> key = TableEndpoint.key(call.pathSegments());
         if (key.isLeft()) {
             return Either.left(key.getLeft());
         }
-        Optional<LogBounds> bounds = back.bounds();
+        Optional<LogBounds> bounds = logReader.bounds();
         FoldedTable table = keeper.folded();
         Optional<List<LoggedRecord>> records =
-                bounds.isPresent() ? back.read(bounds.get().oldest(), table.offset()) : Optional.empty();
+                bounds.isPresent() ? logReader.read(bounds.get().oldest(), table.offset()) : Optional.empty();
         if (records.isEmpty()) {
             return Either.left(Problem.notRun(
-                    ProblemKind.LOG_UNAVAILABLE, "The history is on the log, which cannot be read now."));
+                    ProblemKind.LOG_UNAVAILABLE,
+                    "The history is stored on the log, which cannot be read now; retry later."));
         }
         RowHistory history = RowHistory.of(table, key.get(), records.get());
         return Either.right(new HistoryDocument(
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/OperatorAccess.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/OperatorAccess.java
@@ -11,28 +11,30 @@
 import org.cornelramp.core.settings.OperatorSettings;
 
 /**
- * Decides who may use the operators' interface: whoever sends a key whose hash the settings list. Without such
- * settings the interface is closed. Immutable, safe for use by any thread.
+ * Authorises requests to the operators' interface: a request must carry a key whose hash is in the settings. If the
+ * settings list no hash, every request is refused. Immutable, safe for use by any thread.
  */
 final class OperatorAccess {
     private static final String BEARER = "Bearer ";
 
-    private final List<byte[]> hashes;
+    private final List<byte[]> keyHashes;
 
     OperatorAccess(Optional<OperatorSettings> settings) {
-        this.hashes = settings.map(OperatorSettings::keyHashes).orElse(List.of()).stream()
+        this.keyHashes = settings.map(OperatorSettings::keyHashes).orElse(List.of()).stream()
                 .map(HexFormat.of()::parseHex)
                 .toList();
     }
 
     /**
-     * Why a request is refused; empty if it may pass.
+     * Returns why a request is refused; empty if it is authorised.
      *
      * @param authorization the Authorization header; null if there is none
      */
     Optional<Problem> refusal(String authorization) {
-        if (hashes.isEmpty()) {
-            return Optional.of(Problem.notRun(ProblemKind.OPERATORS_CLOSED, "This entry's settings name no operator."));
+        if (keyHashes.isEmpty()) {
+            return Optional.of(Problem.notRun(
+                    ProblemKind.OPERATORS_CLOSED,
+                    "The settings of this entry list no operator's key; add its hash to operators.keyHashes."));
         }
         boolean known = authorization != null
                 && authorization.startsWith(BEARER)
@@ -41,15 +43,15 @@
                 ? Optional.empty()
                 : Optional.of(Problem.notRun(
                         ProblemKind.OPERATOR_UNAUTHORISED,
-                        "The request carries no operator's key that is known here."));
+                        "The request carries no operator's key whose hash is in the settings of this entry."));
     }
 
-    /** Compares all hashes in full, so that the time taken tells nothing of a key. */
+    /** Compares with every hash in full, so that the time taken reveals nothing about a key. */
     private boolean isKnown(String key) {
         byte[] hash = hash(key);
         boolean known = false;
-        for (byte[] one : hashes) {
-            known |= MessageDigest.isEqual(one, hash);
+        for (byte[] keyHash : keyHashes) {
+            known |= MessageDigest.isEqual(keyHash, hash);
         }
         return known;
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/OperatorCall.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/OperatorCall.java
@@ -5,15 +5,15 @@
 import java.util.Optional;
 
 /**
- * One call of an operator. Immutable, safe for use by any thread.
+ * One request to the operators' interface. Immutable, safe for use by any thread.
  *
- * @param tail the segments of the path below the endpoint's own
- * @param query the query's parameters
+ * @param pathSegments the segments of the path below the endpoint's path
+ * @param query the parameters of the query string
  * @param body the body; empty if there is none
  */
-record OperatorCall(List<String> tail, Map<String, String> query, String body) {
+record OperatorCall(List<String> pathSegments, Map<String, String> query, String body) {
 
-    /** A parameter of the query. */
+    /** Returns a parameter of the query string. */
     Optional<String> parameter(String name) {
         return Optional.ofNullable(query.get(name));
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/OperatorHandler.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/OperatorHandler.java
@@ -14,7 +14,7 @@
 import org.cornelramp.core.model.ProblemKind;
 import org.cornelramp.core.operate.OperatorJson;
 import org.cornelramp.daemon.http.ProblemWriter;
-import org.cornelramp.daemon.kernel.Duty;
+import org.cornelramp.daemon.kernel.EventLoop;
 import org.eclipse.jetty.http.HttpException;
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.io.Content;
@@ -26,22 +26,22 @@
 import org.eclipse.jetty.util.Promise;
 
 /**
- * Checks an operator's key, hands the call to the duty that may wait, and writes its answer. Safe for use by any
- * thread. A full ring before the duty is a refusal.
+ * Checks an operator's key, enqueues the call to the {@link EventLoop} that may block, and writes the answer. A call is
+ * refused if the queue is full. Safe for use by any thread.
  */
 final class OperatorHandler extends Handler.Abstract {
     private static final System.Logger LOG = System.getLogger(OperatorHandler.class.getName());
-    private static final Duration COME_BACK = Duration.ofSeconds(2);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(2);
 
     private final String path;
     private final OperatorAccess access;
-    private final Duty<Runnable> duty;
+    private final EventLoop<Runnable> eventLoop;
     private final Endpoint endpoint;
 
-    OperatorHandler(String path, OperatorAccess access, Duty<Runnable> duty, Endpoint endpoint) {
+    OperatorHandler(String path, OperatorAccess access, EventLoop<Runnable> eventLoop, Endpoint endpoint) {
         this.path = path;
         this.access = access;
-        this.duty = duty;
+        this.eventLoop = eventLoop;
         this.endpoint = endpoint;
     }
 
@@ -56,13 +56,13 @@
                 request,
                 StandardCharsets.UTF_8,
                 Promise.from(
-                        body -> offer(call(request, body), response, callback),
-                        failure -> refuseBody(failure, response, callback)));
+                        body -> enqueue(call(request, body), response, callback),
+                        failure -> answerIncompleteBody(failure, response, callback)));
         return true;
     }
 
-    /** Nothing was done with a body that did not come whole, and the answer must say so. */
-    private static void refuseBody(Throwable failure, Response response, Callback callback) {
+    /** A call with an incomplete body is not executed, and the answer must say so. */
+    private static void answerIncompleteBody(Throwable failure, Response response, Callback callback) {
         if (failure instanceof HttpException) {
             callback.failed(failure);
             return;
@@ -70,27 +70,30 @@
         ProblemWriter.write(
                 response,
                 callback,
-                Problem.notRun(ProblemKind.MALFORMED_REQUEST, "The body did not come whole or in time."));
+                Problem.notRun(
+                        ProblemKind.MALFORMED_REQUEST,
+                        "The body was incomplete or did not arrive in time; send the request again."));
     }
 
     private OperatorCall call(Request request, String body) {
-        String below = Request.getPathInContext(request).substring(path.length());
-        List<String> tail =
-                Arrays.stream(below.split("/")).filter(part -> !part.isEmpty()).toList();
+        String relativePath = Request.getPathInContext(request).substring(path.length());
+        List<String> pathSegments = Arrays.stream(relativePath.split("/"))
+                .filter(part -> !part.isEmpty())
+                .toList();
         Map<String, String> query = new HashMap<>();
         for (Fields.Field field : Request.extractQueryParameters(request)) {
             query.put(field.getName(), field.getValue());
         }
-        return new OperatorCall(tail, query, body == null ? "" : body);
+        return new OperatorCall(pathSegments, query, body == null ? "" : body);
     }
 
-    private void offer(OperatorCall call, Response response, Callback callback) {
-        if (!duty.offer(() -> run(call, response, callback))) {
+    private void enqueue(OperatorCall call, Response response, Callback callback) {
+        if (!eventLoop.offer(() -> run(call, response, callback))) {
             ProblemWriter.write(
                     response,
                     callback,
-                    Problem.notRun(ProblemKind.OVERLOADED, "Too many operators' calls wait here.")
-                            .withRetryAfter(COME_BACK));
+                    Problem.notRun(ProblemKind.OVERLOADED, "Too many operators' calls are queued at this entry.")
+                            .withRetryAfter(RETRY_AFTER));
         }
     }
 
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/OperatorPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/OperatorPlugin.java
@@ -14,21 +14,23 @@
 import org.cornelramp.core.settings.Role;
 import org.cornelramp.daemon.http.Readiness;
 import org.cornelramp.daemon.http.Routes;
-import org.cornelramp.daemon.kernel.Duty;
+import org.cornelramp.daemon.kernel.EventLoop;
 import org.cornelramp.daemon.kernel.Plugin;
 import org.cornelramp.daemon.kernel.Registry;
 import org.cornelramp.daemon.kernel.StopSwitch;
-import org.cornelramp.daemon.report.BurnBook;
-import org.cornelramp.daemon.report.RequestMemory;
-import org.cornelramp.daemon.report.StatusBoard;
+import org.cornelramp.daemon.report.BurnCounters;
+import org.cornelramp.daemon.report.RequestDecisionLog;
+import org.cornelramp.daemon.report.StatusSections;
 import org.cornelramp.daemon.table.TableKeeper;
 import org.cornelramp.ports.LogClient;
 import org.cornelramp.ports.VmListClient;
 
 /**
- * Serves operators at an entry, and shares the {@link AgentBoard} that connects it to the agents. Stateless.
+ * Serves the operators' interface of an entry, and shares the {@link OperatorAgentAccess} that connects it to the agents.
+ * Stateless.
  *
- * <p>Two duties: edits, which may wait for the log for seconds, and all other calls, which must not wait for them.
+ * <p>Calls run on two threads, each a {@link EventLoop}: one for edits, which may wait for the log for seconds, and one for
+ * all other calls, which must not wait behind edits.
  */
 public final class OperatorPlugin implements Plugin {
     private static final String BASE = "/operator/v1/";
@@ -52,74 +54,80 @@
 
     @Override
     public void register(Registry registry) {
-        AgentBoard agents = new AgentBoard();
-        registry.share(AgentBoard.class, agents);
-        Duty<Runnable> edits = duty("operator-edits");
-        Duty<Runnable> reads = duty("operator");
+        OperatorAgentAccess agents = new OperatorAgentAccess();
+        registry.share(OperatorAgentAccess.class, agents);
+        EventLoop<Runnable> edits = eventLoop("operator-edits");
+        EventLoop<Runnable> reads = eventLoop("operator");
         registry.add(edits);
         registry.add(reads);
-        TableKeeper keeper = registry.need(TableKeeper.class);
-        LogClient log = registry.need(LogClient.class);
-        EntryList entries = new EntryList(registry.need(VmListClient.class));
-        String self = registry.settings().name();
-        Served served = new Served(
-                registry.need(Routes.class),
+        TableKeeper keeper = registry.require(TableKeeper.class);
+        LogClient log = registry.require(LogClient.class);
+        EntryList entries = new EntryList(registry.require(VmListClient.class));
+        String processName = registry.settings().name();
+        RouteRegistrar registrar = new RouteRegistrar(
+                registry.require(Routes.class),
                 new OperatorAccess(registry.settings().operators()));
         EditService service = new EditService(log, keeper, registry.clock(), EditLimits.DEFAULTS);
-        served.add("POST", "edits", edits, new EditEndpoint(keeper, service));
-        served.add("GET", "table", reads, new TableEndpoint(keeper));
-        served.add("GET", "table/", reads, new TableEndpoint(keeper));
-        served.add("GET", "history/", reads, new HistoryEndpoint(keeper, new LogBack(log)));
-        served.add("GET", "status", reads, status(registry, self, entries));
-        served.add("GET", "applied", reads, applied(self, keeper, agents, entries));
-        served.add("GET", "explain/", reads, explain(registry, self));
-        served.add("GET", "burn", reads, burn(registry, self, keeper));
-        served.add("POST", "drain", reads, new DrainEndpoint(self, agents, entries, registry.need(StopSwitch.class)));
+        registrar.add("POST", "edits", edits, new EditEndpoint(keeper, service));
+        registrar.add("GET", "table", reads, new TableEndpoint(keeper));
+        registrar.add("GET", "table/", reads, new TableEndpoint(keeper));
+        registrar.add("GET", "history/", reads, new HistoryEndpoint(keeper, new TableLogReader(log)));
+        registrar.add("GET", "status", reads, status(registry, processName, entries));
+        registrar.add("GET", "applied", reads, applied(processName, keeper, agents, entries));
+        registrar.add("GET", "explain/", reads, explain(registry, processName));
+        registrar.add("GET", "burn", reads, burn(registry, processName, keeper));
+        registrar.add(
+                "POST",
+                "drain",
+                reads,
+                new DrainEndpoint(processName, agents, entries, registry.require(StopSwitch.class)));
     }
 
-    private static Duty<Runnable> duty(String name) {
-        return new Duty<>(name, RING_SLOTS, Runnable::run, () -> {}, TICK_MILLIS);
+    private static EventLoop<Runnable> eventLoop(String name) {
+        return new EventLoop<>(name, RING_SLOTS, Runnable::run, () -> {}, TICK_MILLIS);
     }
 
-    private static Endpoint status(Registry registry, String self, EntryList entries) {
-        Readiness readiness = registry.need(Readiness.class);
-        StatusBoard board = registry.need(StatusBoard.class);
+    private static Endpoint status(Registry registry, String processName, EntryList entries) {
+        Readiness readiness = registry.require(Readiness.class);
+        StatusSections statusSections = registry.require(StatusSections.class);
         return call -> {
             List<String> faults = readiness.faults();
-            SortedMap<String, JsonNode> sections = board.read();
+            SortedMap<String, JsonNode> sections = statusSections.read();
             sections.put("vms", entries.status());
-            return Either.right(new StatusDocument(self, faults.isEmpty(), faults, sections));
+            return Either.right(new StatusDocument(processName, faults.isEmpty(), faults, sections));
         };
     }
 
-    private static Endpoint applied(String self, TableKeeper keeper, AgentBoard agents, EntryList entries) {
+    private static Endpoint applied(String processName, TableKeeper keeper, OperatorAgentAccess agents, EntryList entries) {
         return call -> Either.right(
-                new AppliedDocument(self, keeper.folded().offset(), agents.tableOffsets(), entries.live()));
+                new AppliedDocument(processName, keeper.folded().offset(), agents.tableOffsets(), entries.live()));
     }
 
-    private static Endpoint explain(Registry registry, String self) {
-        RequestMemory memory = registry.need(RequestMemory.class);
+    private static Endpoint explain(Registry registry, String processName) {
+        RequestDecisionLog decisions = registry.require(RequestDecisionLog.class);
         return call -> {
-            String id = String.join("/", call.tail());
-            List<ExplainDocument.Step> steps = memory.steps(id);
+            String id = String.join("/", call.pathSegments());
+            List<ExplainDocument.Step> steps = decisions.steps(id);
             return steps.isEmpty()
-                    ? Either.left(Problem.notRun(ProblemKind.NOT_FOUND, "This entry remembers no such request."))
-                    : Either.right(new ExplainDocument(self, id, steps));
+                    ? Either.left(Problem.notRun(
+                            ProblemKind.NOT_FOUND,
+                            "This entry has no record of this request; only the newest requests are kept."))
+                    : Either.right(new ExplainDocument(processName, id, steps));
         };
     }
 
-    private static Endpoint burn(Registry registry, String self, TableKeeper keeper) {
-        BurnBook book = registry.need(BurnBook.class);
+    private static Endpoint burn(Registry registry, String processName, TableKeeper keeper) {
+        BurnCounters counters = registry.require(BurnCounters.class);
         Clock clock = registry.clock();
         long since = clock.millis();
-        return call -> Either.right(
-                new BurnDocument(self, since, book.uncounted(), book.rows(keeper.folded(), clock.instant())));
+        return call -> Either.right(new BurnDocument(
+                processName, since, counters.uncounted(), counters.rows(keeper.folded(), clock.instant())));
     }
 
-    /** Adds routes that check the operator's key. */
-    private record Served(Routes routes, OperatorAccess access) {
-        void add(String method, String path, Duty<Runnable> duty, Endpoint endpoint) {
-            routes.add(method, BASE + path, new OperatorHandler(BASE + path, access, duty, endpoint));
+    /** Registers routes that check the operator's key. */
+    private record RouteRegistrar(Routes routes, OperatorAccess access) {
+        void add(String method, String path, EventLoop<Runnable> eventLoop, Endpoint endpoint) {
+            routes.add(method, BASE + path, new OperatorHandler(BASE + path, access, eventLoop, endpoint));
         }
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/TableEndpoint.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/TableEndpoint.java
@@ -13,7 +13,7 @@
 import org.cornelramp.core.table.RowKey;
 import org.cornelramp.daemon.table.TableKeeper;
 
-/** Gives the table in force, or one row of it. Safe for use by any thread. */
+/** Returns the table in force, or one row of it. Safe for use by any thread. */
 final class TableEndpoint implements Endpoint {
     private static final int ROW_SEGMENTS = 2;
 
@@ -27,27 +27,29 @@
     public Either<Problem, Object> answer(OperatorCall call) {
         FoldedTable table = keeper.folded();
         if (!keeper.isReady()) {
-            return Either.left(Problem.notRun(ProblemKind.NOT_READY, "No table is known at this entry yet."));
+            return Either.left(
+                    Problem.notRun(ProblemKind.NOT_READY, "This entry has no table yet; retry when it is ready."));
         }
-        if (call.tail().isEmpty()) {
+        if (call.pathSegments().isEmpty()) {
             List<RowDocument> rows = table.rows().stream().map(RowDocument::of).toList();
             return Either.right(new TableDocument(table.offset(), rows));
         }
-        return key(call.tail()).map(key -> RowDocument.of(table, key));
+        return key(call.pathSegments()).map(key -> RowDocument.of(table, key));
     }
 
-    /** The row that a path names. */
-    static Either<Problem, RowKey> key(List<String> tail) {
+    /** Returns the key of the row that a path names. */
+    static Either<Problem, RowKey> key(List<String> pathSegments) {
         Optional<RowKey> key = Optional.empty();
-        if (tail.size() == ROW_SEGMENTS) {
+        if (pathSegments.size() == ROW_SEGMENTS) {
             try {
-                key = Optional.of(new RowKey(new OrganisationId(tail.get(0)), new ServiceName(tail.get(1))));
+                key = Optional.of(
+                        new RowKey(new OrganisationId(pathSegments.get(0)), new ServiceName(pathSegments.get(1))));
             } catch (IllegalArgumentException e) {
                 return Either.left(Problem.notRun(ProblemKind.MALFORMED_REQUEST, e.getMessage()));
             }
         }
         return key.<Either<Problem, RowKey>>map(Either::right)
-                .orElseGet(() ->
-                        Either.left(Problem.notRun(ProblemKind.NOT_FOUND, "A row's path reads ORGANISATION/SERVICE.")));
+                .orElseGet(() -> Either.left(
+                        Problem.notRun(ProblemKind.NOT_FOUND, "The path of a row is ORGANISATION/SERVICE.")));
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/LogBack.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/TableLogReader.java
@@ -13,28 +13,34 @@
 import org.cornelramp.ports.LogPage;
 import org.cornelramp.ports.LogStream;
 
-/** Reads the table's stream back. Waits for the log, so only threads that may wait call it. Safe for any of these. */
-final class LogBack {
-    private static final int PAGE = 200;
-    private static final Duration ANSWER = Duration.ofSeconds(4);
+/**
+ * Reads records of the table's stream from the log. Blocks while it waits for the log, so call it only on threads that
+ * may block. Safe for use by any thread.
+ */
+final class TableLogReader {
+    private static final int PAGE_RECORDS = 200;
+    private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(4);
 
     private final LogClient log;
 
-    LogBack(LogClient log) {
+    TableLogReader(LogClient log) {
         this.log = log;
     }
 
-    /** What the log keeps; empty if it cannot be told. */
+    /** Returns the range of offsets that the log holds; empty if the log does not answer. */
     Optional<LogBounds> bounds() throws InterruptedException {
         try {
-            LogPage page = log.bounds(LogStream.TABLE).get(ANSWER.toMillis(), TimeUnit.MILLISECONDS);
+            LogPage page = log.bounds(LogStream.TABLE).get(ANSWER_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
             return Optional.of(new LogBounds(page.oldest(), page.next()));
         } catch (ExecutionException | TimeoutException e) {
             return Optional.empty();
         }
     }
 
-    /** The records from one offset up to another; empty if they cannot all be read. */
+    /**
+     * Returns the records from offset {@code from} up to but not including {@code to}; empty if they cannot all be
+     * read.
+     */
     Optional<List<LoggedRecord>> read(long from, long to) throws InterruptedException {
         List<LoggedRecord> records = new ArrayList<>();
         long at = from;
@@ -55,7 +61,8 @@
 
     private Optional<LogPage> page(long from) throws InterruptedException {
         try {
-            return Optional.of(log.read(LogStream.TABLE, from, PAGE, 0).get(ANSWER.toMillis(), TimeUnit.MILLISECONDS));
+            return Optional.of(log.read(LogStream.TABLE, from, PAGE_RECORDS, 0)
+                    .get(ANSWER_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS));
         } catch (ExecutionException | TimeoutException e) {
             return Optional.empty();
         }
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/package-info.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' interface of an entry, under {@code /operator/v1}. */
+/** The HTTP interface for operators of an entry, served under {@code /operator/v1}. */
 package org.cornelramp.daemon.operator;
--- a/daemon/src/main/java/org/cornelramp/daemon/package-info.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** The daemon. */
+/** The process of the daemon: start, planned stop and exit codes. */
 package org.cornelramp.daemon;
--- a/daemon/src/main/java/org/cornelramp/daemon/platform/PlatformPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/platform/PlatformPlugin.java
@@ -15,7 +15,7 @@
 import org.cornelramp.ports.http.HttpTimeouts;
 import org.eclipse.jetty.client.HttpClient;
 
-/** Shares the clients of the platform and, at an agent, of its backend server. Stateless. */
+/** Creates and shares the clients of the platform's services and, in an agent, of its backend server. Stateless. */
 public final class PlatformPlugin implements Plugin {
 
     @Override
@@ -51,7 +51,10 @@
         }
     }
 
-    /** Ends the clients' threads after all other parts, which may still settle their work on the log. */
+    /**
+     * Starts and stops the clients' threads. It starts first and so stops last, because other components may still
+     * finish work on the log while they stop.
+     */
     private record ClientComponent(HttpPlatform http) implements Component {
         @Override
         public String name() {
--- a/daemon/src/main/java/org/cornelramp/daemon/platform/package-info.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/platform/package-info.java
@@ -1,2 +1,2 @@
-/** Shares the clients of the platform's interfaces with the other plug-ins. */
+/** Provides the clients of the platform's services to the other plug-ins. */
 package org.cornelramp.daemon.platform;
--- a/daemon/src/main/java/org/cornelramp/daemon/report/BurnBook.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/report/BurnCounters.java
@@ -16,17 +16,17 @@
 import org.cornelramp.core.table.Table;
 
 /**
- * Counts the ends of requests for each row.
+ * Counts finished requests, good and bad, for each row of the table, as input to the burn rate of its error budget.
  *
- * <p>Safe for use by any thread. Invariant: at most {@value #MAX_ROWS} rows are counted, some half a kilobyte each;
- * the requests of further rows are only numbered.
+ * <p>Safe for use by any thread. Invariant: at most {@value #MAX_ROWS} rows are counted, at about half a kilobyte each;
+ * of the requests of further rows only the total number is kept.
  */
-public final class BurnBook {
-    /** Above the rows of 4,800 organisations with 7 services each. */
+public final class BurnCounters {
+    /** Above the number of rows of 4,800 organisations with 7 services each. */
     static final int MAX_ROWS = 40_000;
 
-    /** Objective told for a row that the table no longer has. */
-    private static final double NO_ROW_OBJECTIVE = 99;
+    /** Objective in percent that is reported for a row that is no longer in the table. */
+    private static final double DEFAULT_OBJECTIVE_PERCENT = 99;
 
     private final Map<RowKey, BurnMeter> meters = new ConcurrentHashMap<>();
     private final AtomicLong uncounted = new AtomicLong();
@@ -40,12 +40,12 @@
         meters.computeIfAbsent(row, key -> new BurnMeter()).add(bad, now);
     }
 
-    /** Requests of rows for which there was no room. */
+    /** Returns the number of requests that are not counted because the limit on rows was reached. */
     public long uncounted() {
         return uncounted.get();
     }
 
-    /** The counts of all rows that had a request in the longest window. */
+    /** Returns the counts of all rows that had a request in the longest window. */
     public List<BurnRow> rows(Table table, Instant now) {
         List<BurnRow> rows = new ArrayList<>();
         meters.forEach((key, meter) -> {
@@ -64,6 +64,6 @@
         return table.row(key)
                 .map(Row::values)
                 .map(values -> values.objectivePercent())
-                .orElse(NO_ROW_OBJECTIVE);
+                .orElse(DEFAULT_OBJECTIVE_PERCENT);
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/report/LinkMeters.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/report/LinkMeters.java
@@ -6,7 +6,7 @@
 import java.util.function.ToDoubleFunction;
 import org.cornelramp.wire.link.LinkCounters;
 
-/** Meters of what passes the links of this process. Immutable, safe for use by any thread. */
+/** Meters of the traffic and faults on the links of this process. Immutable, safe for use by any thread. */
 public final class LinkMeters implements MeterBinder {
     private final LinkCounters counters;
 
@@ -21,8 +21,8 @@
         bind(meters, "cornelramp.link.bytes", "in", LinkCounters::bytesIn);
         bind(meters, "cornelramp.link.bytes", "out", LinkCounters::bytesOut);
         bind(meters, "cornelramp.link.opened", LinkCounters::opened);
-        bind(meters, "cornelramp.link.silent", LinkCounters::silent);
-        bind(meters, "cornelramp.link.garbage", LinkCounters::garbage);
+        bind(meters, "cornelramp.link.silent", LinkCounters::unresponsive);
+        bind(meters, "cornelramp.link.garbage", LinkCounters::invalid);
         bind(meters, "cornelramp.link.skipped", LinkCounters::skipped);
         bind(meters, "cornelramp.link.refused.sends", LinkCounters::refusedSends);
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/report/Recorder.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/report/MeteringRequestRecorder.java
@@ -10,17 +10,17 @@
 import org.cornelramp.core.model.Outcome;
 import org.cornelramp.core.table.RowKey;
 
-/** Hands what is recorded of requests to the memory, the burn counts and the meters. Safe for use by any thread. */
-final class Recorder implements RequestRecorder {
-    private final RequestMemory memory;
-    private final BurnBook burn;
+/** Records requests in the decision log, the burn counters and the meters. Safe for use by any thread. */
+final class MeteringRequestRecorder implements RequestRecorder {
+    private final RequestDecisionLog decisions;
+    private final BurnCounters burnCounters;
     private final Map<Outcome, Counter> outcomes = new EnumMap<>(Outcome.class);
     private final Counter late;
     private final Timer latency;
 
-    Recorder(RequestMemory memory, BurnBook burn, MeterRegistry meters) {
-        this.memory = memory;
-        this.burn = burn;
+    MeteringRequestRecorder(RequestDecisionLog decisions, BurnCounters burnCounters, MeterRegistry meters) {
+        this.decisions = decisions;
+        this.burnCounters = burnCounters;
         for (Outcome outcome : Outcome.values()) {
             outcomes.put(outcome, meters.counter("cornelramp.requests", "outcome", outcome.text()));
         }
@@ -32,13 +32,13 @@
 
     @Override
     public void decided(String requestId, Instant now, String step, String facts) {
-        memory.decided(requestId, now, step, facts);
+        decisions.decided(requestId, now, step, facts);
     }
 
     @Override
     public void ended(RowKey row, Outcome outcome, boolean inTime, Duration time, Instant now) {
         boolean answered = outcome == Outcome.ANSWERED;
-        burn.ended(row, !answered || !inTime, now);
+        burnCounters.ended(row, !answered || !inTime, now);
         outcomes.get(outcome).increment();
         if (answered) {
             latency.record(time);
--- a/daemon/src/main/java/org/cornelramp/daemon/report/ReportPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/report/ReportPlugin.java
@@ -4,7 +4,7 @@
 import org.cornelramp.daemon.kernel.Plugin;
 import org.cornelramp.daemon.kernel.Registry;
 
-/** Shares the recorder of requests and the status board. Stateless. */
+/** Creates and shares the recorder of requests, its counters, and the {@link StatusSections}. Stateless. */
 public final class ReportPlugin implements Plugin {
 
     @Override
@@ -24,11 +24,11 @@
 
     @Override
     public void register(Registry registry) {
-        RequestMemory memory = new RequestMemory();
-        BurnBook burn = new BurnBook();
-        registry.share(RequestRecorder.class, new Recorder(memory, burn, registry.meters()));
-        registry.share(RequestMemory.class, memory);
-        registry.share(BurnBook.class, burn);
-        registry.share(StatusBoard.class, new StatusBoard());
+        RequestDecisionLog decisions = new RequestDecisionLog();
+        BurnCounters burnCounters = new BurnCounters();
+        registry.share(RequestRecorder.class, new MeteringRequestRecorder(decisions, burnCounters, registry.meters()));
+        registry.share(RequestDecisionLog.class, decisions);
+        registry.share(BurnCounters.class, burnCounters);
+        registry.share(StatusSections.class, new StatusSections());
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/report/RequestRecorder.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/report/RequestRecorder.java
@@ -5,7 +5,7 @@
 import org.cornelramp.core.model.Outcome;
 import org.cornelramp.core.table.RowKey;
 
-/** Remembers what was decided on requests and how they ended, within bounds. Safe for use by any thread. */
+/** Records the decisions on requests and their ends, in bounded memory. Safe for use by any thread. */
 public interface RequestRecorder {
 
     /**
@@ -13,8 +13,8 @@
      *
      * @param requestId the request
      * @param now the present time
-     * @param step what was decided, in a word or two, such as {@code chosen}
-     * @param facts where and why, as key=value facts
+     * @param step the decision, in one or two words, such as {@code chosen}
+     * @param facts the place and the reason, as key=value facts
      */
     void decided(String requestId, Instant now, String step, String facts);
 
@@ -22,8 +22,8 @@
      * Records the end of a request.
      *
      * @param row organisation and service
-     * @param outcome what the caller was told
-     * @param inTime whether a whole answer went out before the deadline
+     * @param outcome the outcome that the caller received
+     * @param inTime whether the complete answer was sent before the deadline
      * @param latency time from arrival to the end of the answer
      * @param now the present time
      */
--- a/daemon/src/main/java/org/cornelramp/daemon/report/package-info.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/report/package-info.java
@@ -1,2 +1,2 @@
-/** What the daemon remembers of requests, for explanations and the report on service-level burn. */
+/** Records of requests in memory, for explanations and for the report on service-level burn. */
 package org.cornelramp.daemon.report;
--- a/daemon/src/main/java/org/cornelramp/daemon/table/TableFollower.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/table/TableFollower.java
@@ -23,39 +23,46 @@
 import org.cornelramp.ports.PlatformException;
 
 /**
- * Follows the table's stream on the log and brings each new table to the keeper; writes a snapshot when one is due.
+ * Reads the table's stream on the log, passes each new table to the {@link TableKeeper}, and writes a snapshot when one
+ * is due.
  *
- * <p>All reading is done by this part's own thread, which may wait; {@link #status} may be called by any thread.
- * While the log is down the table in force stays in force, and a process without one takes a peer's.
+ * <p>The log is read only by this component's own thread, which may block; {@link #status} and {@link #logFault} may be
+ * called by any thread. While the log is unavailable the table in force stays in force, and a process without a table
+ * uses that of a peer.
  */
 final class TableFollower implements Component {
     private static final System.Logger LOG = System.getLogger(TableFollower.class.getName());
-    private static final int PAGE = 200;
-    private static final long WAIT_MILLIS = 1_000;
-    private static final long ANSWER_MILLIS = 5_000;
-    private static final long FIRST_PAUSE_MILLIS = 100;
-    private static final long MAX_PAUSE_MILLIS = 1_000;
+    private static final int PAGE_RECORDS = 200;
+    private static final long LONG_POLL_MILLIS = 1_000;
+    private static final long ANSWER_TIMEOUT_MILLIS = 5_000;
+    private static final long INITIAL_BACKOFF_MILLIS = 100;
+    private static final long MAX_BACKOFF_MILLIS = 1_000;
 
     private final LogClient log;
     private final TableKeeper keeper;
     private final TableMeters meters;
     private final Clock clock;
-    private final String process;
+    private final String processName;
     private final Duration snapshotAge;
     private final Thread thread = new Thread(this::run, "table");
     private volatile boolean running = true;
-    private volatile String trouble = "";
+    private volatile String logFault = "";
     private volatile TableReadState reading = TableReadState.start();
     private SnapshotSchedule plan = SnapshotSchedule.start();
-    private long pauseMillis = FIRST_PAUSE_MILLIS;
+    private long backoffMillis = INITIAL_BACKOFF_MILLIS;
 
     TableFollower(
-            LogClient log, TableKeeper keeper, TableMeters meters, Clock clock, String process, Duration snapshotAge) {
+            LogClient log,
+            TableKeeper keeper,
+            TableMeters meters,
+            Clock clock,
+            String processName,
+            Duration snapshotAge) {
         this.log = log;
         this.keeper = keeper;
         this.meters = meters;
         this.clock = clock;
-        this.process = process;
+        this.processName = processName;
         this.snapshotAge = snapshotAge;
     }
 
@@ -80,23 +87,23 @@
         }
     }
 
-    /** Why the log does not help at the moment; empty if it does. */
-    String trouble() {
-        return trouble;
+    /** Returns why the log cannot be followed at present; empty if it can. */
+    String logFault() {
+        return logFault;
     }
 
-    /** What operators see of the log. */
+    /** Returns the state of the log for the status document. */
     ObjectNode status() {
-        TableReadState now = reading;
+        TableReadState current = reading;
         ObjectNode node = JsonNodeFactory.instance.objectNode();
-        node.put("reachable", trouble.isEmpty());
-        node.put("trouble", trouble);
-        node.put("reading", now.phase().name().toLowerCase(java.util.Locale.ROOT));
-        node.put("offset", now.table().offset());
-        node.put("oldest", now.bounds().oldest());
-        now.newestSnapshot().ifPresent(mark -> node.put("snapshotCovers", mark.coveredOffset())
+        node.put("reachable", logFault.isEmpty());
+        node.put("trouble", logFault);
+        node.put("reading", current.phase().name().toLowerCase(java.util.Locale.ROOT));
+        node.put("offset", current.table().offset());
+        node.put("oldest", current.bounds().oldest());
+        current.newestSnapshot().ifPresent(mark -> node.put("snapshotCovers", mark.coveredOffset())
                 .put("snapshotAt", mark.appendedAtMillis()));
-        node.put("divergences", now.divergentSnapshots());
+        node.put("divergences", current.divergentSnapshots());
         return node;
     }
 
@@ -104,17 +111,17 @@
         while (running) {
             try {
                 follow();
-                setTrouble(troubleOf(reading));
-                pauseMillis = FIRST_PAUSE_MILLIS;
+                setLogFault(describeFault(reading));
+                backoffMillis = INITIAL_BACKOFF_MILLIS;
                 if (reading.phase() == TableReadState.Phase.STUCK) {
-                    pause();
+                    backOff();
                 }
             } catch (InterruptedException e) {
                 return;
             } catch (ExecutionException | TimeoutException | RuntimeException e) {
                 meters.readFailed();
-                setTrouble("the log cannot be read: " + (e.getCause() == null ? e : e.getCause()));
-                pause();
+                setLogFault("the log cannot be read: " + (e.getCause() == null ? e : e.getCause()));
+                backOff();
             }
         }
     }
@@ -123,12 +130,12 @@
         TableReadState before = reading.onPeerTable(keeper.folded());
         TableReadState after = read(before);
         reading = after;
-        check(before, after);
-        // Older states, as seen while reading up to the end at the start, were in force once and are not now.
+        reportDivergence(before, after);
+        // States from before the end of the log, as read during the start, are no longer in force.
         if (after.isAtEnd() || keeper.isReady()) {
-            keeper.take(after.table());
+            keeper.replaceIfNewer(after.table());
         }
-        SnapshotSchedule.Decision step = plan.evaluate(after, snapshotAge, process, clock.instant());
+        SnapshotSchedule.Decision step = plan.evaluate(after, snapshotAge, processName, clock.instant());
         plan = step.schedule();
         if (step.write()) {
             writeSnapshot(after.table());
@@ -136,28 +143,31 @@
     }
 
     private TableReadState read(TableReadState from) throws InterruptedException, ExecutionException, TimeoutException {
-        long wait = from.isAtEnd() ? WAIT_MILLIS : 0;
+        long wait = from.isAtEnd() ? LONG_POLL_MILLIS : 0;
         try {
-            LogPage page = log.read(LogStream.TABLE, from.readFrom(), PAGE, wait)
-                    .get(wait + ANSWER_MILLIS, TimeUnit.MILLISECONDS);
+            LogPage page = log.read(LogStream.TABLE, from.readFrom(), PAGE_RECORDS, wait)
+                    .get(wait + ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             return from.onPage(boundsOf(page), recordsOf(page));
         } catch (ExecutionException e) {
             if (e.getCause() instanceof PlatformException fault && fault.kind() == PlatformException.Kind.GONE) {
                 return from.onRecordsGone(
-                        boundsOf(log.bounds(LogStream.TABLE).get(ANSWER_MILLIS, TimeUnit.MILLISECONDS)));
+                        boundsOf(log.bounds(LogStream.TABLE).get(ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)));
             }
             throw e;
         }
     }
 
-    /** Two folds of the same records that differ would put two tables in force, so it is checked where it can be. */
-    private void check(TableReadState before, TableReadState after) {
+    /**
+     * Reports two different folds of the same records. They would put two different tables in force, so they are
+     * compared wherever possible.
+     */
+    private void reportDivergence(TableReadState before, TableReadState after) {
         boolean moved = after.table().offset() > before.table().offset();
         if (after.divergentSnapshots() > before.divergentSnapshots() || (moved && keeper.differsFrom(after.table()))) {
-            meters.diverged();
+            meters.divergenceDetected();
             LOG.log(
                     System.Logger.Level.ERROR,
-                    "table: another process folded the same records to another table, run one version everywhere;"
+                    "table: another process computed a different table from the same records, run one version everywhere;"
                             + " offset=" + after.table().offset());
         }
     }
@@ -166,13 +176,16 @@
         TableRecords.SnapshotRecord record =
                 new TableRecords.SnapshotRecord(table.offset(), TableSnapshotCodec.write(table));
         CompletableFuture<Long> unused = log.append(
-                        LogStream.TABLE, List.of(TableRecords.writeSnapshot(record, process)))
+                        LogStream.TABLE, List.of(TableRecords.writeSnapshot(record, processName)))
                 .whenComplete((offset, failure) -> {
                     meters.snapshotWritten(failure == null);
-                    // A lost answer needs no settling: the snapshot is read back, or the plan tries again.
+                    // A lost answer needs no handling: the snapshot is read back from the log, or the plan writes
+                    // another.
                     LOG.log(
                             failure == null ? System.Logger.Level.INFO : System.Logger.Level.WARNING,
-                            (failure == null ? "table: a snapshot was written" : "table: no word of a snapshot's end")
+                            (failure == null
+                                            ? "table: a snapshot was written"
+                                            : "table: the append of a snapshot failed or got no answer")
                                     + "; covers=" + table.offset() + " bytes=" + record.snapshot().length);
                 });
     }
@@ -187,36 +200,36 @@
                 .toList();
     }
 
-    private static String troubleOf(TableReadState reading) {
+    private static String describeFault(TableReadState reading) {
         if (reading.phase() == TableReadState.Phase.STUCK) {
-            return "the log lacks records from " + reading.table().offset()
-                    + " on and holds no snapshot of them; a peer with a newer table helps";
+            return "the log no longer holds the records from " + reading.table().offset()
+                    + " on and has no snapshot that covers them; a peer with a newer table can supply them";
         }
         if (reading.isLogBehind()) {
-            return "the log ends at " + reading.bounds().next() + ", below the table in force at "
-                    + reading.table().offset() + "; it was set back";
+            return "the log ends at " + reading.bounds().next() + ", below the offset of the table in force, "
+                    + reading.table().offset() + "; it was reset to an earlier state";
         }
         return "";
     }
 
-    private void setTrouble(String now) {
-        boolean changed = trouble.isEmpty() != now.isEmpty();
-        trouble = now;
+    private void setLogFault(String newFault) {
+        boolean changed = logFault.isEmpty() != newFault.isEmpty();
+        logFault = newFault;
         if (changed) {
             LOG.log(
-                    now.isEmpty() ? System.Logger.Level.INFO : System.Logger.Level.WARNING,
-                    now.isEmpty()
-                            ? "table: the log is followed again; offset="
+                    newFault.isEmpty() ? System.Logger.Level.INFO : System.Logger.Level.WARNING,
+                    newFault.isEmpty()
+                            ? "table: the log can be followed again; offset="
                                     + reading.table().offset()
-                            : "table: the table in force stays as it is; offset="
-                                    + keeper.folded().offset() + " why=" + now);
+                            : "table: the log cannot be followed, the table in force is kept; offset="
+                                    + keeper.folded().offset() + " why=" + newFault);
         }
     }
 
-    private void pause() {
+    private void backOff() {
         try {
-            Thread.sleep(pauseMillis);
-            pauseMillis = Math.min(MAX_PAUSE_MILLIS, pauseMillis * 2);
+            Thread.sleep(backoffMillis);
+            backoffMillis = Math.min(MAX_BACKOFF_MILLIS, backoffMillis * 2);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             running = false;
--- a/daemon/src/main/java/org/cornelramp/daemon/table/TableKeeper.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/table/TableKeeper.java
@@ -10,10 +10,10 @@
 import org.cornelramp.core.table.TableSnapshotCodec;
 
 /**
- * Holds the table in force. Whoever brings a table, the log's follower or a peer, it is taken only if its offset is
- * higher, so that a slow peer or a restored log cannot take an accepted edit back.
+ * Holds the table in force. A new table, from the log or from a peer, replaces it only if its offset is higher, so that
+ * a slow peer or a restored log cannot undo an accepted edit.
  *
- * <p>Safe for use by any thread: readers see one immutable table, writers take turns.
+ * <p>Safe for use by any thread: readers see one immutable table, and writers are synchronised.
  */
 public final class TableKeeper implements TableSource {
     private static final System.Logger LOG = System.getLogger(TableKeeper.class.getName());
@@ -23,18 +23,21 @@
     private final List<Consumer<Table>> listeners = new CopyOnWriteArrayList<>();
     private volatile FoldedTable table = FoldedTable.empty();
     private volatile boolean ready;
-    private volatile Packed packed = new Packed(FoldedTable.empty(), new byte[0]);
+    private volatile EncodedTable encoded = new EncodedTable(FoldedTable.empty(), new byte[0]);
 
-    /** A table with its bytes, so that many peers that ask cost one packing. */
-    private record Packed(FoldedTable table, byte[] bytes) {}
+    /** A table and its encoded snapshot, cached so that it is encoded once for any number of peers. */
+    private record EncodedTable(FoldedTable table, byte[] bytes) {}
 
-    /** The table in force, with what the fold needs besides. */
+    /** Returns the table in force, with the state that folding further records needs. */
     public FoldedTable folded() {
         return table;
     }
 
-    /** Takes a table if its offset is higher, or if none was known yet; false if it was not taken. */
-    public synchronized boolean take(FoldedTable newer) {
+    /**
+     * Replaces the table in force if the new offset is higher, or at the same offset if no table was known yet; returns
+     * false if the table was not replaced.
+     */
+    public synchronized boolean replaceIfNewer(FoldedTable newer) {
         if (newer.offset() < table.offset() || (ready && newer.offset() == table.offset())) {
             return false;
         }
@@ -45,7 +48,7 @@
         return true;
     }
 
-    /** Waits until the table in force covers an offset, and gives the table in force then or at the limit. */
+    /** Waits until the table in force covers an offset or the time limit passes, and returns the table in force. */
     public synchronized FoldedTable await(long offset, Duration limit) throws InterruptedException {
         long end = System.nanoTime() + limit.toNanos();
         while (table.offset() < offset) {
@@ -58,7 +61,7 @@
         return table;
     }
 
-    /** Whether a table of the same offset is in force and is another one. */
+    /** Whether the table in force has the same offset as {@code other} and a different content. */
     boolean differsFrom(FoldedTable other) {
         FoldedTable now = table;
         return ready && now.offset() == other.offset() && !now.equals(other);
@@ -76,11 +79,11 @@
 
     @Override
     public byte[] snapshot() {
-        Packed last = packed;
+        EncodedTable last = encoded;
         FoldedTable now = table;
         if (last.table().offset() != now.offset() || last.bytes().length == 0) {
-            last = new Packed(now, TableSnapshotCodec.write(now));
-            packed = last;
+            last = new EncodedTable(now, TableSnapshotCodec.write(now));
+            encoded = last;
         }
         return last.bytes();
     }
@@ -91,16 +94,18 @@
     }
 
     @Override
-    public boolean takeSnapshot(long offset, byte[] snapshot) {
+    public boolean applySnapshot(long offset, byte[] snapshot) {
         if (ready && offset <= table.offset()) {
             return false;
         }
         Either<String, FoldedTable> read = TableSnapshotCodec.read(table, snapshot);
         if (read.isLeft()) {
-            LOG.log(System.Logger.Level.WARNING, "table: a peer's table was refused; why=" + read.getLeft());
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "table: a peer's table could not be decoded and is ignored; why=" + read.getLeft());
             return false;
         }
-        return take(read.get());
+        return replaceIfNewer(read.get());
     }
 
     @Override
--- a/daemon/src/main/java/org/cornelramp/daemon/table/TableMeters.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/table/TableMeters.java
@@ -4,7 +4,7 @@
 import io.micrometer.core.instrument.Gauge;
 import io.micrometer.core.instrument.MeterRegistry;
 
-/** The meters of the table. Safe for use by any thread. */
+/** Meters of the table in force and of its log. Safe for use by any thread. */
 final class TableMeters {
     private final Counter readFailures;
     private final Counter divergences;
@@ -27,7 +27,7 @@
         readFailures.increment();
     }
 
-    void diverged() {
+    void divergenceDetected() {
         divergences.increment();
     }
 
--- a/daemon/src/main/java/org/cornelramp/daemon/table/TablePlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/table/TablePlugin.java
@@ -7,10 +7,10 @@
 import org.cornelramp.daemon.http.Readiness;
 import org.cornelramp.daemon.kernel.Plugin;
 import org.cornelramp.daemon.kernel.Registry;
-import org.cornelramp.daemon.report.StatusBoard;
+import org.cornelramp.daemon.report.StatusSections;
 import org.cornelramp.ports.LogClient;
 
-/** Shares the table in force: an entry follows it on the log, an agent takes what entries relay. Stateless. */
+/** Shares the table in force: an entry reads it from the log, an agent receives it from entries. Stateless. */
 public final class TablePlugin implements Plugin {
 
     @Override
@@ -34,26 +34,26 @@
         TableMeters meters = new TableMeters(registry.meters(), keeper);
         registry.share(TableSource.class, keeper);
         registry.share(TableKeeper.class, keeper);
-        Supplier<String> trouble = registry.settings().role() == Role.ENTRY
+        Supplier<String> logFault = registry.settings().role() == Role.ENTRY
                 ? follow(registry, keeper, meters)
                 : () -> "no entry has sent one yet";
-        registry.need(Readiness.class).add("table", () -> keeper.isReady() ? Optional.empty() : fault(trouble.get()));
+        registry.require(Readiness.class).add("table", () -> keeper.isReady() ? Optional.empty() : fault(logFault.get()));
     }
 
     private static Supplier<String> follow(Registry registry, TableKeeper keeper, TableMeters meters) {
         TableFollower follower = new TableFollower(
-                registry.need(LogClient.class),
+                registry.require(LogClient.class),
                 keeper,
                 meters,
                 registry.clock(),
                 registry.settings().name(),
                 Duration.ofMillis(registry.settings().timing().snapshotMillis()));
-        registry.need(StatusBoard.class).add("log", follower::status);
+        registry.require(StatusSections.class).add("log", follower::status);
         registry.add(follower);
-        return follower::trouble;
+        return follower::logFault;
     }
 
-    private static Optional<String> fault(String trouble) {
-        return Optional.of("No table is known yet, neither from the log nor from a peer; why=" + trouble);
+    private static Optional<String> fault(String logFault) {
+        return Optional.of("No table has been received yet, neither from the log nor from a peer; why=" + logFault);
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/table/package-info.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/table/package-info.java
@@ -1,2 +1,2 @@
-/** The table in force at this process: followed from the log at an entry, relayed by entries to an agent. */
+/** The table in force at this process: an entry reads it from the log, an agent receives it from entries. */
 package org.cornelramp.daemon.table;
--- a/daemon/src/test/java/org/cornelramp/daemon/SecondSignalTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/SecondSignalTest.java
@@ -29,20 +29,23 @@
 import org.testng.annotations.Test;
 
 /**
- * A stop signal comes while work is in progress that will not end. The process waits for it; an operator who sends
- * the signal again ends the wait at once, and so does the limit. Both are told by the exit code, and all parts are
- * stopped either way. Without work in progress the first signal is enough.
+ * Guards against a planned stop that hangs on work that does not end: a second stop signal and the drain limit both end
+ * the drain, the exit code reports the aborted work, and all components are stopped. Without work in progress the first
+ * signal is enough.
  */
 public class SecondSignalTest {
-    private static final long FOREVER_MILLIS = 3_600_000;
+    private static final long NO_LIMIT_MILLIS = 3_600_000;
 
-    /** A part whose work ends or not, and which sends the second signal once the drain has begun, if it is to. */
-    private static final class Work implements Component {
+    /**
+     * A component whose work ends or not, and which runs {@link #onDrain} when the drain starts, for example to send
+     * the second signal.
+     */
+    private static final class StubWork implements Component {
         private final boolean ends;
         private Runnable onDrain = () -> {};
         private boolean stopped;
 
-        Work(boolean ends) {
+        StubWork(boolean ends) {
             this.ends = ends;
         }
 
@@ -70,7 +73,7 @@
         }
     }
 
-    /** Adds the part that the registry holds for it. */
+    /** Adds the component that the test has shared in the registry. */
     public static final class WorkPlugin implements Plugin {
         @Override
         public String name() {
@@ -89,15 +92,15 @@
 
         @Override
         public void register(Registry registry) {
-            registry.add(registry.need(Component.class));
+            registry.add(registry.require(Component.class));
         }
     }
 
-    /** Lets the kernel find the plug-in of this test alone. */
-    private static final class OnePlugin extends ClassLoader {
+    /** Makes {@link WorkPlugin} the only plug-in that the kernel finds. */
+    private static final class SinglePluginClassLoader extends ClassLoader {
         private final URL services;
 
-        OnePlugin(ClassLoader parent) throws IOException {
+        SinglePluginClassLoader(ClassLoader parent) throws IOException {
             super(parent);
             Path file = Files.createTempFile("plugins", "");
             file.toFile().deleteOnExit();
@@ -111,7 +114,7 @@
         }
     }
 
-    private static ExitCode stop(Work work, long drainMillis, boolean again) throws Exception {
+    private static ExitCode stop(StubWork work, long drainMillis, boolean again) throws Exception {
         DaemonSettings settings = new DaemonSettings(
                 Role.ENTRY,
                 "entry-1",
@@ -127,38 +130,39 @@
         registry.share(Component.class, work);
         Kernel kernel = new Kernel(registry, Clock.systemUTC());
         ClassLoader before = Thread.currentThread().getContextClassLoader();
-        Thread.currentThread().setContextClassLoader(new OnePlugin(before));
+        Thread.currentThread().setContextClassLoader(new SinglePluginClassLoader(before));
         try {
             kernel.start();
         } finally {
             Thread.currentThread().setContextClassLoader(before);
         }
         PlannedStop stop = new PlannedStop(kernel, Clock.systemUTC(), drainMillis);
-        work.onDrain = again ? stop::signalled : () -> {};
-        stop.signalled();
+        work.onDrain = again ? stop::onStopSignal : () -> {};
+        stop.onStopSignal();
         ExitCode code = stop.awaitAndRun();
-        Thread.interrupted(); // a signal that found nothing to end stays with the thread, which other tests use
+        // A signal that interrupted nothing leaves the interrupt flag set on this thread, which other tests use.
+        Thread.interrupted();
         assertTrue(work.stopped);
         return code;
     }
 
     @Test
-    public void workThatEndsIsWaitedForAndNothingIsCut() throws Exception {
-        assertEquals(stop(new Work(true), FOREVER_MILLIS, false), ExitCode.STOPPED);
+    public void stopCompletesWhenWorkEnds() throws Exception {
+        assertEquals(stop(new StubWork(true), NO_LIMIT_MILLIS, false), ExitCode.STOPPED);
     }
 
     @Test
-    public void theSecondSignalEndsTheWait() throws Exception {
-        assertEquals(stop(new Work(false), FOREVER_MILLIS, true), ExitCode.CUT);
+    public void secondSignalEndsDrain() throws Exception {
+        assertEquals(stop(new StubWork(false), NO_LIMIT_MILLIS, true), ExitCode.WORK_ABORTED);
     }
 
     @Test
-    public void theLimitEndsTheWait() throws Exception {
-        assertEquals(stop(new Work(false), 1, false), ExitCode.CUT);
+    public void drainLimitEndsDrain() throws Exception {
+        assertEquals(stop(new StubWork(false), 1, false), ExitCode.WORK_ABORTED);
     }
 
     @Test
-    public void aSecondSignalWithNothingInProgressCutsNothing() throws Exception {
-        assertEquals(stop(new Work(true), FOREVER_MILLIS, true), ExitCode.STOPPED);
+    public void secondSignalWithoutWorkInProgressAbortsNothing() throws Exception {
+        assertEquals(stop(new StubWork(true), NO_LIMIT_MILLIS, true), ExitCode.STOPPED);
     }
 }
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/AgentHarness.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/AgentHarness.java
@@ -12,41 +12,41 @@
 import org.cornelramp.core.settings.HostPort;
 import org.cornelramp.wire.message.Message;
 
-/** An agent without threads, whose time is set by the test. Confined to one thread. */
+/** Runs an agent without threads, with a clock controlled by the test. Confined to one thread. */
 final class AgentHarness {
-    final Incarnation life = new Incarnation(new BackendServerId("gpu-1"), 1);
+    final Incarnation incarnation = new Incarnation(new BackendServerId("gpu-1"), 1);
     final FakeEngine engine = new FakeEngine(0, 6, 6);
     final FakeService service = new FakeService();
     final FakeTables tables = new FakeTables(0);
     final FakeLog log = new FakeLog();
     final Agent agent;
-    int beats;
+    int extraHeartbeats;
     private final Queue<AgentEvent> events = new ArrayDeque<>();
     private Moment now = new Moment(1_000_000_000L, Instant.parse("2026-01-01T00:00:00Z"));
 
     AgentHarness(BackendKind kind) {
         DaemonSettings settings = TestAgent.settings("gpu-1", kind, new HostPort("127.0.0.1", 0));
         AgentServices services = new AgentServices(
-                settings, null, life, engine, service, tables, log, () -> {}, key -> Optional.of(minted(key)));
-        Completions completions = new Completions(events::add);
-        CrashSuspects suspects = new CrashSuspects(life);
+                settings, null, incarnation, engine, service, tables, log, () -> {}, key -> Optional.of(minted(key)));
+        CompletionDispatcher completions = new CompletionDispatcher(events::add);
+        CrashSuspects suspects = new CrashSuspects(incarnation);
         OutputSender sender =
                 new OutputSender(new NoNeighbours(), settings.timing().heartbeatMillis());
-        EngineStepper stepper = new EngineStepper(settings, engine, completions, this::now, suspects);
+        StepBatcher batcher = new StepBatcher(settings, engine, completions, this::now, suspects);
         agent = new Agent(new AgentParts(
                 settings,
                 this::now,
                 completions,
                 new CallHandler(services, completions, this::now, suspects),
-                new StageHandler(settings, engine, completions, stepper, sender),
-                stepper,
+                new StageHandler(settings, engine, completions, batcher, sender),
+                batcher,
                 sender,
                 tables,
                 kind == BackendKind.ENGINE ? engine::offer : service::offer,
-                () -> beats++,
+                () -> extraHeartbeats++,
                 suspects,
                 () -> {},
-                new SettlementWriter(life, log, completions),
+                new SettlementWriter(incarnation, log, completions),
                 new OrderHandler(engine, log, completions)));
         tick();
     }
@@ -59,37 +59,37 @@
         return now;
     }
 
-    /** Lets time pass without the agent noticing, as while its process is stopped. */
-    void pause(Duration time) {
+    /** Advances the clock without a tick, as if the agent's process were paused. */
+    void advanceClock(Duration time) {
         now = new Moment(now.nanos() + time.toNanos(), now.instant().plus(time));
     }
 
-    /** Handles a message and all that follows from it. */
+    /** Delivers a message and processes all events that result from it. */
     void receive(FakeLink link, Message message) {
-        agent.handle(new AgentEvent.Received(link, message));
-        run();
+        agent.handle(new AgentEvent.MessageReceived(link, message));
+        processEvents();
     }
 
     FakeLink entry(String name) {
         FakeLink link = new FakeLink(name, true);
-        agent.handle(new AgentEvent.Opened(link));
-        run();
+        agent.handle(new AgentEvent.LinkOpened(link));
+        processEvents();
         return link;
     }
 
     void tick() {
         agent.tick();
-        run();
+        processEvents();
     }
 
-    /** Handles what waits. */
-    void run() {
+    /** Processes all pending events. */
+    void processEvents() {
         while (!events.isEmpty()) {
             agent.handle(events.remove());
         }
     }
 
-    private static final class NoNeighbours implements OutputSender.Neighbours {
+    private static final class NoNeighbours implements OutputSender.NeighbourLinks {
         @Override
         public void keep(HostPort address) {}
 
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/BackendDeathTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/BackendFailureTest.java
@@ -18,17 +18,17 @@
 import org.testng.annotations.Test;
 
 /**
- * The backend server beside an agent dies and starts anew. A booking that was at it has an outcome that nobody knows:
- * the desk is told so, and the same key never runs again. A session has lost its KV cache: the entry is told, and the
- * request goes on elsewhere. The requests that were at it are named, in case one of them was the cause.
+ * Guards against duplicate calls and stalled sessions after the agent's backend server crashes and restarts. A running
+ * call ends with an unknown outcome and its key never runs again. A session has lost its KV cache and is reported lost,
+ * so that it is rebuilt. The requests in progress are reported as possible causes of the crash.
  */
-public class BackendDeathTest {
+public class BackendFailureTest {
 
     @Test
     public void aBookingWhoseAnswerWasLostIsUnknownAndNeverRunsAgain() throws Exception {
         try (TestAgent agent = TestAgent.service("app-1");
                 TestEntry entry = new TestEntry("entry-1")) {
-            agent.service.answersAtOnce = false;
+            agent.service.answersImmediately = false;
             Link link = entry.link(agent);
             link.send(InvokeTest.booking(1, "key-1", agent.incarnation));
             TestEntry.await(() -> agent.service.replies.size() == 1);
@@ -36,7 +36,7 @@
             agent.service.life = "life-2";
 
             assertEquals(entry.next(InvokeResult.class).outcome(), Outcome.UNKNOWN);
-            TestEntry.await(() -> entry.beat(agent).crashed().stream()
+            TestEntry.await(() -> entry.lastHeartbeat(agent).crashed().stream()
                     .anyMatch(text -> CrashReport.parse(text).suspects().equals(Set.of("fingerprint"))));
             link.send(InvokeTest.booking(2, "key-1", agent.incarnation));
             assertEquals(entry.next(InvokeResult.class).outcome(), Outcome.UNKNOWN);
@@ -48,7 +48,7 @@
     public void aBookingThatWasNotSentNeverRunsUnderItsKey() throws Exception {
         try (TestAgent agent = TestAgent.service("app-1");
                 TestEntry entry = new TestEntry("entry-1")) {
-            agent.service.answersAtOnce = false;
+            agent.service.answersImmediately = false;
             Link link = entry.link(agent);
             link.send(InvokeTest.booking(1, "key-1", agent.incarnation));
             TestEntry.await(() -> agent.service.replies.size() == 1);
@@ -65,10 +65,10 @@
     }
 
     @Test
-    public void aSilentServiceThatStartedAnewLeavesItsCallsUnknown() throws Exception {
+    public void callsAtAServiceThatRestartedAreUnknown() throws Exception {
         try (TestAgent agent = TestAgent.service("app-1");
                 TestEntry entry = new TestEntry("entry-1")) {
-            agent.service.answersAtOnce = false;
+            agent.service.answersImmediately = false;
             Link link = entry.link(agent);
             link.send(InvokeTest.booking(1, "key-1", agent.incarnation));
             TestEntry.await(() -> agent.service.replies.size() == 1);
@@ -82,7 +82,7 @@
     }
 
     @Test
-    public void anEngineThatStartedAnewGivesUpItsSessions() throws Exception {
+    public void anEngineRestartDropsItsSessions() throws Exception {
         try (TestAgent a = TestAgent.engine("gpu-a", 0, 3, 6);
                 TestAgent b = TestAgent.engine("gpu-b", 3, 6, 6);
                 TestEntry entry = new TestEntry("entry-1")) {
@@ -94,7 +94,7 @@
             assertEquals(lost.stage(), 1);
             pipeline.start(List.of(a, b));
             pipeline.collect(400);
-            assertEquals(pipeline.tokens().subList(0, 400), TestPipeline.undisturbed(new long[] {4, 5}, 400, 6));
+            assertEquals(pipeline.tokens().subList(0, 400), TestPipeline.expectedTokens(new long[] {4, 5}, 400, 6));
         }
     }
 
@@ -104,14 +104,14 @@
                 TestEntry entry = new TestEntry("entry-1")) {
             entry.link(a);
             a.engine.setDown(true);
-            TestEntry.await(() -> entry.beat(a).state() == AgentState.BACKEND_DOWN);
+            TestEntry.await(() -> entry.lastHeartbeat(a).state() == AgentState.BACKEND_DOWN);
             a.engine.setDown(false);
-            TestEntry.await(() -> entry.beat(a).state() == AgentState.ACTIVE);
-            assertTrue(entry.beat(a).crashed().isEmpty());
+            TestEntry.await(() -> entry.lastHeartbeat(a).state() == AgentState.ACTIVE);
+            assertTrue(entry.lastHeartbeat(a).crashed().isEmpty());
         }
     }
 
     private static PlatformException failure(PlatformException.Kind kind) {
-        return new PlatformException(kind, "as the test says", 0);
+        return new PlatformException(kind, "failure injected by the test", 0);
     }
 }
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/CutNeighbourLinkTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/CutNeighbourLinkTest.java
@@ -9,9 +9,9 @@
 import org.testng.annotations.Test;
 
 /**
- * The connection between the agents of two stages is cut in the middle of a request, three times, with steps on it.
- * The caller sees a short pause. The agent of the first stage connects again and sends again from what it kept; no
- * stage is given up, no layer runs twice, and the epoch stays the same.
+ * Guards against lost or repeated steps when the connection between the agents of two stages is cut three times during
+ * a request, with steps in flight. The agent of the first stage reconnects and sends again from its kept outputs. No
+ * stage is reported lost, no layer runs a position twice, and the epoch stays the same.
  */
 public class CutNeighbourLinkTest {
     private static final long[] PROMPT = {5, 6, 7, 8};
@@ -21,15 +21,16 @@
     public void stepsOnACutLinkAreSentAgainUnderTheSameEpoch() throws Exception {
         try (TestAgent a = TestAgent.engine("gpu-a", 0, 3, 6);
                 TestAgent b = TestAgent.engine("gpu-b", 3, 6, 6);
-                Relay relay = new Relay(b.address());
+                TcpProxy relay = new TcpProxy(b.address());
                 TestEntry entry = new TestEntry("entry-1")) {
             TestPipeline pipeline = new TestPipeline(entry, PROMPT, TOKENS);
-            pipeline.reachAt(b, relay.address());
+            pipeline.overrideAddress(b, relay.address());
             pipeline.start(List.of(a, b));
             for (int cut = 1; cut <= 3; cut++) {
                 pipeline.collect(cut * 50);
                 relay.cut();
-                // The stages run ahead of what is collected: without a new connection the next cut would cut nothing.
+                // The stages run ahead of the collected tokens: without a new connection the next cut would have no
+                // effect.
                 int wanted = cut + 1;
                 TestEntry.await(() -> relay.accepted() >= wanted);
             }
@@ -39,8 +40,8 @@
             assertEquals(pipeline.epoch(), 1);
             assertEquals(
                     pipeline.tokens().subList(0, 400),
-                    TestPipeline.undisturbed(PROMPT, TOKENS, 6).subList(0, 400));
-            assertTrue(entry.drain().stream().noneMatch(StageLost.class::isInstance));
+                    TestPipeline.expectedTokens(PROMPT, TOKENS, 6).subList(0, 400));
+            assertTrue(entry.takeMessages().stream().noneMatch(StageLost.class::isInstance));
             for (TestAgent agent : List.of(a, b)) {
                 List<String> trace = agent.engine.trace();
                 assertEquals(new HashSet<>(trace).size(), trace.size());
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/FakeEngine.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/FakeEngine.java
@@ -20,7 +20,7 @@
 import org.cornelramp.ports.PlatformException;
 
 /**
- * An engine in memory: the output of a layer depends on its input and on all earlier positions, so a step that is
+ * An in-memory engine. The output of a layer depends on its input and on all earlier positions, so a step that is
  * skipped, repeated or out of order changes the tokens. Safe for use by any thread.
  */
 final class FakeEngine implements EngineClient {
@@ -34,27 +34,27 @@
     private String life = "life-1";
     private boolean down;
     private boolean silent;
-    private CompletableFuture<EngineStepResults> late;
-    private List<EngineStep> lateSteps;
+    private CompletableFuture<EngineStepResults> unansweredReply;
+    private List<EngineStep> unansweredSteps;
 
     FakeEngine(int from, int to, int total) {
         layers = new LayerRange(from, to, total);
     }
 
-    /** Ends this life of the engine; another begins with an empty cache. */
+    /** Restarts the engine with a new incarnation and an empty cache. */
     synchronized void restart() {
         life = life + "+";
         states.clear();
         positions.clear();
     }
 
-    synchronized void setDown(boolean now) {
-        down = now;
+    synchronized void setDown(boolean value) {
+        down = value;
     }
 
-    /** Leaves steps without an answer. */
-    synchronized void setSilent(boolean now) {
-        silent = now;
+    /** Sets whether batches of steps stay unanswered. */
+    synchronized void setSilent(boolean value) {
+        silent = value;
     }
 
     @Override
@@ -76,16 +76,16 @@
             return refused();
         }
         if (silent) {
-            late = new CompletableFuture<>();
-            lateSteps = steps;
-            return late;
+            unansweredReply = new CompletableFuture<>();
+            unansweredSteps = steps;
+            return unansweredReply;
         }
         return CompletableFuture.completedFuture(runAll(steps));
     }
 
-    /** Answers the batch that stayed without an answer. */
+    /** Answers the last unanswered batch. */
     synchronized void answerLate() {
-        late.complete(runAll(lateSteps));
+        unansweredReply.complete(runAll(unansweredSteps));
     }
 
     private EngineStepResults runAll(List<EngineStep> steps) {
@@ -109,14 +109,14 @@
         long[] state = states.computeIfAbsent(step.session(), s -> new long[layers.to() - layers.from()]);
         long[] outputs = new long[step.inputs().length];
         for (int i = 0; i < outputs.length; i++) {
-            outputs[i] = pass(state, step.inputs()[i]);
+            outputs[i] = applyLayers(state, step.inputs()[i]);
             trace.add(step.session() + " " + (step.position() + i));
         }
         positions.put(step.session(), next + outputs.length);
         return new EngineStepResult(step.session(), Optional.of(outputs), Optional.empty());
     }
 
-    private long pass(long[] state, long input) {
+    private long applyLayers(long[] state, long input) {
         long value = input;
         for (int i = 0; i < state.length; i++) {
             state[i] = state[i] * 31 + value * 17 + layers.from() + i + 1;
@@ -158,7 +158,7 @@
         return CompletableFuture.completedFuture(new CacheEvents(from, List.of()));
     }
 
-    /** Positions that ran, in order. */
+    /** The sessions and positions that ran, in order. */
     synchronized List<String> trace() {
         return List.copyOf(trace);
     }
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/FakeLink.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/FakeLink.java
@@ -11,7 +11,7 @@
 import org.cornelramp.wire.message.Hello;
 import org.cornelramp.wire.message.Message;
 
-/** A link that remembers what was sent on it. Confined to one thread. */
+/** A link that records the messages sent on it. Confined to one thread. */
 final class FakeLink implements Link {
     final List<Message> sent = new ArrayList<>();
     private final Hello peer;
@@ -27,7 +27,7 @@
                 "");
     }
 
-    /** The last message of a type. */
+    /** Returns the last sent message of a type. */
     <T extends Message> T last(Class<T> type) {
         for (int i = sent.size() - 1; i >= 0; i--) {
             if (type.isInstance(sent.get(i))) {
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public Optional<HostPort> kept() {
+    public Optional<HostPort> dialledAddress() {
         return Optional.empty();
     }
 
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/FakeLog.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/FakeLog.java
@@ -14,9 +14,9 @@
 import org.cornelramp.ports.LogStream;
 import org.cornelramp.ports.PlatformException;
 
-/** A log in memory with outages and lost answers. Safe for use by any thread. */
+/** An in-memory log with simulated outages and lost answers. Safe for use by any thread. */
 final class FakeLog implements LogClient {
-    /** What becomes of the next appends. */
+    /** How the next append fails: refused, or its answer lost before or after it took effect. */
     enum Fault {
         REFUSED,
         LOST_BEFORE,
@@ -31,8 +31,8 @@
         faults.add(fault);
     }
 
-    synchronized void setDown(boolean now) {
-        down = now;
+    synchronized void setDown(boolean value) {
+        down = value;
     }
 
     synchronized List<LogRecord> records(LogStream stream) {
@@ -80,6 +80,6 @@
     }
 
     private static <T> CompletableFuture<T> failed(PlatformException.Kind kind) {
-        return CompletableFuture.failedFuture(new PlatformException(kind, "as the test says", 0));
+        return CompletableFuture.failedFuture(new PlatformException(kind, "failure injected by the test", 0));
     }
 }
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/FakeService.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/FakeService.java
@@ -11,11 +11,11 @@
 import org.cornelramp.ports.ServiceClient;
 import org.cornelramp.ports.ServiceReply;
 
-/** A plain service whose calls end when the test says so. Safe for use by any thread. */
+/** A plain service whose calls complete immediately or when the test completes them. Safe for use by any thread. */
 final class FakeService implements ServiceClient {
     final List<ServiceCall> calls = new CopyOnWriteArrayList<>();
     final List<CompletableFuture<ServiceReply>> replies = new CopyOnWriteArrayList<>();
-    volatile boolean answersAtOnce = true;
+    volatile boolean answersImmediately = true;
     volatile String life = "life-1";
     volatile int slots = 2;
 
@@ -33,7 +33,7 @@
         CompletableFuture<ServiceReply> reply = new CompletableFuture<>();
         calls.add(call);
         replies.add(reply);
-        if (answersAtOnce) {
+        if (answersImmediately) {
             reply.complete(reply("booked " + calls.size()));
         }
         return reply;
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/FakeTables.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/FakeTables.java
@@ -11,7 +11,7 @@
 import org.cornelramp.core.table.Table;
 import org.cornelramp.daemon.table.TableSource;
 
-/** A table source that holds an offset and bytes. Safe for use by any thread. */
+/** A table source with an offset, snapshot bytes and no rows. Safe for use by any thread. */
 final class FakeTables implements TableSource {
     private volatile long offset;
     private volatile byte[] bytes = new byte[0];
@@ -22,7 +22,7 @@
 
     @Override
     public Table current() {
-        return new Empty(offset);
+        return new EmptyTable(offset);
     }
 
     @Override
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public synchronized boolean takeSnapshot(long newOffset, byte[] snapshot) {
+    public synchronized boolean applySnapshot(long newOffset, byte[] snapshot) {
         if (newOffset <= offset) {
             return false;
         }
@@ -53,7 +53,7 @@
     @Override
     public void onChange(Consumer<Table> listener) {}
 
-    private record Empty(long offset) implements Table {
+    private record EmptyTable(long offset) implements Table {
         @Override
         public Optional<Row> row(RowKey key) {
             return Optional.empty();
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/InvokeTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/InvokeTest.java
@@ -12,7 +12,7 @@
 import org.cornelramp.wire.message.InvokeResult;
 import org.testng.annotations.Test;
 
-/** A call under a key runs once, and a repeat of it is answered from the agent's record. */
+/** A call under a key runs once, and a repeat is answered from the agent's ledger. */
 public class InvokeTest {
 
     @Test
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/PausedAgentTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/PausedAgentTest.java
@@ -20,60 +20,60 @@
 import org.testng.annotations.Test;
 
 /**
- * An agent is stopped for ten minutes, longer than any timeout, and wakes believing that no time has passed. Entries
- * have given up its links and its sessions. It holds no lease that somebody took over: a booking that had not started
- * is past its deadline and never starts, one that ran is answered from its record, and a session that went on
- * elsewhere under a new epoch is dropped here.
+ * Guards against outdated work after the agent's process was paused for ten minutes, longer than any timeout. Entries
+ * have closed its links and moved its sessions. The agent relies on no lease: a call that had not started is past its
+ * deadline and never starts, a call that ran is answered from the ledger, and a session that was continued elsewhere
+ * under a new epoch is dropped.
  */
 public class PausedAgentTest {
-    private static final Duration LONG = Duration.ofMinutes(10);
+    private static final Duration PAUSE = Duration.ofMinutes(10);
 
     @Test
     public void aBookingThatHadNotStartedNeverStarts() {
         AgentHarness harness = new AgentHarness(BackendKind.SERVICE);
         harness.service.slots = 1;
-        harness.service.answersAtOnce = false;
-        harness.pause(Duration.ofSeconds(1));
+        harness.service.answersImmediately = false;
+        harness.advanceClock(Duration.ofSeconds(1));
         harness.tick();
         FakeLink before = harness.entry("entry-1");
-        harness.receive(before, InvokeTest.booking(1, "a", harness.life));
-        harness.receive(before, InvokeTest.booking(2, "bb", harness.life));
+        harness.receive(before, InvokeTest.booking(1, "a", harness.incarnation));
+        harness.receive(before, InvokeTest.booking(2, "bb", harness.incarnation));
         assertEquals(harness.service.calls.size(), 1);
 
-        harness.pause(LONG);
-        before.close("the entry gave the link up");
+        harness.advanceClock(PAUSE);
+        before.close("the entry closed the link");
         harness.service.replies.get(0).complete(FakeService.reply("booked"));
-        harness.run();
+        harness.processEvents();
         FakeLink after = harness.entry("entry-1");
-        harness.receive(after, new Settle(3, "a", harness.life, true));
+        harness.receive(after, new Settle(3, "a", harness.incarnation, true));
         assertEquals(after.last(InvokeResult.class).outcome(), Outcome.ANSWERED);
-        harness.receive(after, new Settle(4, "bb", harness.life, true));
+        harness.receive(after, new Settle(4, "bb", harness.incarnation, true));
         assertEquals(after.last(InvokeResult.class).outcome(), Outcome.NOT_RUN);
 
-        harness.receive(after, InvokeTest.booking(5, "bb", harness.life));
+        harness.receive(after, InvokeTest.booking(5, "bb", harness.incarnation));
         assertEquals(after.last(InvokeResult.class).kind(), Optional.of(ProblemKind.KEY_SPENT));
         harness.tick();
         assertEquals(harness.service.calls.size(), 1);
     }
 
-    /** The window passed as well: the record of the key may be forgotten, and its age alone keeps it from running. */
+    /** After the key window the ledger may have removed the key; its age alone then prevents a second run. */
     @Test
     public void aBookingOlderThanTheWindowNeverRunsAgain() {
         AgentHarness harness = new AgentHarness(BackendKind.SERVICE);
-        harness.pause(Duration.ofSeconds(1));
+        harness.advanceClock(Duration.ofSeconds(1));
         harness.tick();
         FakeLink before = harness.entry("entry-1");
-        harness.receive(before, InvokeTest.booking(1, "a", harness.life));
-        harness.pause(Duration.ofHours(2));
+        harness.receive(before, InvokeTest.booking(1, "a", harness.incarnation));
+        harness.advanceClock(Duration.ofHours(2));
         harness.tick();
         FakeLink after = harness.entry("entry-1");
-        harness.receive(after, InvokeTest.booking(2, "a", harness.life));
+        harness.receive(after, InvokeTest.booking(2, "a", harness.incarnation));
         assertEquals(after.last(InvokeResult.class).kind(), Optional.of(ProblemKind.KEY_EXPIRED));
         assertEquals(harness.service.calls.size(), 1);
     }
 
     @Test
-    public void aSessionThatWentOnElsewhereIsDropped() {
+    public void aSessionContinuedElsewhereIsDropped() {
         AgentHarness harness = new AgentHarness(BackendKind.ENGINE);
         FakeLink before = harness.entry("entry-1");
         harness.receive(before, open(harness));
@@ -82,8 +82,8 @@
         assertEquals(before.last(Token.class).epoch(), 1);
         int ran = harness.engine.trace().size();
 
-        harness.pause(LONG);
-        before.close("the entry gave the link up");
+        harness.advanceClock(PAUSE);
+        before.close("the entry closed the link");
         harness.tick();
         FakeLink after = harness.entry("entry-1");
         harness.receive(after, new Step(7, 1, 2, new long[] {9}));
@@ -92,11 +92,11 @@
     }
 
     @Test
-    public void aBackendServerThatAnsweredAllTheTimeIsNotTakenForDead() {
+    public void aPauseOfTheAgentDoesNotMarkTheBackendServerDown() {
         AgentHarness harness = new AgentHarness(BackendKind.ENGINE);
         FakeLink entry = harness.entry("entry-1");
         harness.receive(entry, open(harness));
-        harness.pause(Duration.ofSeconds(3));
+        harness.advanceClock(Duration.ofSeconds(3));
         harness.tick();
         assertEquals(harness.agent.heartbeat().state(), AgentState.ACTIVE);
         harness.receive(entry, new Step(7, 1, 0, new long[] {3, 4}));
@@ -112,7 +112,7 @@
                 new ServiceName("model"),
                 0,
                 List.of("127.0.0.1:1"),
-                List.of(harness.life),
+                List.of(harness.incarnation),
                 2,
                 3,
                 0,
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/PipelineTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/PipelineTest.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** A request runs over three agents; every layer runs once for each position, and the answer is whole. */
+/** A request runs on three agents: every layer runs each position once, and the answer is complete. */
 public class PipelineTest {
     private static final long[] PROMPT = {5, 6, 7, 8};
 
     @Test
-    public void threeStagesGiveTheTokensOfOneEngine() throws Exception {
+    public void threeStagesGenerateTheTokensOfOneEngine() throws Exception {
         try (TestAgent a = TestAgent.engine("gpu-a", 0, 2, 6);
                 TestAgent b = TestAgent.engine("gpu-b", 2, 4, 6);
                 TestAgent c = TestAgent.engine("gpu-c", 4, 6, 6);
@@ -20,7 +20,7 @@
             pipeline.start(List.of(a, b, c));
             pipeline.collect(20);
 
-            assertEquals(pipeline.tokens(), TestPipeline.undisturbed(PROMPT, 20, 6));
+            assertEquals(pipeline.tokens(), TestPipeline.expectedTokens(PROMPT, 20, 6));
             for (TestAgent agent : List.of(a, b, c)) {
                 List<String> trace = agent.engine.trace();
                 assertEquals(trace.size(), PROMPT.length + 19);
@@ -30,13 +30,13 @@
     }
 
     @Test
-    public void oneStageFeedsItself() throws Exception {
+    public void singleStageFeedsItsTokensToItself() throws Exception {
         try (TestAgent a = TestAgent.engine("gpu-a", 0, 6, 6);
                 TestEntry entry = new TestEntry("entry-1")) {
             TestPipeline pipeline = new TestPipeline(entry, PROMPT, 12);
             pipeline.start(List.of(a));
             pipeline.collect(12);
-            assertEquals(pipeline.tokens(), TestPipeline.undisturbed(PROMPT, 12, 6));
+            assertEquals(pipeline.tokens(), TestPipeline.expectedTokens(PROMPT, 12, 6));
         }
     }
 }
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/PlannedStopTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/PlannedStopTest.java
@@ -19,9 +19,9 @@
 import org.testng.annotations.Test;
 
 /**
- * An agent is stopped while a booking is at its service. The booking ends and its desk has the answer; a new booking
- * is told that it did not run; then what became of each key is on the log, though the log was down, refused and lost
- * answers before. Whoever asks for the key later, when the agent is gone, learns the same.
+ * Guards against lost results when an agent is stopped while a call is running. The running call completes and is
+ * answered; a new call is answered as not run. The result of each key is then written to the log, even after the log
+ * was down, refused an append and lost answers, so that it can be read when the agent is gone.
  */
 public class PlannedStopTest {
 
@@ -29,14 +29,14 @@
     public void finishesItsWorkAndSettlesEachKeyOnTheLog() throws Exception {
         try (TestAgent agent = TestAgent.service("app-1");
                 TestEntry entry = new TestEntry("entry-1")) {
-            agent.service.answersAtOnce = false;
+            agent.service.answersImmediately = false;
             agent.log.setDown(true);
             Link link = entry.link(agent);
             link.send(InvokeTest.booking(1, "key-1", agent.incarnation));
             TestEntry.await(() -> agent.service.replies.size() == 1);
 
             agent.component.drain(Instant.now().plusSeconds(60));
-            TestEntry.await(() -> entry.beat(agent).state() == AgentState.LEAVING);
+            TestEntry.await(() -> entry.lastHeartbeat(agent).state() == AgentState.LEAVING);
             link.send(InvokeTest.booking(2, "key-2", agent.incarnation));
             InvokeResult refused = entry.next(InvokeResult.class);
             assertEquals(refused.kind(), Optional.of(ProblemKind.LEAVING));
@@ -62,7 +62,7 @@
     }
 
     @Test
-    public void waitsForItsStreams() throws Exception {
+    public void waitsForRunningSessions() throws Exception {
         try (TestAgent a = TestAgent.engine("gpu-a", 0, 3, 6);
                 TestAgent b = TestAgent.engine("gpu-b", 3, 6, 6);
                 TestEntry entry = new TestEntry("entry-1")) {
@@ -71,7 +71,7 @@
             pipeline.collect(1);
             a.component.drain(Instant.now().plusSeconds(60));
             pipeline.collect(500);
-            assertEquals(pipeline.tokens(), TestPipeline.undisturbed(new long[] {4, 5}, 500, 6));
+            assertEquals(pipeline.tokens(), TestPipeline.expectedTokens(new long[] {4, 5}, 500, 6));
             assertFalse(a.component.isDrained());
             entry.link(b).send(new CloseStage(pipeline.session(), pipeline.epoch()));
             closeAt(entry, a, pipeline);
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/SilentEngineTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/SilentEngineTest.java
@@ -15,14 +15,14 @@
 import org.testng.annotations.Test;
 
 /**
- * The connection that carries a batch of steps goes silent for good, while new connections to the engine work. The
- * caller's stream would stand still until its deadline. The agent gives the batch up after a bounded time and tells
- * the entry, which goes on elsewhere; a late answer changes nothing.
+ * Guards against a stream that makes no progress until its deadline because the connection that carries a batch of
+ * steps no longer delivers data, while new connections to the engine work. The agent abandons the batch after a
+ * bounded time and reports the stage lost, so that the entry can rebuild it elsewhere; a late answer is ignored.
  */
 public class SilentEngineTest {
 
     @Test
-    public void aBatchThatIsNeverAnsweredIsGivenUp() {
+    public void anUnansweredBatchIsAbandonedAfterABoundedTime() {
         AgentHarness harness = new AgentHarness(BackendKind.ENGINE);
         FakeLink entry = harness.entry("entry-1");
         harness.receive(entry, open(harness));
@@ -31,17 +31,17 @@
 
         long millis = 0;
         while (entry.sent.stream().noneMatch(StageLost.class::isInstance)) {
-            harness.pause(Duration.ofMillis(50));
+            harness.advanceClock(Duration.ofMillis(50));
             harness.tick();
             millis += 50;
         }
         assertEquals(entry.last(StageLost.class).stage(), 0);
         assertEquals(harness.agent.heartbeat().state(), AgentState.ACTIVE);
-        assertEquals(millis <= 4 * TestAgent.TIMING.backendTimeoutMillis() + 50, true, "given up after " + millis);
+        assertEquals(millis <= 4 * TestAgent.TIMING.backendTimeoutMillis() + 50, true, "abandoned after " + millis);
 
         int sent = entry.sent.size();
         harness.engine.answerLate();
-        harness.run();
+        harness.processEvents();
         assertEquals(entry.sent.size(), sent);
     }
 
@@ -54,7 +54,7 @@
                 new ServiceName("model"),
                 0,
                 List.of("127.0.0.1:1"),
-                List.of(harness.life),
+                List.of(harness.incarnation),
                 2,
                 3,
                 0,
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/StageRebuildTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/StageRebuildTest.java
@@ -11,14 +11,14 @@
 import org.testng.annotations.Test;
 
 /**
- * One of three stages is lost in the middle of a request. The caller sees the tokens go on where they stopped, the
- * same as if nothing had happened: the replacement is rebuilt from what the stage before it kept, or starts from the
- * cache that a leaving stage handed over, and the stages beside it run nothing again.
+ * Guards against changed or missing tokens when one of three stages is lost during a request. The replacement is
+ * rebuilt from the kept outputs of the previous stage, or starts from the KV cache that the stage exported before it
+ * stopped. The other stages run no position again, and the tokens are the same as without the failure.
  */
 public class StageRebuildTest {
     private static final long[] PROMPT = {5, 6, 7, 8};
     private static final int TOKENS = 3_000;
-    private static final int SHOWN = 200;
+    private static final int CHECKED_TOKENS = 200;
 
     @Test
     public void aReplacementIsRebuiltFromKeptOutputs() throws Exception {
@@ -52,11 +52,11 @@
             }
             agents.get(lost).close();
             pipeline.replace(lost, spare, kv);
-            pipeline.collect(SHOWN);
+            pipeline.collect(CHECKED_TOKENS);
 
             assertEquals(
-                    pipeline.tokens().subList(0, SHOWN),
-                    TestPipeline.undisturbed(PROMPT, TOKENS, 6).subList(0, SHOWN));
+                    pipeline.tokens().subList(0, CHECKED_TOKENS),
+                    TestPipeline.expectedTokens(PROMPT, TOKENS, 6).subList(0, CHECKED_TOKENS));
             for (TestAgent agent : List.of(a, b, c, spare)) {
                 List<String> trace = agent.engine.trace();
                 assertEquals(new HashSet<>(trace).size(), trace.size(), "no position runs twice at one engine");
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/StaleOrderTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/StaleOrderTest.java
@@ -13,9 +13,9 @@
 import org.testng.annotations.Test;
 
 /**
- * The holder of term 0 is paused, term 1 is claimed, and its holder gives an order. Then the first holder wakes and
- * gives its old order to an engine that ignores terms. The agent refuses it, also when it has itself been restarted
- * in between and has forgotten every order.
+ * Guards against an outdated order taking effect at an engine that ignores terms. The holder of term 0 is paused while
+ * term 1 is claimed and used, and then sends its order. The agent refuses it, even if the agent was restarted in
+ * between and has lost its record of earlier orders.
  */
 public class StaleOrderTest {
 
@@ -31,7 +31,7 @@
             log.setDown(false);
             log.append(LogStream.TERMS, List.of(new TextNode("claim"), new TextNode("claim")))
                     .join();
-            TestEntry.await(() -> entry.beat(agent).term() == 1);
+            TestEntry.await(() -> entry.lastHeartbeat(agent).term() == 1);
             assertEquals(order(entry, link, 0), OrderOutcome.STALE);
             assertEquals(order(entry, link, 1), OrderOutcome.TAKEN);
             assertEquals(order(entry, link, 0), OrderOutcome.STALE);
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/TableByPeersTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/TableByPeersTest.java
@@ -15,20 +15,21 @@
 import org.testng.annotations.Test;
 
 /**
- * The log is down. An agent hears in a heartbeat that an entry applies a newer table and pulls it; a fresh entry asks
- * the agent and gets it, and one that asks for something newer gets no answer.
+ * Guards against outdated tables while the log is down. An agent learns from a heartbeat that an entry has a newer
+ * table and requests it. A newly started entry requests the table from the agent; a request for a newer one gets no
+ * answer.
  */
 public class TableByPeersTest {
 
     @Test
-    public void theNewestTablePassesFromEntryToAgentToEntry() {
+    public void newestTablePropagatesFromEntryToAgentToEntry() {
         AgentHarness harness = new AgentHarness(BackendKind.SERVICE);
         FakeLink old = harness.entry("entry-1");
-        harness.receive(old, beat(12));
+        harness.receive(old, heartbeat(12));
         assertEquals(old.last(TableRequest.class).above(), 0);
         harness.receive(old, new TableUpdate(12, new byte[] {4, 2}));
         harness.tick();
-        harness.pause(Duration.ofMillis(TestAgent.HEARTBEAT_MILLIS));
+        harness.advanceClock(Duration.ofMillis(TestAgent.HEARTBEAT_MILLIS));
         harness.tick();
         assertEquals(harness.agent.heartbeat().tableOffset(), 12);
 
@@ -41,10 +42,10 @@
         assertEquals(fresh.sent.size(), sent);
 
         harness.receive(old, new TableUpdate(11, new byte[] {1}));
-        assertEquals(harness.tables.current().offset(), 12, "an older table is not taken");
+        assertEquals(harness.tables.current().offset(), 12, "an older table is not applied");
     }
 
-    private static Heartbeat beat(long tableOffset) {
+    private static Heartbeat heartbeat(long tableOffset) {
         return new Heartbeat(
                 AgentState.ACTIVE,
                 AgentLoad.IDLE,
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/Relay.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/TcpProxy.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.cornelramp.core.settings.HostPort;
 
-/** Passes connections on to an address, and cuts them when the test says so. Safe for use by any thread. */
-final class Relay implements AutoCloseable {
+/** A TCP proxy whose connections the test can cut. Safe for use by any thread. */
+final class TcpProxy implements AutoCloseable {
     private static final int BUFFER = 8_192;
 
     private final ServerSocket server;
@@ -21,7 +21,7 @@
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private final AtomicInteger accepted = new AtomicInteger();
 
-    Relay(HostPort target) throws IOException {
+    TcpProxy(HostPort target) throws IOException {
         this.target = target;
         this.server = new ServerSocket(0, 0, InetAddress.getLoopbackAddress());
         start(this::accept);
@@ -31,12 +31,12 @@
         return new HostPort("127.0.0.1", server.getLocalPort());
     }
 
-    /** Connections taken so far. */
+    /** The number of connections accepted so far. */
     int accepted() {
         return accepted.get();
     }
 
-    /** Cuts all connections, with what is on its way; new ones are passed on. */
+    /** Resets all connections, which loses data in flight; new connections are still forwarded. */
     void cut() throws IOException {
         for (Socket socket : sockets) {
             cut(socket);
@@ -48,7 +48,7 @@
         try {
             socket.setSoLinger(true, 0);
         } catch (SocketException e) {
-            // Its other end was cut before, and closed it.
+            // The socket was already closed because its other end was cut.
             Thread.onSpinWait();
         }
         socket.close();
@@ -66,7 +66,7 @@
                 start(() -> pipe(far, near));
             }
         } catch (IOException e) {
-            // The relay was closed.
+            // The proxy was closed.
             Thread.onSpinWait();
         }
     }
@@ -79,13 +79,13 @@
                 out.write(buffer, 0, count);
             }
         } catch (IOException e) {
-            // One end was cut; the other follows.
+            // One end was cut, so the streams of the other end are closed as well.
             Thread.onSpinWait();
         }
     }
 
     private static void start(Runnable work) {
-        Thread thread = new Thread(work, "relay");
+        Thread thread = new Thread(work, "tcp-proxy");
         thread.setDaemon(true);
         thread.start();
     }
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/TestAgent.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/TestAgent.java
@@ -16,9 +16,9 @@
 import org.cornelramp.core.settings.Role;
 import org.cornelramp.core.settings.TimingSettings;
 
-/** An agent with its real threads and links beside a fake backend server. */
+/** An agent with real threads and links and a fake backend server. */
 final class TestAgent implements AutoCloseable {
-    /** Long enough that a busy machine does not make a living peer look silent. */
+    /** Long enough that a live peer on a busy machine does not miss its heartbeats. */
     static final long HEARTBEAT_MILLIS = 1_000;
 
     static final TimingSettings TIMING = new TimingSettings(HEARTBEAT_MILLIS, 500, 60_000, 1_000, 3_600_000);
@@ -28,7 +28,7 @@
     final FakeTables tables = new FakeTables(0);
     final FakeLog log;
     final Incarnation incarnation;
-    volatile boolean stopAsked;
+    volatile boolean stopRequested;
     final AgentComponent component;
 
     private TestAgent(String name, BackendKind kind, FakeEngine engine, FakeLog log) throws Exception {
@@ -44,7 +44,7 @@
                 service,
                 tables,
                 log,
-                () -> stopAsked = true,
+                () -> stopRequested = true,
                 TestAgent::minted));
         component.start();
     }
@@ -53,7 +53,7 @@
         return new TestAgent(name, BackendKind.ENGINE, new FakeEngine(from, to, total), new FakeLog());
     }
 
-    /** An agent beside an engine that starts with a log of its test's. */
+    /** An agent with an engine and a log supplied by the test. */
     static TestAgent engine(String name, FakeLog log) throws Exception {
         return new TestAgent(name, BackendKind.ENGINE, new FakeEngine(0, 1, 1), log);
     }
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/TestEntry.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/TestEntry.java
@@ -22,13 +22,13 @@
 import org.cornelramp.wire.message.Hello;
 import org.cornelramp.wire.message.Message;
 
-/** An entry as an agent sees it: real links, and a test that decides what is sent. */
+/** An entry as seen by an agent: it has real links, and the test sends its messages. */
 final class TestEntry implements AutoCloseable, LinkListener {
-    private static final long PATIENCE_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
 
     final LinkLoop loop;
     private final Map<String, Link> links = new ConcurrentHashMap<>();
-    private final Map<String, Heartbeat> beats = new ConcurrentHashMap<>();
+    private final Map<String, Heartbeat> heartbeats = new ConcurrentHashMap<>();
     private final BlockingQueue<Message> messages = new LinkedBlockingQueue<>();
 
     TestEntry(String name) {
@@ -45,42 +45,42 @@
         loop.start();
     }
 
-    /** A link to an agent that is ready for work. */
+    /** Connects to an agent and waits until the agent accepts work. */
     Link link(TestAgent agent) throws InterruptedException {
-        loop.keep(agent.address());
+        loop.keepConnected(agent.address());
         String name = agent.incarnation.server().value();
-        await(() -> beats.containsKey(name) && beats.get(name).state() == AgentState.ACTIVE);
+        await(() -> heartbeats.containsKey(name) && heartbeats.get(name).state() == AgentState.ACTIVE);
         return links.get(name);
     }
 
-    /** All links that are open. */
+    /** All open links. */
     List<Link> links() {
         return List.copyOf(links.values());
     }
 
-    Heartbeat beat(TestAgent agent) {
-        return beats.get(agent.incarnation.server().value());
+    Heartbeat lastHeartbeat(TestAgent agent) {
+        return heartbeats.get(agent.incarnation.server().value());
     }
 
-    /** Waits until something holds; fails after a long while. */
+    /** Waits until a condition holds; fails after {@value #TIMEOUT_SECONDS} seconds. */
     static void await(java.util.function.BooleanSupplier condition) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() - end > 0) {
-                throw new AssertionError("Waited in vain");
+                throw new AssertionError("The condition did not hold within the timeout");
             }
             Thread.sleep(5);
         }
     }
 
-    /** The next message of a type that fits; others before it are dropped. */
-    <T extends Message> T next(Class<T> type, Predicate<T> fits) throws InterruptedException {
+    /** Waits for the next message that has this type and matches; messages before it are dropped. */
+    <T extends Message> T next(Class<T> type, Predicate<T> matches) throws InterruptedException {
         while (true) {
-            Message message = messages.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+            Message message = messages.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             if (message == null) {
-                throw new AssertionError("No " + type.getSimpleName() + " came");
+                throw new AssertionError("No " + type.getSimpleName() + " was received within the timeout");
             }
-            if (type.isInstance(message) && fits.test(type.cast(message))) {
+            if (type.isInstance(message) && matches.test(type.cast(message))) {
                 return type.cast(message);
             }
         }
@@ -90,8 +90,8 @@
         return next(type, message -> true);
     }
 
-    /** All messages that have come and were not taken. */
-    List<Message> drain() {
+    /** Removes and returns all messages that were received and not yet consumed. */
+    List<Message> takeMessages() {
         List<Message> all = new ArrayList<>();
         messages.drainTo(all);
         return all;
@@ -105,7 +105,7 @@
     @Override
     public void received(Link link, Message message) {
         if (message instanceof Heartbeat beat) {
-            beats.put(link.peer().process(), beat);
+            heartbeats.put(link.peer().process(), beat);
         } else {
             messages.add(message);
         }
@@ -114,7 +114,7 @@
     @Override
     public void closed(Link link, String why) {
         links.remove(link.peer().process(), link);
-        beats.remove(link.peer().process());
+        heartbeats.remove(link.peer().process());
     }
 
     @Override
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/TestPipeline.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/TestPipeline.java
@@ -17,7 +17,7 @@
 import org.cornelramp.wire.message.Step;
 import org.cornelramp.wire.message.Token;
 
-/** One session over several agents, driven as an entry drives it. */
+/** One session over several agents, driven by the test in place of an entry. */
 final class TestPipeline {
     private static final long SESSION = 77;
 
@@ -25,8 +25,8 @@
     private final long[] prompt;
     private final int maxTokens;
     private final TreeMap<Integer, Integer> tokens = new TreeMap<>();
-    private final Map<TestAgent, HostPort> detours = new HashMap<>();
-    private List<TestAgent> present = List.of();
+    private final Map<TestAgent, HostPort> addressOverrides = new HashMap<>();
+    private List<TestAgent> currentAgents = List.of();
     private int epoch;
 
     TestPipeline(TestEntry entry, long[] prompt, int maxTokens) {
@@ -38,15 +38,15 @@
     /** Opens all stages under the next epoch and starts or resumes the session; each may bring a KV cache. */
     void start(List<TestAgent> agents, List<Optional<byte[]>> kvs) throws InterruptedException {
         epoch++;
-        present = List.copyOf(agents);
+        currentAgents = List.copyOf(agents);
         List<String> addresses = new ArrayList<>();
-        List<Incarnation> lives = new ArrayList<>();
-        agents.forEach(agent ->
-                addresses.add(detours.getOrDefault(agent, agent.address()).toString()));
-        agents.forEach(agent -> lives.add(agent.incarnation));
+        List<Incarnation> incarnations = new ArrayList<>();
+        agents.forEach(agent -> addresses.add(
+                addressOverrides.getOrDefault(agent, agent.address()).toString()));
+        agents.forEach(agent -> incarnations.add(agent.incarnation));
         int[] positions = new int[agents.size()];
         for (int i = 0; i < agents.size(); i++) {
-            link(agents.get(i)).send(open(i, addresses, lives, kvs.get(i)));
+            link(agents.get(i)).send(open(i, addresses, incarnations, kvs.get(i)));
             int index = i;
             positions[i] = entry.next(StageOpened.class, o -> o.epoch() == epoch && o.stage() == index)
                     .position();
@@ -64,7 +64,7 @@
         start(agents, kvs);
     }
 
-    private OpenStage open(int stage, List<String> addresses, List<Incarnation> lives, Optional<byte[]> kv) {
+    private OpenStage open(int stage, List<String> addresses, List<Incarnation> incarnations, Optional<byte[]> kv) {
         return new OpenStage(
                 SESSION,
                 epoch,
@@ -73,7 +73,7 @@
                 new ServiceName("model"),
                 stage,
                 addresses,
-                lives,
+                incarnations,
                 prompt.length,
                 maxTokens,
                 0,
@@ -82,14 +82,14 @@
                 kv);
     }
 
-    /** Makes the stage before an agent reach it at another address. */
-    void reachAt(TestAgent agent, HostPort address) {
-        detours.put(agent, address);
+    /** Makes the previous stage connect to an agent at another address, such as that of a proxy. */
+    void overrideAddress(TestAgent agent, HostPort address) {
+        addressOverrides.put(agent, address);
     }
 
-    /** Puts another agent in the place of one stage, under a new epoch. */
+    /** Replaces the agent of one stage, under a new epoch. */
     void replace(int stage, TestAgent spare, Optional<byte[]> kv) throws InterruptedException {
-        List<TestAgent> agents = new ArrayList<>(present);
+        List<TestAgent> agents = new ArrayList<>(currentAgents);
         agents.set(stage, spare);
         List<Optional<byte[]>> kvs = new ArrayList<>();
         agents.forEach(agent -> kvs.add(agent == spare ? kv : Optional.empty()));
@@ -110,7 +110,7 @@
         return inputs;
     }
 
-    /** Collects tokens until there are as many. */
+    /** Collects tokens until this many have been received in total. */
     void collect(int count) throws InterruptedException {
         while (tokens.size() < count) {
             Token token = entry.next(Token.class, t -> t.epoch() == epoch);
@@ -132,14 +132,14 @@
         return epoch;
     }
 
-    /** The tokens that engines with all layers give when nothing disturbs them. */
-    static List<Integer> undisturbed(long[] prompt, int maxTokens, int layers) {
-        FakeEngine whole = new FakeEngine(0, layers, layers);
+    /** The tokens that one engine with all layers generates without failures. */
+    static List<Integer> expectedTokens(long[] prompt, int maxTokens, int layers) {
+        FakeEngine engine = new FakeEngine(0, layers, layers);
         List<Integer> tokens = new ArrayList<>();
         long[] inputs = prompt;
         int position = 0;
         while (tokens.size() < maxTokens) {
-            long[] outputs = whole.steps(List.of(new org.cornelramp.ports.EngineStep("s", position, inputs, 0, 1)))
+            long[] outputs = engine.steps(List.of(new org.cornelramp.ports.EngineStep("s", position, inputs, 0, 1)))
                     .join()
                     .results()
                     .get(0)
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/ThrowingClientTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/ThrowingClientTest.java
@@ -12,16 +12,16 @@
 import org.testng.annotations.Test;
 
 /**
- * A caller sends a path of which no URL can be made, and the client throws in place of failing. The caller is told
- * that its call did not run, and the slot is free for the next: as many such calls as slots would otherwise stop the
- * agent for good.
+ * Guards against leaked slots when a path is no valid URL and the client throws instead of returning a failed future.
+ * The call is answered as not run and its slot is freed; otherwise as many such calls as there are slots would block
+ * the agent permanently.
  */
 public class ThrowingClientTest {
 
     @Test
     public void aCallThatCannotBeMadeIsAnsweredAndFreesItsSlot() {
         AgentHarness harness = new AgentHarness(BackendKind.SERVICE);
-        harness.pause(Duration.ofSeconds(1));
+        harness.advanceClock(Duration.ofSeconds(1));
         harness.tick();
         FakeLink entry = harness.entry("entry-1");
         for (int i = 1; i <= harness.service.slots; i++) {
@@ -29,7 +29,7 @@
             assertEquals(entry.last(InvokeResult.class).call(), i);
             assertEquals(entry.last(InvokeResult.class).outcome(), Outcome.NOT_RUN);
         }
-        harness.receive(entry, InvokeTest.booking(9, "key", harness.life));
+        harness.receive(entry, InvokeTest.booking(9, "key", harness.incarnation));
         assertEquals(entry.last(InvokeResult.class).outcome(), Outcome.ANSWERED);
     }
 
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/AgentDeathTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/AgentRestartTest.java
@@ -14,11 +14,12 @@
 import org.testng.annotations.Test;
 
 /**
- * A clerk books and the agent's process ends before it answers. Another life of the agent comes up; it knows nothing of the key and never gets it. After a crash the clerk is told at once that the outcome
- * is unknown. After a planned stop the log holds what the ended life settled, and the clerk gets that: the answer,
- * or, for a key that is not listed, that it never ran.
+ * The agent's process ends before it answers a call with a key. A new incarnation of the agent starts; it does not know
+ * the key and never gets the call. After a crash the caller gets the outcome unknown at once. After a planned stop the
+ * log holds the results of the ended incarnation, and the caller gets its answer, or not-run for a key that is not
+ * listed.
  */
-public class AgentDeathTest {
+public class AgentRestartTest {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private EntryFixture entry;
@@ -33,7 +34,7 @@
         second = new FakeService("s", 8);
         first.beforeRun = (link, invoke) -> false;
         entry.add(first.agent);
-        key = entry.mint(FakeService.NAME);
+        key = entry.mintKey(FakeService.NAME);
     }
 
     @AfterMethod
@@ -42,16 +43,16 @@
     }
 
     @Test
-    public void saysUnknownAfterACrash() throws Exception {
+    public void reportsUnknownAfterCrash() throws Exception {
         HttpResponse<String> response = bookWhileTheAgentIsReplaced();
         JsonNode problem = JSON.readTree(response.body());
         assertEquals(problem.path("outcome").textValue(), "unknown");
         assertEquals(problem.path("kind").textValue(), "backend-lost");
-        assertEquals(second.effects.get(), 0);
+        assertEquals(second.executions.get(), 0);
     }
 
     @Test
-    public void givesTheAnswerThatAPlannedStopSettled() throws Exception {
+    public void returnsAnswerSettledByPlannedStop() throws Exception {
         settle(result("\"outcome\":\"answered\",\"status\":200,\"contentType\":\"text/plain\",\"body\":\"c29mYQ==\""));
         HttpResponse<String> response = bookWhileTheAgentIsReplaced();
         assertEquals(response.statusCode(), 200);
@@ -59,7 +60,7 @@
     }
 
     @Test
-    public void saysNotRunForAKeyThatAPlannedStopDidNotList() throws Exception {
+    public void reportsNotRunForKeyMissingFromPlannedStop() throws Exception {
         settle("");
         HttpResponse<String> response = bookWhileTheAgentIsReplaced();
         assertEquals(JSON.readTree(response.body()).path("outcome").textValue(), "not-run");
@@ -78,7 +79,7 @@
     private HttpResponse<String> bookWhileTheAgentIsReplaced() throws Exception {
         CompletableFuture<HttpResponse<String>> answer = entry.sendAsync(entry.book(FakeService.NAME, key, "sofa"));
         if (entry.log.size(LogStream.KEYS) == 0) {
-            EntryFixture.await(() -> !first.agent.got.isEmpty());
+            EntryFixture.await(() -> !first.agent.receivedMessages.isEmpty());
         }
         first.agent.close();
         entry.agents.remove(first.agent);
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/ChatRequestProperties.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/ChatRequestProperties.java
@@ -5,7 +5,7 @@
 import net.jqwik.api.Property;
 import org.cornelramp.core.model.ProblemKind;
 
-/** Whatever bytes come as a chat request, they are read or refused as malformed, and never fail otherwise. */
+/** Any bytes sent as a chat request are either parsed or refused as malformed; they cause no other failure. */
 class ChatRequestProperties {
     private static final String GOOD =
             "{\"model\":\"m\",\"messages\":[{\"role\":\"user\",\"content\":\"hello\"}],\"max_tokens\":3,\"stream\":true}";
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/ChatTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/ChatTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A chat completion through three stages on different agents, whole and streamed. */
+/** Chat completions through three stages on different agents, streamed and not streamed. */
 public class ChatTest {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -32,7 +32,7 @@
     }
 
     @Test
-    public void givesTheWholeAnswer() throws Exception {
+    public void returnsCompleteAnswer() throws Exception {
         HttpResponse<String> response = entry.send(entry.chat("a sofa", 12, false));
         assertEquals(response.statusCode(), 200, response.body());
         JsonNode root = JSON.readTree(response.body());
@@ -42,7 +42,7 @@
         assertTrue(response.headers().firstValueAsLong("Content-Length").isPresent());
         assertTrue(response.headers().firstValue(Headers.REQUEST_ID).isPresent());
         assertEquals(response.headers().firstValue(Headers.OUTCOME).orElse(""), "answered");
-        assertEquals(entry.ended, List.of("answered"));
+        assertEquals(entry.outcomes, List.of("answered"));
     }
 
     @Test
@@ -63,7 +63,7 @@
 
     @Test
     public void refusesAtOnceWhenAStageHasNoBackendServer() throws Exception {
-        entry.agents.get(1).say(AgentState.BACKEND_DOWN);
+        entry.agents.get(1).changeState(AgentState.BACKEND_DOWN);
         EntryFixture.await(() -> entry.candidates() == 2);
         HttpResponse<String> response = entry.send(entry.chat("a sofa", 2, true));
         assertEquals(response.statusCode(), 503);
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/LimitTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/ConcurrencyLimitTest.java
@@ -17,11 +17,11 @@
 import org.testng.annotations.Test;
 
 /**
- * An organisation may have one request in progress (and one more for a moment, which the limit allows), and a third
- * comes. It is refused at once with a time to come back. A booking is refused as not-run only after its agent has noted that the key never runs, since an
- * earlier attempt with it may have run by way of another entry.
+ * An organisation has a concurrency limit of one, which briefly admits a second request. A third request is refused at
+ * once with a Retry-After. A call with a key is refused as not-run only after its agent has recorded that the key never
+ * runs, because an earlier attempt may have run through another entry.
  */
-public class LimitTest {
+public class ConcurrencyLimitTest {
     private EntryFixture entry;
     private FakeService service;
 
@@ -41,31 +41,31 @@
     }
 
     @Test
-    public void refusesWhatIsOverTheLimitAndSettlesItsKey() throws Exception {
-        String first = entry.mint(FakeService.NAME);
-        String second = entry.mint(FakeService.NAME);
-        String third = entry.mint(FakeService.NAME);
-        CountDownLatch came = new CountDownLatch(2);
+    public void refusesCallOverLimitAndSettlesItsKey() throws Exception {
+        String first = entry.mintKey(FakeService.NAME);
+        String second = entry.mintKey(FakeService.NAME);
+        String third = entry.mintKey(FakeService.NAME);
+        CountDownLatch callsReceived = new CountDownLatch(2);
         service.beforeAnswer = (link, invoke) -> {
-            came.countDown();
+            callsReceived.countDown();
             return false;
         };
-        CompletableFuture<HttpResponse<String>> held = hold(first);
-        CompletableFuture<HttpResponse<String>> over = hold(second);
-        assertTrue(came.await(15, TimeUnit.SECONDS));
+        CompletableFuture<HttpResponse<String>> held = startHeldBooking(first);
+        CompletableFuture<HttpResponse<String>> overLimit = startHeldBooking(second);
+        assertTrue(callsReceived.await(15, TimeUnit.SECONDS));
         HttpResponse<String> refused = entry.send(entry.book(FakeService.NAME, third, "sofa"));
         JsonNode problem = new ObjectMapper().readTree(refused.body());
         assertEquals(refused.statusCode(), 429);
         assertEquals(problem.path("kind").textValue(), "limit-reached");
         assertEquals(problem.path("outcome").textValue(), "not-run");
         assertTrue(refused.headers().firstValue("Retry-After").isPresent());
-        assertTrue(service.record.containsKey(third), "the agent noted that the key never runs");
+        assertTrue(service.record.containsKey(third), "the agent recorded that the key never runs");
         assertTrue(held.get(15, TimeUnit.SECONDS).body().startsWith("booked sofa"));
-        assertTrue(over.get(15, TimeUnit.SECONDS).body().startsWith("booked sofa"));
-        assertEquals(service.effects.get(), 2);
+        assertTrue(overLimit.get(15, TimeUnit.SECONDS).body().startsWith("booked sofa"));
+        assertEquals(service.executions.get(), 2);
     }
 
-    private CompletableFuture<HttpResponse<String>> hold(String key) {
+    private CompletableFuture<HttpResponse<String>> startHeldBooking(String key) {
         return entry.sendAsync(entry.book(FakeService.NAME, key, "sofa").header(Headers.DEADLINE, "1500"));
     }
 }
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/EntryDrainTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/EntryDrainTest.java
@@ -19,9 +19,9 @@
 import org.testng.annotations.Test;
 
 /**
- * An operator stops an entry while a caller reads a stream and a clerk waits for a booking. Readiness falls at once,
- * so that the balancer turns away; requests that still come are told to go elsewhere; the stream and the booking end
- * whole, and only then does the entry count as drained.
+ * Guards against a drain that interrupts requests. An operator drains an entry while a stream and a call to a plain
+ * service are in progress. The entry reports not ready at once, so that the load balancer stops sending to it, and
+ * refuses new requests. The stream and the call complete, and only then is the entry drained.
  */
 public class EntryDrainTest {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -30,7 +30,7 @@
     private EntryFixture entry;
     private FakePipeline pipeline;
     private FakeService service;
-    private final CountDownLatch hold = new CountDownLatch(1);
+    private final CountDownLatch releaseAnswer = new CountDownLatch(1);
 
     @BeforeMethod
     public void start() throws Exception {
@@ -42,15 +42,15 @@
 
     @AfterMethod
     public void stop() {
-        hold.countDown();
+        releaseAnswer.countDown();
         entry.close();
     }
 
     @Test
-    public void cutsNothingInProgressAndTakesNothingNew() throws Exception {
-        String key = entry.mint(FakeService.NAME);
-        String late = entry.mint(FakeService.NAME);
-        CompletableFuture<HttpResponse<String>> booking = holdOne(key);
+    public void finishesRequestsInProgressAndRefusesNewOnes() throws Exception {
+        String key = entry.mintKey(FakeService.NAME);
+        String late = entry.mintKey(FakeService.NAME);
+        CompletableFuture<HttpResponse<String>> booking = startHeldBooking(key);
         InputStream stream = entry.open(entry.chat(PROMPT, 40, true));
         String text = new String(new byte[] {(byte) stream.read()}, StandardCharsets.UTF_8);
 
@@ -64,33 +64,33 @@
         text += new String(stream.readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(Sse.text(text), FakePipeline.expected(PROMPT, 40));
         assertTrue(Sse.isComplete(text));
-        hold.countDown();
+        releaseAnswer.countDown();
         assertEquals(booking.get(15, TimeUnit.SECONDS).body(), "booked sofa as 1");
         HttpResponse<String> keyed = entry.send(entry.book(FakeService.NAME, late, "sofa"));
         assertEquals(JSON.readTree(keyed.body()).path("outcome").textValue(), "not-run");
         EntryFixture.await(entry::isDrained);
-        assertEquals(service.effects.get(), 1);
+        assertEquals(service.executions.get(), 1);
     }
 
-    /** Starts a booking whose answer the agent keeps back until the test lets it go. */
-    private CompletableFuture<HttpResponse<String>> holdOne(String key) throws Exception {
-        CountDownLatch came = new CountDownLatch(1);
+    /** Starts a booking whose answer the agent withholds until the test releases it. */
+    private CompletableFuture<HttpResponse<String>> startHeldBooking(String key) throws Exception {
+        CountDownLatch callReceived = new CountDownLatch(1);
         service.beforeAnswer = (link, invoke) -> {
-            came.countDown();
+            callReceived.countDown();
             new Thread(() -> answerLater(link, invoke), "late-answer").start();
             return false;
         };
         CompletableFuture<HttpResponse<String>> booking = entry.sendAsync(entry.book(FakeService.NAME, key, "sofa"));
-        assertTrue(came.await(15, TimeUnit.SECONDS));
+        assertTrue(callReceived.await(15, TimeUnit.SECONDS));
         return booking;
     }
 
     private void answerLater(Link link, Invoke invoke) {
         try {
-            hold.await();
+            releaseAnswer.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        service.answer(link, invoke);
+        service.sendRecordedAnswer(link, invoke);
     }
 }
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/EntryFixture.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/EntryFixture.java
@@ -44,7 +44,7 @@
 import org.cornelramp.ports.VmList;
 import org.cornelramp.ports.VmListClient;
 
-/** A whole entry on loopback with fakes for the platform, the table and the agents. */
+/** A complete entry on loopback with fakes for the platform, the table and the agents. */
 final class EntryFixture implements AutoCloseable {
     static final String CALLER_KEY = "counter-7";
     static final OrganisationId ORGANISATION = new OrganisationId("org-1");
@@ -54,8 +54,8 @@
     final FakeLog log;
     private final FakeLogView logView;
     final List<FakeAgent> agents = new CopyOnWriteArrayList<>();
-    final List<String> ended = new CopyOnWriteArrayList<>();
-    volatile List<String> leaving = List.of();
+    final List<String> outcomes = new CopyOnWriteArrayList<>();
+    volatile List<String> leavingAgents = List.of();
     private final Registry registry;
     private final List<Component> components = new ArrayList<>();
     private final HttpClient http = HttpClient.newHttpClient();
@@ -82,7 +82,7 @@
     }
 
     static Row row(ServiceName service) {
-        List<String> hashes = List.of(Callers.sha256(CALLER_KEY));
+        List<String> hashes = List.of(CallerAuthenticator.sha256(CALLER_KEY));
         return new Row(new RowKey(ORGANISATION, service), 0, new RowValues(1, 0, 0, 0, 0, 20_000, 99, hashes));
     }
 
@@ -108,48 +108,48 @@
                         Role.AGENT,
                         agent.address(),
                         new DataCentre("dc1"),
-                        leaving.contains(agent.incarnation.server().value())
+                        leavingAgents.contains(agent.incarnation.server().value())
                                 ? VmList.State.LEAVING
                                 : VmList.State.LIVE))
                 .toList();
         return new VmList(0, vms);
     }
 
-    /** Starts agents and waits until the entry holds a link to each. */
-    void add(FakeAgent... more) throws Exception {
-        for (FakeAgent agent : more) {
+    /** Starts agents and waits until the entry can send work to each. */
+    void add(FakeAgent... newAgents) throws Exception {
+        for (FakeAgent agent : newAgents) {
             agent.start(0);
         }
-        know(more);
+        addRunning(newAgents);
     }
 
-    /** Lets the VM list show agents that run, and waits until the entry holds a link to each. */
-    void know(FakeAgent... more) throws Exception {
-        agents.addAll(List.of(more));
-        for (FakeAgent agent : more) {
+    /** Adds running agents to the VM list and waits until the entry can send work to each. */
+    void addRunning(FakeAgent... newAgents) throws Exception {
+        agents.addAll(List.of(newAgents));
+        for (FakeAgent agent : newAgents) {
             await(() -> isCandidate(agent));
         }
     }
 
-    /** Agents that the entry sends new work to. */
+    /** Returns the number of agents that the entry sends new work to. */
     long candidates() {
-        return registry.need(FleetView.class).members().stream()
+        return registry.require(FleetView.class).members().stream()
                 .filter(Member::takesWork)
                 .count();
     }
 
-    /** Crash reports that this entry has on the log's stream. */
+    /** Returns the number of crash reports on the log that this entry uses. */
     int crashReports() {
         return log.size(LogStream.SET_ASIDE);
     }
 
     private boolean isCandidate(FakeAgent agent) {
-        return registry.need(FleetView.class).members().stream()
+        return registry.require(FleetView.class).members().stream()
                 .anyMatch(member -> member.incarnation().equals(agent.incarnation) && member.takesWork());
     }
 
     int port() {
-        return registry.need(HttpServer.class).address().port();
+        return registry.require(HttpServer.class).address().port();
     }
 
     HttpRequest.Builder request(String path) {
@@ -163,7 +163,7 @@
         return http.send(request.build(), HttpResponse.BodyHandlers.ofString());
     }
 
-    /** Sends a request and gives its answer's body as it comes. */
+    /** Sends a request and returns the body of its answer as a stream. */
     InputStream open(HttpRequest.Builder request) throws IOException, InterruptedException {
         return http.send(request.build(), HttpResponse.BodyHandlers.ofInputStream())
                 .body();
@@ -179,8 +179,8 @@
         return request("/v1/chat/completions").POST(HttpRequest.BodyPublishers.ofString(body));
     }
 
-    /** Mints a ticket. */
-    String mint(ServiceName service) throws IOException, InterruptedException {
+    /** Requests a ticket. */
+    String mintKey(ServiceName service) throws IOException, InterruptedException {
         HttpResponse<String> response = send(
                 request("/v1/keys").POST(HttpRequest.BodyPublishers.ofString("{\"service\":\"" + service + "\"}")));
         return new ObjectMapper().readTree(response.body()).path("key").textValue();
@@ -192,9 +192,9 @@
                 .POST(HttpRequest.BodyPublishers.ofString(what));
     }
 
-    /** Whether this entry's reads of the log are held back, while other entries read it. */
-    void keepsBehind(boolean behind) {
-        logView.readsFail = behind;
+    /** Sets whether this entry's reads of the log fail, while other entries can read it. */
+    void setLogReadsFail(boolean fail) {
+        logView.readsFail = fail;
     }
 
     void drain() {
@@ -209,7 +209,7 @@
         long limit = System.nanoTime() + Duration.ofSeconds(20).toNanos();
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > limit) {
-                throw new AssertionError("What the test waits for did not come");
+                throw new AssertionError("The condition was not met within 20 s");
             }
             Thread.sleep(2);
         }
@@ -229,7 +229,7 @@
 
         @Override
         public void ended(RowKey row, Outcome outcome, boolean inTime, Duration latency, Instant now) {
-            ended.add(outcome.text());
+            outcomes.add(outcome.text());
         }
     }
 }
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/FakeAgent.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/FakeAgent.java
@@ -22,17 +22,17 @@
 import org.cornelramp.wire.message.Hello;
 import org.cornelramp.wire.message.Message;
 
-/** An agent on loopback whose behaviour a test sets. Messages come on its network thread. */
+/** An agent on loopback that handles messages as a test specifies. Handlers run on its network thread. */
 final class FakeAgent implements LinkListener, AutoCloseable {
     static final long HEARTBEAT_MILLIS = 200;
 
     final Incarnation incarnation;
     final Offer offer;
-    final CopyOnWriteArrayList<Message> got = new CopyOnWriteArrayList<>();
+    final CopyOnWriteArrayList<Message> receivedMessages = new CopyOnWriteArrayList<>();
     final Map<Link, Boolean> links = new ConcurrentHashMap<>();
-    final CopyOnWriteArrayList<String> crashed = new CopyOnWriteArrayList<>();
+    final CopyOnWriteArrayList<String> crashReports = new CopyOnWriteArrayList<>();
     volatile AgentState state = AgentState.ACTIVE;
-    volatile BiConsumer<Link, Message> behaviour = (link, message) -> {};
+    volatile BiConsumer<Link, Message> messageHandler = (link, message) -> {};
     private final LinkLoop loop;
     private volatile HostPort address;
 
@@ -57,20 +57,20 @@
         return address;
     }
 
-    /** Closes all links as a cut cable would; the agent lives on. */
+    /** Closes all links, like a network failure; the agent keeps running. */
     void cutLinks() {
         links.keySet().forEach(link -> link.close("cut by the test"));
     }
 
-    /** Tells at once that the backend server has crashed. */
-    void tellCrash(CrashReport report) {
-        crashed.add(report.toString());
-        loop.beatNow();
+    /** Reports a crash of the backend server in a heartbeat at once. */
+    void reportCrash(CrashReport report) {
+        crashReports.add(report.toString());
+        loop.sendHeartbeatsNow();
     }
 
-    void say(AgentState newState) {
+    void changeState(AgentState newState) {
         state = newState;
-        loop.beatNow();
+        loop.sendHeartbeatsNow();
     }
 
     @Override
@@ -81,8 +81,8 @@
     @Override
     public void received(Link link, Message message) {
         if (!(message instanceof Heartbeat)) {
-            got.add(message);
-            behaviour.accept(link, message);
+            receivedMessages.add(message);
+            messageHandler.accept(link, message);
         }
     }
 
@@ -108,6 +108,14 @@
 
     private Heartbeat heartbeat() {
         return new Heartbeat(
-                state, AgentLoad.IDLE, Optional.of(offer), 0, 0, List.of(), List.copyOf(crashed), Map.of(), Map.of());
+                state,
+                AgentLoad.IDLE,
+                Optional.of(offer),
+                0,
+                0,
+                List.of(),
+                List.copyOf(crashReports),
+                Map.of(),
+                Map.of());
     }
 }
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/FakeLog.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/FakeLog.java
@@ -12,22 +12,22 @@
 import org.cornelramp.ports.LogStream;
 import org.cornelramp.ports.PlatformException;
 
-/** A log in memory, with switches for an outage and for answers lost after the append took effect. */
+/** An in-memory log. Tests can make it unavailable, or make it lose the answers of appends that took effect. */
 final class FakeLog implements LogClient {
-    volatile boolean out;
-    volatile boolean losesAnswers;
+    volatile boolean unavailable;
+    volatile boolean loseAnswers;
     private final Map<LogStream, List<LogRecord>> streams = new EnumMap<>(LogStream.class);
 
     @Override
     public synchronized CompletableFuture<Long> append(LogStream stream, List<JsonNode> records) {
-        if (out) {
+        if (unavailable) {
             return CompletableFuture.failedFuture(
-                    new PlatformException(PlatformException.Kind.REFUSED, "The log is out", 0));
+                    new PlatformException(PlatformException.Kind.REFUSED, "The log is unavailable", 0));
         }
-        List<LogRecord> all = all(stream);
-        long first = all.size();
-        records.forEach(record -> all.add(new LogRecord(all.size(), System.currentTimeMillis(), record)));
-        return losesAnswers
+        List<LogRecord> stored = records(stream);
+        long first = stored.size();
+        records.forEach(record -> stored.add(new LogRecord(stored.size(), System.currentTimeMillis(), record)));
+        return loseAnswers
                 ? CompletableFuture.failedFuture(
                         new PlatformException(PlatformException.Kind.ANSWER_LOST, "The answer was lost", 0))
                 : CompletableFuture.completedFuture(first);
@@ -35,14 +35,15 @@
 
     @Override
     public synchronized CompletableFuture<LogPage> read(LogStream stream, long from, int max, long waitMillis) {
-        if (out) {
+        if (unavailable) {
             return CompletableFuture.failedFuture(
-                    new PlatformException(PlatformException.Kind.NOT_SENT, "The log is out", 0));
+                    new PlatformException(PlatformException.Kind.NOT_SENT, "The log is unavailable", 0));
         }
-        List<LogRecord> all = all(stream);
-        int start = (int) Math.min(from, all.size());
-        int end = Math.min(all.size(), start + max);
-        return CompletableFuture.completedFuture(new LogPage(0, all.size(), new ArrayList<>(all.subList(start, end))));
+        List<LogRecord> stored = records(stream);
+        int start = (int) Math.min(from, stored.size());
+        int end = Math.min(stored.size(), start + max);
+        return CompletableFuture.completedFuture(
+                new LogPage(0, stored.size(), new ArrayList<>(stored.subList(start, end))));
     }
 
     @Override
@@ -51,10 +52,10 @@
     }
 
     synchronized int size(LogStream stream) {
-        return all(stream).size();
+        return records(stream).size();
     }
 
-    private List<LogRecord> all(LogStream stream) {
+    private List<LogRecord> records(LogStream stream) {
         return streams.computeIfAbsent(stream, key -> new ArrayList<>());
     }
 }
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/FakeLogView.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/FakeLogView.java
@@ -8,7 +8,7 @@
 import org.cornelramp.ports.LogStream;
 import org.cornelramp.ports.PlatformException;
 
-/** One entry's access to a log that others use as well. */
+/** One entry's access to a log that is shared by several entries. Its reads can be made to fail separately. */
 final class FakeLogView implements LogClient {
     volatile boolean readsFail;
     private final FakeLog log;
