--- a/daemon/src/test/java/org/cornelramp/daemon/entry/FakePipeline.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/FakePipeline.java
@@ -29,48 +29,48 @@
 import org.cornelramp.wire.message.Token;
 
 /**
- * Stages that generate by a rule in which every output depends on all earlier inputs, so that a step that was
- * skipped or repeated changes the text. One lock guards all stages; they pass steps to each other directly.
+ * Fake pipeline stages in which every output depends on all earlier inputs, so that a skipped or repeated step changes
+ * the generated text. One lock guards all stages; they pass steps to each other directly.
  */
 final class FakePipeline {
     static final ServiceName MODEL = new ServiceName("model-a");
 
     private static final int LAYERS = 3;
-    private static final int TOKENS = 1_000;
+    private static final int VOCABULARY_SIZE = 1_000;
 
     private final Map<Incarnation, Stage> stages = new HashMap<>();
-    private volatile int pauseAt = Integer.MAX_VALUE;
-    private volatile Runnable atPause = () -> {};
-    private volatile int poisonLength = -1;
+    private volatile int actionPosition = Integer.MAX_VALUE;
+    private volatile Runnable positionAction = () -> {};
+    private volatile int crashingPromptLength = -1;
 
-    /** An agent that holds one of the three layers. */
+    /** Returns an agent that holds one of the three layers. */
     synchronized FakeAgent agent(String name, long life, int layer) {
         Incarnation incarnation = new Incarnation(new BackendServerId(name), life);
         Offer offer = new Offer(MODEL, Optional.of(new LayerRange(layer, layer + 1, LAYERS)), "1", "fake", 8);
         FakeAgent agent = new FakeAgent(incarnation, offer);
         Stage stage = new Stage(layer, agent);
         stages.put(incarnation, stage);
-        agent.behaviour = (link, message) -> on(stage, link, message);
+        agent.messageHandler = (link, message) -> handle(stage, link, message);
         return agent;
     }
 
     /** Runs an action, once, when the first stage is about to run a position. */
     void onPosition(int position, Runnable action) {
-        atPause = action;
-        pauseAt = position;
+        positionAction = action;
+        actionPosition = position;
     }
 
-    /** From now on, each backend server of the second layer crashes on prompts of this length. */
-    void poison(int promptLength) {
-        poisonLength = promptLength;
+    /** Makes each backend server of the second layer crash on prompts of this length. */
+    void crashOnPromptLength(int promptLength) {
+        crashingPromptLength = promptLength;
     }
 
-    /** The agent stops working, with all it holds, until a stage is opened at it again. */
+    /** Stops the agent from getting steps of other stages until a stage is opened at it again. It keeps its state. */
     synchronized void stall(FakeAgent agent) {
         stages.remove(agent.incarnation);
     }
 
-    /** The agent is gone with all it held. */
+    /** Stops the agent; its state is lost. */
     synchronized void kill(FakeAgent agent) {
         Stage stage = stages.remove(agent.incarnation);
         if (stage != null) {
@@ -79,28 +79,28 @@
         new Thread(agent::close, "kill").start();
     }
 
-    /** What the pipeline must generate for a prompt. */
+    /** Returns the text that the pipeline must generate for a prompt. */
     static String expected(String prompt, int maxTokens) {
         long[] state = new long[LAYERS];
         StringBuilder text = new StringBuilder();
         int token = 0;
         for (long input : Tokenizer.encode(List.of(prompt))) {
-            token = through(state, input);
+            token = runLayers(state, input);
         }
         for (int i = 0; i < maxTokens && token != Tokenizer.END_TOKEN; i++) {
             text.append(Tokenizer.decode(token));
-            token = through(state, token);
+            token = runLayers(state, token);
         }
         return text.toString();
     }
 
-    private static int through(long[] state, long input) {
+    private static int runLayers(long[] state, long input) {
         long value = input;
         for (int layer = 0; layer < LAYERS; layer++) {
             state[layer] = mix(state[layer], value, layer);
             value = state[layer];
         }
-        return token(value);
+        return toToken(value);
     }
 
     private static long mix(long state, long input, int layer) {
@@ -108,100 +108,101 @@
         return mixed ^ (mixed >>> 29);
     }
 
-    private static int token(long value) {
-        return 1 + (int) Math.floorMod(value, (long) TOKENS);
+    private static int toToken(long value) {
+        return 1 + (int) Math.floorMod(value, (long) VOCABULARY_SIZE);
     }
 
-    private synchronized void on(Stage stage, Link link, Message message) {
+    private synchronized void handle(Stage stage, Link link, Message message) {
         if (message instanceof OpenStage open) {
             if (!stage.killed) {
                 stages.put(stage.agent.incarnation, stage);
             }
-            Held held = stage.held.computeIfAbsent(open.session(), key -> new Held());
-            held.open = open;
-            held.link = link;
-            held.sendFrom = Integer.MAX_VALUE;
-            held.ahead.clear();
-            link.send(new StageOpened(open.session(), open.epoch(), open.stage(), held.outputs.size()));
+            StageSession session = stage.sessions.computeIfAbsent(open.session(), key -> new StageSession());
+            session.open = open;
+            session.link = link;
+            session.sendFrom = Integer.MAX_VALUE;
+            session.earlySteps.clear();
+            link.send(new StageOpened(open.session(), open.epoch(), open.stage(), session.outputs.size()));
         } else if (message instanceof SendFrom from) {
-            Held held = stage.held.get(from.session());
-            if (held != null) {
-                held.sendFrom = from.position();
-                pass(held, from.position(), stage);
+            StageSession session = stage.sessions.get(from.session());
+            if (session != null) {
+                session.sendFrom = from.position();
+                sendOutputs(session, from.position(), stage);
             }
         } else if (message instanceof Step step) {
             step(stage, step);
         } else if (message instanceof CloseStage close) {
-            stage.held.remove(close.session());
+            stage.sessions.remove(close.session());
         }
     }
 
     private void step(Stage stage, Step step) {
-        Held held = stage.held.get(step.session());
-        if (held == null || step.epoch() != held.open.epoch()) {
+        StageSession session = stage.sessions.get(step.session());
+        if (session == null || step.epoch() != session.open.epoch()) {
             return;
         }
-        if (step.position() > held.outputs.size()) {
-            // The first stage has two senders; after a rebuild the last stage may be quicker than the entry.
-            held.ahead.add(step);
+        if (step.position() > session.outputs.size()) {
+            // The first stage receives steps from the entry and from the last stage. After a rebuild a step of the last
+            // stage may arrive before the entry's.
+            session.earlySteps.add(step);
             return;
         }
-        if (stage.layer == 1 && held.open.promptTokens() == poisonLength) {
-            crash(stage, held);
+        if (stage.layer == 1 && session.open.promptTokens() == crashingPromptLength) {
+            crash(stage, session);
             return;
         }
-        run(stage, held, step);
-        Step next = held.ahead.poll();
+        run(stage, session, step);
+        Step next = session.earlySteps.poll();
         if (next != null) {
             step(stage, next);
         }
     }
 
-    private static void crash(Stage stage, Held held) {
-        OpenStage open = held.open;
-        stage.held.clear();
+    private static void crash(Stage stage, StageSession session) {
+        OpenStage open = session.open;
+        stage.sessions.clear();
         stage.crashes++;
         String name = stage.agent.incarnation + "#" + stage.crashes;
-        held.link.send(
-                new StageLost(open.session(), open.epoch(), open.stage(), ProblemKind.BACKEND_LOST, "The engine died"));
-        stage.agent.tellCrash(new CrashReport(name, Instant.now(), Set.of(open.fingerprint())));
+        session.link.send(new StageLost(
+                open.session(), open.epoch(), open.stage(), ProblemKind.BACKEND_LOST, "The engine crashed"));
+        stage.agent.reportCrash(new CrashReport(name, Instant.now(), Set.of(open.fingerprint())));
     }
 
-    private void run(Stage stage, Held held, Step step) {
-        int from = held.outputs.size();
+    private void run(Stage stage, StageSession session, Step step) {
+        int from = session.outputs.size();
         for (int i = from - step.position(); i < step.inputs().length; i++) {
-            if (stage.layer == 0 && held.outputs.size() == pauseAt) {
-                pauseAt = Integer.MAX_VALUE;
-                atPause.run();
+            if (stage.layer == 0 && session.outputs.size() == actionPosition) {
+                actionPosition = Integer.MAX_VALUE;
+                positionAction.run();
             }
-            held.state = mix(held.state, step.inputs()[i], stage.layer);
-            held.outputs.add(held.state);
+            session.state = mix(session.state, step.inputs()[i], stage.layer);
+            session.outputs.add(session.state);
         }
-        pass(held, Math.max(from, held.sendFrom), stage);
+        sendOutputs(session, Math.max(from, session.sendFrom), stage);
     }
 
-    private void pass(Held held, int from, Stage stage) {
-        if (from >= held.outputs.size() || held.sendFrom == Integer.MAX_VALUE) {
+    private void sendOutputs(StageSession session, int from, Stage stage) {
+        if (from >= session.outputs.size() || session.sendFrom == Integer.MAX_VALUE) {
             return;
         }
-        long[] outputs = held.outputs.subList(from, held.outputs.size()).stream()
+        long[] outputs = session.outputs.subList(from, session.outputs.size()).stream()
                 .mapToLong(output -> output)
                 .toArray();
-        OpenStage open = held.open;
+        OpenStage open = session.open;
         if (stage.layer + 1 < LAYERS) {
-            to(open, stage.layer + 1, new Step(open.session(), open.epoch(), from, outputs));
+            sendStep(open, stage.layer + 1, new Step(open.session(), open.epoch(), from, outputs));
             return;
         }
-        int[] tokens = Arrays.stream(outputs).mapToInt(FakePipeline::token).toArray();
-        held.link.send(new Token(open.session(), open.epoch(), from, tokens));
+        int[] tokens = Arrays.stream(outputs).mapToInt(FakePipeline::toToken).toArray();
+        session.link.send(new Token(open.session(), open.epoch(), from, tokens));
         int generated = from + tokens.length - open.promptTokens() + 1;
         if (generated < open.maxTokens()) {
             long[] inputs = Arrays.stream(tokens).mapToLong(token -> token).toArray();
-            to(open, 0, new Step(open.session(), open.epoch(), from + 1, inputs));
+            sendStep(open, 0, new Step(open.session(), open.epoch(), from + 1, inputs));
         }
     }
 
-    private void to(OpenStage open, int stage, Step step) {
+    private void sendStep(OpenStage open, int stage, Step step) {
         Stage next = stages.get(open.incarnations().get(stage));
         if (next != null) {
             step(next, step);
@@ -211,7 +212,7 @@
     private static final class Stage {
         final int layer;
         final FakeAgent agent;
-        final Map<Long, Held> held = new HashMap<>();
+        final Map<Long, StageSession> sessions = new HashMap<>();
         int crashes;
         boolean killed;
 
@@ -221,9 +222,9 @@
         }
     }
 
-    private static final class Held {
+    private static final class StageSession {
         final List<Long> outputs = new ArrayList<>();
-        final Deque<Step> ahead = new ArrayDeque<>();
+        final Deque<Step> earlySteps = new ArrayDeque<>();
         OpenStage open;
         Link link;
         int sendFrom;
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/FakeService.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/FakeService.java
@@ -17,61 +17,63 @@
 import org.cornelramp.wire.message.Message;
 import org.cornelramp.wire.message.Settle;
 
-/** An agent of a booking service that runs each key at most once and answers repeats from its record. */
+/**
+ * An agent of a booking service that runs each key at most once and answers repeated calls with the recorded result.
+ */
 final class FakeService {
     static final ServiceName NAME = new ServiceName("bookings");
 
     final FakeAgent agent;
-    final AtomicInteger effects = new AtomicInteger();
+    final AtomicInteger executions = new AtomicInteger();
     final Map<String, InvokeResult> record = new ConcurrentHashMap<>();
 
-    /** Called before a call runs; false keeps it from running and from being answered. */
-    volatile Step beforeRun = (link, invoke) -> true;
+    /** Called before a call runs. If it returns false, the call neither runs nor is answered. */
+    volatile Interceptor beforeRun = (link, invoke) -> true;
 
-    /** Called when a call has run; false keeps its answer back. */
-    volatile Step beforeAnswer = (link, invoke) -> true;
+    /** Called after a call has run. If it returns false, the answer is withheld. */
+    volatile Interceptor beforeAnswer = (link, invoke) -> true;
 
-    /** One place where a test may step in. */
-    interface Step {
-        boolean at(Link link, Invoke invoke);
+    /** A hook by which a test can intercept a call. */
+    interface Interceptor {
+        boolean intercept(Link link, Invoke invoke);
     }
 
     FakeService(String name, long life) {
         Offer offer = new Offer(NAME, Optional.empty(), "1", "none", 8);
         agent = new FakeAgent(new Incarnation(new BackendServerId(name), life), offer);
-        agent.behaviour = this::on;
+        agent.messageHandler = this::handle;
     }
 
-    private void on(Link link, Message message) {
+    private void handle(Link link, Message message) {
         if (message instanceof Invoke invoke) {
             invoke(link, invoke);
         } else if (message instanceof Settle settle) {
             InvokeResult known = record.computeIfAbsent(settle.key(), key -> cancelled());
-            link.send(numbered(known, settle.call()));
+            link.send(withCallId(known, settle.call()));
         }
     }
 
     private void invoke(Link link, Invoke invoke) {
-        if (!beforeRun.at(link, invoke)) {
+        if (!beforeRun.intercept(link, invoke)) {
             return;
         }
         InvokeResult result = invoke.key()
                 .map(key -> record.computeIfAbsent(key, k -> run(invoke)))
                 .orElseGet(() -> run(invoke));
-        if (beforeAnswer.at(link, invoke)) {
-            link.send(numbered(result, invoke.call()));
+        if (beforeAnswer.intercept(link, invoke)) {
+            link.send(withCallId(result, invoke.call()));
         }
     }
 
-    /** Gives the recorded answer to a call that was kept back. */
-    void answer(Link link, Invoke invoke) {
-        link.send(numbered(record.get(invoke.key().orElseThrow()), invoke.call()));
+    /** Sends the recorded answer of a call whose answer was withheld. */
+    void sendRecordedAnswer(Link link, Invoke invoke) {
+        link.send(withCallId(record.get(invoke.key().orElseThrow()), invoke.call()));
     }
 
     private InvokeResult run(Invoke invoke) {
         String text = invoke.idempotent()
                 ? invoke.method() + " " + invoke.path()
-                : "booked " + new String(invoke.body(), StandardCharsets.UTF_8) + " as " + effects.incrementAndGet();
+                : "booked " + new String(invoke.body(), StandardCharsets.UTF_8) + " as " + executions.incrementAndGet();
         return new InvokeResult(
                 0, Outcome.ANSWERED, Optional.empty(), "", 0, 200, "text/plain", text.getBytes(StandardCharsets.UTF_8));
     }
@@ -81,14 +83,14 @@
                 0,
                 Outcome.NOT_RUN,
                 Optional.of(ProblemKind.BACKEND_FAILED),
-                "The key never ran and never will.",
+                "The key did not run and will never run.",
                 0,
                 0,
                 "",
                 new byte[0]);
     }
 
-    private static InvokeResult numbered(InvokeResult result, long call) {
+    private static InvokeResult withCallId(InvokeResult result, long call) {
         return new InvokeResult(
                 call,
                 result.outcome(),
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/FakeTable.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/FakeTable.java
@@ -12,7 +12,7 @@
 import org.cornelramp.core.table.Table;
 import org.cornelramp.daemon.table.TableSource;
 
-/** A table that a test sets. */
+/** A table whose rows a test sets. */
 final class FakeTable implements TableSource, Table {
     private final Map<RowKey, Row> rows = new ConcurrentSkipListMap<>();
     volatile boolean ready = true;
@@ -42,7 +42,7 @@
     }
 
     @Override
-    public boolean takeSnapshot(long offset, byte[] snapshot) {
+    public boolean applySnapshot(long offset, byte[] snapshot) {
         return false;
     }
 
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/BadInputTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/InvalidInputTest.java
@@ -24,10 +24,10 @@
 import org.testng.annotations.Test;
 
 /**
- * Callers send what no tool should: broken JSON, wrong types, too much, names that nobody knows, half a request. Each
- * gets a typed problem that names its remedy, and a caller who asks properly meanwhile gets its answer.
+ * Invalid requests: malformed JSON, wrong types, oversized bodies, unknown names, incomplete requests. Each gets a
+ * typed problem that names its remedy, and valid requests are answered meanwhile.
  */
-public class BadInputTest {
+public class InvalidInputTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String CHAT = "/v1/chat/completions";
     private static final String BOOK = "/services/" + FakeService.NAME + "/book";
@@ -51,7 +51,7 @@
     }
 
     @DataProvider
-    public Object[][] bad() {
+    public Object[][] invalidRequests() {
         return new Object[][] {
             {CHAT, "{", "malformed-request", 400},
             {CHAT, "", "malformed-request", 400},
@@ -74,14 +74,14 @@
         };
     }
 
-    @Test(dataProvider = "bad")
-    public void getsATypedProblem(String path, String body, String kind, int status) throws Exception {
+    @Test(dataProvider = "invalidRequests")
+    public void returnsTypedProblem(String path, String body, String kind, int status) throws Exception {
         HttpResponse<String> response = entry.send(entry.request(path).POST(HttpRequest.BodyPublishers.ofString(body)));
         assertProblem(response, kind, status);
     }
 
     @Test
-    public void refusesADeadlineAndAKeyThatCannotBeRead() throws Exception {
+    public void refusesMalformedDeadlineAndKey() throws Exception {
         HttpRequest.BodyPublisher sofa = HttpRequest.BodyPublishers.ofString("sofa");
         for (String deadline : List.of("soon", "0", "-5", "99999999999999999999")) {
             HttpRequest.Builder request = entry.request(BOOK).header(Headers.DEADLINE, deadline);
@@ -94,7 +94,7 @@
     }
 
     @Test
-    public void halfARequestDisturbsNobody() throws Exception {
+    public void incompleteRequestsDoNotBlockOthers() throws Exception {
         List<Socket> halfOpen = new ArrayList<>();
         try {
             for (int i = 0; i < 50; i++) {
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/LeavingStageTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/LeavingStageTest.java
@@ -12,9 +12,9 @@
 import org.testng.annotations.Test;
 
 /**
- * A caller reads a stream while the agent of one of its stages says that it is leaving, or the VM list says so. The
- * session in progress finishes where it is, since moving it would cost a rebuild and gain nothing; a session that
- * comes after the sign goes to the other agent, whichever sign came first.
+ * An agent of a pipeline announces that it is leaving, or the VM list says so. A session in progress finishes at that
+ * agent, because moving it would cost a rebuild without benefit. New sessions go to the other agent after either
+ * notice.
  */
 public class LeavingStageTest {
     private static final String PROMPT = "construction debris";
@@ -23,14 +23,14 @@
     private EntryFixture entry;
     private FakePipeline pipeline;
     private FakeAgent leaving;
-    private FakeAgent other;
+    private FakeAgent replacement;
 
     @BeforeMethod
     public void start() throws Exception {
         entry = new EntryFixture(List.of(FakePipeline.MODEL));
         pipeline = new FakePipeline();
         leaving = pipeline.agent("b", 1, 1);
-        other = pipeline.agent("b2", 1, 1);
+        replacement = pipeline.agent("b2", 1, 1);
         entry.add(pipeline.agent("a", 1, 0), leaving, pipeline.agent("c", 1, 2));
     }
 
@@ -40,35 +40,37 @@
     }
 
     @Test
-    public void finishesInPlaceAndTakesNoNewSessionAfterItsOwnWord() throws Exception {
-        pipeline.onPosition(PROMPT.length() + 4, () -> leaving.say(AgentState.LEAVING));
+    public void finishesSessionAndTakesNoNewOnesAfterOwnNotice() throws Exception {
+        pipeline.onPosition(PROMPT.length() + 4, () -> leaving.changeState(AgentState.LEAVING));
         HttpResponse<String> response = entry.send(entry.chat(PROMPT, TOKENS, true));
         assertEquals(Sse.text(response.body()), FakePipeline.expected(PROMPT, TOKENS));
         assertTrue(Sse.isComplete(response.body()));
-        entry.add(other);
+        entry.add(replacement);
         EntryFixture.await(() -> entry.candidates() == 3);
         assertNewSessionsGoElsewhere();
     }
 
     @Test
-    public void takesNoNewSessionAfterTheVmListsWord() throws Exception {
-        entry.add(other);
-        entry.leaving = List.of("b");
+    public void takesNoNewSessionsAfterVmListNotice() throws Exception {
+        entry.add(replacement);
+        entry.leavingAgents = List.of("b");
         EntryFixture.await(() -> entry.candidates() == 3);
         assertNewSessionsGoElsewhere();
     }
 
     private void assertNewSessionsGoElsewhere() throws Exception {
-        long before = opened(leaving);
+        long before = openedStages(leaving);
         for (int i = 0; i < 5; i++) {
             HttpResponse<String> response = entry.send(entry.chat(PROMPT, TOKENS, true));
             assertTrue(Sse.isComplete(response.body()), response.body());
         }
-        assertEquals(opened(leaving), before);
-        assertEquals(opened(other), 5);
+        assertEquals(openedStages(leaving), before);
+        assertEquals(openedStages(replacement), 5);
     }
 
-    private static long opened(FakeAgent agent) {
-        return agent.got.stream().filter(OpenStage.class::isInstance).count();
+    private static long openedStages(FakeAgent agent) {
+        return agent.receivedMessages.stream()
+                .filter(OpenStage.class::isInstance)
+                .count();
     }
 }
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/LostLinkTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/LostServiceLinkTest.java
@@ -13,11 +13,11 @@
 import org.testng.annotations.Test;
 
 /**
- * A clerk books while the link between entry and agent breaks; the agent lives on. The entry asks the same agent on
- * a new link what became of the key. If the call had run, the clerk gets its answer; if it had not, the agent notes
- * that it never will, and only then is the clerk told not-run. Nothing is sent a second time.
+ * The link between entry and agent breaks during a call with a key; the agent keeps running. The entry asks the same
+ * agent over a new link for the result of the key. If the call ran, the caller gets its answer. If not, the agent
+ * records that the key never runs, and only then the caller gets the outcome not-run. The call is not sent again.
  */
-public class LostLinkTest {
+public class LostServiceLinkTest {
     private EntryFixture entry;
     private FakeService service;
 
@@ -34,19 +34,19 @@
     }
 
     @Test
-    public void givesTheAnswerThatWasOnTheBrokenLink() throws Exception {
+    public void returnsAnswerLostWithTheLink() throws Exception {
         service.beforeAnswer = (link, invoke) -> {
             link.close("cut by the test");
             return false;
         };
         HttpResponse<String> response = book();
         assertEquals(response.body(), "booked sofa as 1");
-        assertEquals(service.effects.get(), 1);
+        assertEquals(service.executions.get(), 1);
         assertEquals(invokes(), 1);
     }
 
     @Test
-    public void saysNotRunByTheAgentsWordWhenTheCallNeverCame() throws Exception {
+    public void reportsNotRunWhenAgentConfirmsCallNeverArrived() throws Exception {
         service.beforeRun = (link, invoke) -> {
             link.close("cut by the test");
             return false;
@@ -55,17 +55,19 @@
         assertEquals(
                 new ObjectMapper().readTree(response.body()).path("outcome").textValue(), "not-run");
         assertEquals(response.statusCode(), 502);
-        assertEquals(service.effects.get(), 0);
+        assertEquals(service.executions.get(), 0);
         assertEquals(invokes(), 1);
     }
 
     private HttpResponse<String> book() throws Exception {
-        String key = entry.mint(FakeService.NAME);
+        String key = entry.mintKey(FakeService.NAME);
         CompletableFuture<HttpResponse<String>> answer = entry.sendAsync(entry.book(FakeService.NAME, key, "sofa"));
         return answer.get(15, TimeUnit.SECONDS);
     }
 
     private long invokes() {
-        return service.agent.got.stream().filter(Invoke.class::isInstance).count();
+        return service.agent.receivedMessages.stream()
+                .filter(Invoke.class::isInstance)
+                .count();
     }
 }
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/LostStageLinkTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/LostStageLinkTest.java
@@ -11,9 +11,9 @@
 import org.testng.annotations.Test;
 
 /**
- * A caller reads a stream while the link between entry and one stage breaks; the agent lives, and there is no other
- * replica. The entry links up again and opens the same stage under a new epoch; the agent answers with the position
- * that it had reached, so nothing runs again. The caller sees one whole text and a pause of some milliseconds.
+ * The link between the entry and one stage breaks during a stream; the agent keeps running, and there is no other
+ * replica. The entry reconnects and opens the same stage under a new epoch. The agent replies with the position that it
+ * had reached, so no step runs again. The caller sees one complete text after a pause of some milliseconds.
  */
 public class LostStageLinkTest {
     private static final String PROMPT = "a mattress";
@@ -35,10 +35,10 @@
     }
 
     @Test
-    public void goesOnAtTheSameAgentOverANewLink() throws Exception {
+    public void resumesAtSameAgentOverNewLink() throws Exception {
         for (FakeAgent cut : entry.agents) {
             EntryFixture.await(() -> entry.candidates() == 3);
-            long before = opened(cut);
+            long before = openedStages(cut);
             pipeline.onPosition(PROMPT.length() + 6, () -> {
                 pipeline.stall(cut);
                 cut.cutLinks();
@@ -46,11 +46,13 @@
             HttpResponse<String> response = entry.send(entry.chat(PROMPT, TOKENS, true));
             assertEquals(Sse.text(response.body()), FakePipeline.expected(PROMPT, TOKENS), response.body());
             assertTrue(Sse.isComplete(response.body()));
-            assertTrue(opened(cut) >= before + 1);
+            assertTrue(openedStages(cut) >= before + 1);
         }
     }
 
-    private static long opened(FakeAgent agent) {
-        return agent.got.stream().filter(OpenStage.class::isInstance).count();
+    private static long openedStages(FakeAgent agent) {
+        return agent.receivedMessages.stream()
+                .filter(OpenStage.class::isInstance)
+                .count();
     }
 }
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/PlainServiceTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/PlainServiceTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Calls to a plain service, by ticket and without a key. */
+/** Calls to a plain service, with a ticket and without a key. */
 public class PlainServiceTest {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -32,25 +32,25 @@
     }
 
     @Test
-    public void booksOnceByTicketHoweverOftenItIsAsked() throws Exception {
-        String key = entry.mint(FakeService.NAME);
+    public void runsOncePerTicketWhenRepeated() throws Exception {
+        String key = entry.mintKey(FakeService.NAME);
         HttpResponse<String> first = entry.send(book(key, "sofa"));
         HttpResponse<String> again = entry.send(book(key, "sofa"));
         assertEquals(first.statusCode(), 200, first.body());
         assertEquals(first.body(), "booked sofa as 1");
         assertEquals(again.body(), first.body());
-        assertEquals(service.effects.get(), 1);
+        assertEquals(service.executions.get(), 1);
         assertEquals(first.headers().firstValue(Headers.OUTCOME).orElse(""), "answered");
     }
 
     @Test
-    public void refusesATicketThatNamesAnAgentOfAnotherService() throws Exception {
+    public void refusesTicketForAgentOfOtherService() throws Exception {
         ServiceName coupons = new ServiceName("coupons");
         entry.table.put(EntryFixture.row(coupons));
-        String key = entry.mint(FakeService.NAME);
+        String key = entry.mintKey(FakeService.NAME);
         HttpResponse<String> response = entry.send(entry.book(coupons, key, "code"));
         assertEquals(JSON.readTree(response.body()).path("kind").textValue(), "key-reused");
-        assertEquals(service.effects.get(), 0);
+        assertEquals(service.executions.get(), 0);
     }
 
     @Test
@@ -60,11 +60,11 @@
         JsonNode problem = JSON.readTree(response.body());
         assertEquals(response.statusCode(), 400);
         assertEquals(problem.path("kind").textValue(), "key-missing");
-        assertEquals(service.effects.get(), 0);
+        assertEquals(service.executions.get(), 0);
     }
 
     @Test
-    public void passesAnIdempotentCallWithoutAKey() throws Exception {
+    public void forwardsIdempotentCallWithoutKey() throws Exception {
         HttpResponse<String> response = entry.send(entry.request("/services/" + FakeService.NAME + "/list?of=sofas")
                 .GET());
         assertEquals(response.body(), "GET /list?of=sofas");
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/PoisonRequestTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/PoisonRequestTest.java
@@ -12,17 +12,17 @@
 import org.testng.annotations.Test;
 
 /**
- * One request crashes each engine of the second layer that runs it, and its caller sends it again by way of another
- * entry. After the second crash the caller is told for good that the request is set aside; a third engine never
- * gets it, nor does any when it comes again. Other requests of the same organisation go on.
+ * A request crashes each engine of the second layer that runs it, and its caller sends it again through another entry.
+ * After the second crash both entries refuse the request as set aside, and no further engine gets it. Other requests of
+ * the same organisation are served.
  */
 public class PoisonRequestTest {
-    private static final String POISON = "a piano";
+    private static final String POISON_PROMPT = "a piano";
 
     private FakeLog log;
     private EntryFixture entry;
     private EntryFixture other;
-    private FakeAgent[] second;
+    private FakeAgent[] secondLayerAgents;
 
     @BeforeMethod
     public void start() throws Exception {
@@ -30,12 +30,13 @@
         entry = new EntryFixture(List.of(FakePipeline.MODEL), log);
         other = new EntryFixture(List.of(FakePipeline.MODEL), log);
         FakePipeline pipeline = new FakePipeline();
-        pipeline.poison(POISON.length());
-        second = new FakeAgent[] {pipeline.agent("b1", 1, 1), pipeline.agent("b2", 1, 1), pipeline.agent("b3", 1, 1)};
+        pipeline.crashOnPromptLength(POISON_PROMPT.length());
+        secondLayerAgents =
+                new FakeAgent[] {pipeline.agent("b1", 1, 1), pipeline.agent("b2", 1, 1), pipeline.agent("b3", 1, 1)};
         FakeAgent a = pipeline.agent("a", 1, 0);
         FakeAgent c = pipeline.agent("c", 1, 2);
-        entry.add(a, c, second[0], second[1], second[2]);
-        other.know(a, c, second[0], second[1], second[2]);
+        entry.add(a, c, secondLayerAgents[0], secondLayerAgents[1], secondLayerAgents[2]);
+        other.addRunning(a, c, secondLayerAgents[0], secondLayerAgents[1], secondLayerAgents[2]);
     }
 
     @AfterMethod
@@ -45,23 +46,25 @@
     }
 
     @Test
-    public void isSetAsideEverywhereAfterTwoCrashes() throws Exception {
-        HttpResponse<String> first = entry.send(entry.chat(POISON, 4, false));
+    public void isSetAsideByAllEntriesAfterTwoCrashes() throws Exception {
+        HttpResponse<String> first = entry.send(entry.chat(POISON_PROMPT, 4, false));
         assertEquals(kind(first), "set-aside", first.body());
-        assertEquals(opened(), 2);
+        assertEquals(openedStages(), 2);
         EntryFixture.await(() -> other.crashReports() == 2);
-        HttpResponse<String> again = other.send(other.chat(POISON, 4, false));
+        HttpResponse<String> again = other.send(other.chat(POISON_PROMPT, 4, false));
         assertEquals(kind(again), "set-aside");
         assertEquals(again.statusCode(), 422);
-        assertEquals(opened(), 2);
+        assertEquals(openedStages(), 2);
         HttpResponse<String> innocent = other.send(other.chat("a piano stool", 4, true));
         assertTrue(Sse.isComplete(innocent.body()), innocent.body());
     }
 
-    private long opened() {
+    private long openedStages() {
         long count = 0;
-        for (FakeAgent agent : second) {
-            count += agent.got.stream().filter(OpenStage.class::isInstance).count();
+        for (FakeAgent agent : secondLayerAgents) {
+            count += agent.receivedMessages.stream()
+                    .filter(OpenStage.class::isInstance)
+                    .count();
         }
         return count;
     }
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/RetryTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/RetryTest.java
@@ -16,8 +16,8 @@
 import org.testng.annotations.Test;
 
 /**
- * A clerk lists bookings, which may safely run twice, and the backend server chosen first is full or its link breaks.
- * The entry sends the call to the other one within the deadline; the clerk sees only the answer.
+ * The backend server chosen first for an idempotent call is full, or its link breaks. The entry retries the call at the
+ * other backend server within the deadline, and the caller sees only the answer.
  */
 public class RetryTest {
     private EntryFixture entry;
@@ -35,8 +35,8 @@
     }
 
     @Test
-    public void goesElsewhereWhenAnAgentRefuses() throws Exception {
-        addTwo((link, invoke) -> {
+    public void retriesElsewhereAfterRefusal() throws Exception {
+        addTwoServices((link, invoke) -> {
             link.send(new InvokeResult(
                     invoke.call(),
                     Outcome.NOT_RUN,
@@ -52,19 +52,19 @@
     }
 
     @Test
-    public void goesElsewhereWhenTheLinkBreaks() throws Exception {
-        addTwo((link, invoke) -> {
+    public void retriesElsewhereAfterLinkLoss() throws Exception {
+        addTwoServices((link, invoke) -> {
             link.close("cut by the test");
             return false;
         });
         assertListed();
     }
 
-    private void addTwo(FakeService.Step failure) throws Exception {
+    private void addTwoServices(FakeService.Interceptor failure) throws Exception {
         for (String name : List.of("s1", "s2")) {
             FakeService service = new FakeService(name, 1);
             service.beforeRun =
-                    (Link link, Invoke invoke) -> !failed.compareAndSet(false, true) || failure.at(link, invoke);
+                    (Link link, Invoke invoke) -> !failed.compareAndSet(false, true) || failure.intercept(link, invoke);
             entry.add(service.agent);
         }
     }
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/SlowCallerTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/SlowCallerTest.java
@@ -22,15 +22,15 @@
 import org.testng.annotations.Test;
 
 /**
- * A caller asks for a stream and then reads nothing. Once what waits for it is over the bound, the stream is cut and
- * the session told, so that its memory and its place at the engines are free again. What the caller finds when it
- * reads at last lacks the end, so it cannot pass for complete.
+ * A caller requests a stream and does not read it. Once the buffered bytes exceed the bound, the stream is cut and the
+ * session is notified, so that its memory and its engine slots are released. What the caller reads later lacks the end
+ * marker, so it cannot pass for complete.
  */
 public class SlowCallerTest {
-    private static final int BOUND = 1 << 16;
-    private static final int MOST_EVENTS = 100_000;
+    private static final int MAX_BUFFERED_BYTES = 1 << 16;
+    private static final int MAX_EVENTS = 100_000;
 
-    private final CompletableFuture<HttpAnswer> asked = new CompletableFuture<>();
+    private final CompletableFuture<HttpAnswer> answerCreated = new CompletableFuture<>();
     private Server server;
 
     @BeforeMethod
@@ -39,7 +39,7 @@
         server.setHandler(new Handler.Abstract.NonBlocking() {
             @Override
             public boolean handle(Request request, Response response, Callback callback) {
-                asked.complete(new HttpAnswer("r-1", response, callback, BOUND));
+                answerCreated.complete(new HttpAnswer("r-1", response, callback, MAX_BUFFERED_BYTES));
                 return true;
             }
         });
@@ -52,40 +52,40 @@
     }
 
     @Test
-    public void isCutAndNeverLooksComplete() throws Exception {
+    public void cutsStreamThatNeverLooksComplete() throws Exception {
         int port = ((ServerConnector) server.getConnectors()[0]).getLocalPort();
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             String head = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n";
             socket.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
-            HttpAnswer answer = asked.get(15, TimeUnit.SECONDS);
+            HttpAnswer answer = answerCreated.get(15, TimeUnit.SECONDS);
             CountDownLatch broken = new CountDownLatch(1);
-            answer.onBroken(broken::countDown);
+            answer.onConnectionLost(broken::countDown);
             byte[] event = new byte[1 << 10];
             int sent = 0;
-            while (sent < MOST_EVENTS && answer.event(event)) {
+            while (sent < MAX_EVENTS && answer.sendEvent(event)) {
                 sent++;
             }
-            assertTrue(sent < MOST_EVENTS, "the bound was never reached");
+            assertTrue(sent < MAX_EVENTS, "the buffer bound was not enforced");
             assertTrue(broken.await(15, TimeUnit.SECONDS));
-            assertFalse(answer.event(event));
+            assertFalse(answer.sendEvent(event));
             answer.endStream();
-            String came = readUntilCut(socket.getInputStream());
-            assertFalse(came.contains("[DONE]"));
-            assertFalse(came.endsWith("0\r\n\r\n"), "the chunked body was ended properly");
+            String received = readUntilCut(socket.getInputStream());
+            assertFalse(received.contains("[DONE]"));
+            assertFalse(received.endsWith("0\r\n\r\n"), "the chunked body has its final chunk");
         }
     }
 
     private static String readUntilCut(InputStream in) {
-        StringBuilder came = new StringBuilder();
+        StringBuilder received = new StringBuilder();
         byte[] piece = new byte[1 << 16];
         try {
             for (int count = in.read(piece); count >= 0; count = in.read(piece)) {
-                came.append(new String(piece, 0, count, StandardCharsets.ISO_8859_1));
+                received.append(new String(piece, 0, count, StandardCharsets.ISO_8859_1));
             }
         } catch (IOException e) {
-            // A reset is one of the ways in which a caller sees that the stream was cut.
-            return came.toString();
+            // A cut stream may reach the caller as a connection reset.
+            return received.toString();
         }
-        return came.toString();
+        return received.toString();
     }
 }
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/Sse.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/Sse.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
-/** Reads server-sent events as a caller would. */
+/** Parses server-sent events on the caller side. */
 final class Sse {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String DATA = "data: ";
@@ -11,7 +11,7 @@
 
     private Sse() {}
 
-    /** The text of all events, in order. */
+    /** Returns the text of all events, in order. */
     static String text(String body) throws JsonProcessingException {
         StringBuilder text = new StringBuilder();
         for (String line : body.lines().toList()) {
@@ -24,12 +24,12 @@
         return text.toString();
     }
 
-    /** Whether the stream says that it is complete. */
+    /** Whether the stream ends with the marker of a complete answer. */
     static boolean isComplete(String body) {
         return body.endsWith(DATA + DONE + "\n\n");
     }
 
-    /** Whether the stream says that it failed. */
+    /** Whether the stream contains an error event. */
     static boolean isFailed(String body) {
         return body.contains("event: error\n");
     }
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/OwnKeyTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/UuidKeyTest.java
@@ -16,11 +16,11 @@
 import org.testng.annotations.Test;
 
 /**
- * A till books with keys of its own, by way of two entries, while the log loses an answer or is out. The first
- * binding on the log counts for both entries, so one agent runs the key and the other never sees it. During an
- * outage nothing is run, and not-run is said only once every agent that may have run the key has denied it.
+ * A caller sends calls with UUID keys that it generated itself through two entries, while the log loses an answer or is
+ * unavailable. The first binding on the log holds for both entries, so only one agent gets the key. During an outage no
+ * call runs, and not-run is reported only after every agent that may have run the key has denied it.
  */
-public class OwnKeyTest {
+public class UuidKeyTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long ONE_MINUTE = 60_000;
 
@@ -38,7 +38,7 @@
         one = new FakeService("s1", 1);
         two = new FakeService("s2", 2);
         entry.add(one.agent, two.agent);
-        other.know(one.agent, two.agent);
+        other.addRunning(one.agent, two.agent);
     }
 
     @AfterMethod
@@ -48,7 +48,7 @@
     }
 
     @Test
-    public void runsOnceWhenTwoEntriesRaceWithOneKey() throws Exception {
+    public void runsOnceWhenTwoEntriesUseOneKey() throws Exception {
         for (int i = 0; i < 20; i++) {
             String key = key(0);
             CompletableFuture<HttpResponse<String>> a = entry.sendAsync(entry.book(FakeService.NAME, key, "sofa"));
@@ -56,16 +56,16 @@
             String first = a.get(15, TimeUnit.SECONDS).body();
             assertEquals(b.get(15, TimeUnit.SECONDS).body(), first);
             assertTrue(first.startsWith("booked sofa"), first);
-            assertEquals(one.effects.get() + two.effects.get(), i + 1);
+            assertEquals(one.executions.get() + two.executions.get(), i + 1);
         }
     }
 
     @Test
-    public void settlesALostAppendAnswerByReadingBack() throws Exception {
-        log.losesAnswers = true;
+    public void resolvesLostAppendAnswerByReadingBack() throws Exception {
+        log.loseAnswers = true;
         HttpResponse<String> response = entry.send(entry.book(FakeService.NAME, key(0), "sofa"));
         assertEquals(response.statusCode(), 200, response.body());
-        assertEquals(one.effects.get() + two.effects.get(), 1);
+        assertEquals(one.executions.get() + two.executions.get(), 1);
         assertEquals(log.size(LogStream.KEYS), 1);
     }
 
@@ -75,7 +75,7 @@
         entry.send(entry.book(FakeService.NAME, key, "sofa"));
         HttpResponse<String> response = other.send(other.book(FakeService.NAME, key, "fridge"));
         assertEquals(kind(response), "key-reused");
-        assertEquals(one.effects.get() + two.effects.get(), 1);
+        assertEquals(one.executions.get() + two.executions.get(), 1);
     }
 
     @Test
@@ -86,34 +86,34 @@
     }
 
     @Test
-    public void saysNotRunInAnOutageOnlyWhenAllAgentsDenyTheKey() throws Exception {
+    public void reportsNotRunInOutageOnlyWhenAllAgentsDenyKey() throws Exception {
         Thread.sleep(300);
-        log.out = true;
+        log.unavailable = true;
         String key = key(ONE_MINUTE - 150);
         HttpResponse<String> response = entry.send(entry.book(FakeService.NAME, key, "sofa"));
         assertEquals(kind(response), "log-unavailable");
         assertEquals(outcome(response), "not-run");
-        log.out = false;
+        log.unavailable = false;
         HttpResponse<String> again = other.send(other.book(FakeService.NAME, key, "sofa"));
         assertEquals(outcome(again), "not-run", "a key that was denied never runs");
-        assertEquals(one.effects.get() + two.effects.get(), 0);
+        assertEquals(one.executions.get() + two.executions.get(), 0);
     }
 
     @Test
-    public void givesTheAnswerOfAnEarlierAttemptThatTheLogCannotTell() throws Exception {
+    public void returnsEarlierAnswerWhileLogIsUnavailable() throws Exception {
         Thread.sleep(300);
         String key = key(ONE_MINUTE - 150);
-        entry.keepsBehind(true);
+        entry.setLogReadsFail(true);
         HttpResponse<String> first = other.send(other.book(FakeService.NAME, key, "sofa"));
-        log.out = true;
+        log.unavailable = true;
         HttpResponse<String> second = entry.send(entry.book(FakeService.NAME, key, "sofa"));
         assertEquals(second.body(), first.body());
-        assertEquals(one.effects.get() + two.effects.get(), 1);
+        assertEquals(one.executions.get() + two.executions.get(), 1);
     }
 
     @Test
-    public void saysUnknownInAnOutageWhenAnEarlierLifeMayHaveRunTheKey() throws Exception {
-        log.out = true;
+    public void reportsUnknownInOutageWhenEarlierIncarnationMayHaveRunKey() throws Exception {
+        log.unavailable = true;
         HttpResponse<String> response = entry.send(entry.book(FakeService.NAME, key(-1_000), "sofa"));
         assertEquals(kind(response), "log-unavailable");
         assertEquals(outcome(response), "unknown");
--- a/daemon/src/test/java/org/cornelramp/daemon/http/BadRequestsTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/http/BadRequestsTest.java
@@ -22,18 +22,18 @@
 import org.testng.annotations.Test;
 
 /**
- * Callers send what is no HTTP, heads and bodies above the bounds, and paths that nothing serves. Each hears a
- * problem document of a fitting kind with outcome not-run, and a caller after them is answered as if nothing was.
+ * Requests that are not HTTP, that exceed the limits on headers or bodies, or that match no route are answered with a
+ * problem document of the matching kind and outcome not-run, and the next request is answered as usual.
  */
 public class BadRequestsTest {
-    /** More than the buffers of a connection on loopback hold. */
+    /** More than the socket buffers of a loopback connection hold. */
     private static final int LARGE_BYTES = 12 << 20;
 
     private final SimpleMeterRegistry meters = new SimpleMeterRegistry();
     private HttpServer server;
 
     /** Reads the body and answers with its length. */
-    private static final class Echo extends Handler.Abstract {
+    private static final class EchoLengthHandler extends Handler.Abstract {
         @Override
         public boolean handle(Request request, Response response, Callback callback) {
             Content.Source.asString(
@@ -49,7 +49,7 @@
     @BeforeClass
     public void start() throws Exception {
         Routes routes = new Routes();
-        routes.add("POST", "/echo", new Echo());
+        routes.add("POST", "/echo", new EchoLengthHandler());
         BoundSettings bounds = new BoundSettings(2_048, 1_024, 1_024, 64, 1, 1, 1);
         server = new HttpServer(new HostPort("127.0.0.1", 0), bounds, routes, meters);
         server.start();
@@ -76,7 +76,7 @@
                 + body.length() + "\r\n\r\n" + body;
     }
 
-    private void isProblem(String answer, int status, String kind) throws IOException {
+    private void assertProblem(String answer, int status, String kind) throws IOException {
         assertTrue(answer.startsWith("HTTP/1.1 " + status + " "), answer);
         assertTrue(answer.contains("application/problem+json"), answer);
         assertTrue(answer.contains("\"title\":\"" + kind + "\""), answer);
@@ -85,19 +85,19 @@
     }
 
     @Test
-    public void aHeadAboveTheBound() throws IOException {
-        isProblem(send(post("/echo", "X-Long: " + "a".repeat(2_000) + "\r\n", "")), 431, "headers-too-large");
+    public void headAboveLimitIsRefused() throws IOException {
+        assertProblem(send(post("/echo", "X-Long: " + "a".repeat(2_000) + "\r\n", "")), 431, "headers-too-large");
     }
 
     @Test
-    public void aBodyAboveTheBound() throws IOException {
-        isProblem(send(post("/echo", "", "b".repeat(4_000))), 413, "request-too-large");
+    public void bodyAboveLimitIsRefused() throws IOException {
+        assertProblem(send(post("/echo", "", "b".repeat(4_000))), 413, "request-too-large");
     }
 
     @Test
-    public void aBodyAboveTheBoundThatTellsNoLength() throws IOException {
+    public void chunkedBodyAboveLimitIsRefused() throws IOException {
         String chunk = "800\r\n" + "c".repeat(0x800) + "\r\n";
-        isProblem(
+        assertProblem(
                 send("POST /echo HTTP/1.1\r\nHost: x\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk
                         + chunk + "0\r\n\r\n"),
                 413,
@@ -105,25 +105,25 @@
     }
 
     /**
-     * A caller sends a large body above the bound and reads only then, as simple clients do. The server refuses it from its
-     * length. It must read on all the same: closed with bytes unread, the connection is reset while the caller is still
-     * sending, and the caller sees a broken connection instead of the refusal. What showed it: on a busy machine 5 of 60
-     * callers with a body of twice the bound failed with "header parser received no bytes", and nobody with another one.
+     * Guards against a refusal that is lost when a caller sends a whole body above the limit before it reads the
+     * answer, as simple clients do. If the server closes the connection with bytes unread, the connection is reset
+     * while the caller is still sending. On a busy machine 5 of 60 callers with a body of twice the limit failed with
+     * "header parser received no bytes"; no caller with another body failed.
      */
     @Test
-    public void aCallerThatReadsAfterItHasSentEverythingHearsTheRefusal() throws Exception {
-        isProblem(send(post("/echo", "", "d".repeat(LARGE_BYTES))), 413, "request-too-large");
+    public void callerThatSendsWholeBodyFirstReceivesRefusal() throws Exception {
+        assertProblem(send(post("/echo", "", "d".repeat(LARGE_BYTES))), 413, "request-too-large");
     }
 
     @Test
-    public void noHttpAtAll() throws IOException {
-        isProblem(send("hello there\r\n\r\n"), 400, "malformed-request");
+    public void requestThatIsNotHttpIsRefused() throws IOException {
+        assertProblem(send("hello there\r\n\r\n"), 400, "malformed-request");
     }
 
     @Test
-    public void aPathThatNothingServes() throws IOException {
+    public void unknownPathIsNotFound() throws IOException {
         double before = meters.counter("cornelramp.http.unrouted").count();
-        isProblem(send(post("/nothing", "", "")), 404, "not-found");
+        assertProblem(send(post("/nothing", "", "")), 404, "not-found");
         assertEquals(meters.counter("cornelramp.http.unrouted").count(), before + 1);
     }
 }
--- a/daemon/src/test/java/org/cornelramp/daemon/http/SlowCallersTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/http/SlowCallersTest.java
@@ -25,18 +25,20 @@
 import org.testng.annotations.Test;
 
 /**
- * A caller sends half a body and then nothing, on a connection that stays open. The read is given up on, and the
- * caller is answered. A caller whose answer takes longer than that silence is not given up on: it waits for us.
+ * Guards against a caller that sends half a body and then nothing on an open connection: the read times out, and the
+ * caller is answered. The same timeout must not end a request whose answer takes longer, because then the caller waits
+ * for the server.
  */
 public class SlowCallersTest {
     private static final long IDLE_MILLIS = 300;
-    private static final long LATE_MILLIS = 4 * IDLE_MILLIS;
+    private static final long ANSWER_DELAY_MILLIS = 4 * IDLE_MILLIS;
 
     private HttpServer server;
 
-    /** Reads the body, then answers late. */
-    private static final class Late extends Handler.Abstract {
-        private static final Executor LATER = CompletableFuture.delayedExecutor(LATE_MILLIS, TimeUnit.MILLISECONDS);
+    /** Reads the body and answers after a delay. */
+    private static final class DelayedAnswerHandler extends Handler.Abstract {
+        private static final Executor DELAYED_EXECUTOR =
+                CompletableFuture.delayedExecutor(ANSWER_DELAY_MILLIS, TimeUnit.MILLISECONDS);
 
         @Override
         public boolean handle(Request request, Response response, Callback callback) {
@@ -44,7 +46,8 @@
                     request,
                     StandardCharsets.UTF_8,
                     Promise.from(
-                            body -> LATER.execute(() -> Content.Sink.write(response, true, "whole", callback)),
+                            body -> DELAYED_EXECUTOR.execute(
+                                    () -> Content.Sink.write(response, true, "whole", callback)),
                             failure -> ProblemWriter.write(
                                     response,
                                     callback,
@@ -56,7 +59,7 @@
     @BeforeClass
     public void start() throws Exception {
         Routes routes = new Routes();
-        routes.add("POST", "/late", new Late());
+        routes.add("POST", "/late", new DelayedAnswerHandler());
         server = new HttpServer(
                 new HostPort("127.0.0.1", 0), BoundSettings.DEFAULTS, routes, new SimpleMeterRegistry(), IDLE_MILLIS);
         server.start();
@@ -78,14 +81,14 @@
     }
 
     @Test
-    public void halfABodyIsGivenUpOn() throws IOException {
+    public void incompleteBodyTimesOut() throws IOException {
         String answer = send("01234");
         assertTrue(answer.startsWith("HTTP/1.1 400 "), answer);
         assertTrue(answer.contains("\"outcome\":\"not-run\""), answer);
     }
 
     @Test
-    public void aLateAnswerIsWaitedFor() throws IOException {
+    public void slowAnswerDoesNotTimeOut() throws IOException {
         String answer = send("0123456789");
         assertTrue(answer.startsWith("HTTP/1.1 200 "), answer);
         assertTrue(answer.endsWith("whole"), answer);
--- a/daemon/src/test/java/org/cornelramp/daemon/log/LogLinesTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/log/LogLinesTest.java
@@ -9,7 +9,7 @@
 import java.util.logging.LogRecord;
 import org.testng.annotations.Test;
 
-/** A log line is one line whatever a caller put into it, and in JSON its part and facts are fields. */
+/** A log record is one line even if text from a caller contains line breaks; in JSON its part and facts are fields. */
 public class LogLinesTest {
 
     private static LogRecord record(String message) {
@@ -17,14 +17,14 @@
     }
 
     @Test
-    public void textWithLineEndsStaysOneLine() {
+    public void textFormatterReplacesLineBreaks() {
         String line = new TextLineFormatter().format(record("entry: refused; path=/a\nkernel: forged"));
         assertEquals(line.lines().count(), 1);
         assertTrue(line.contains(" INFO entry: refused; path=/a kernel: forged"), line);
     }
 
     @Test
-    public void jsonHasPartMessageAndFacts() throws Exception {
+    public void jsonFormatterSeparatesPartMessageAndFacts() throws Exception {
         String line = new JsonLineFormatter().format(record("table: the log fails; offset=7 why=no answer, again"));
         JsonNode node = new ObjectMapper().readTree(line);
         assertEquals(node.path("part").asText(), "table");
@@ -35,7 +35,7 @@
     }
 
     @Test
-    public void jsonWithoutFactsKeepsTheWholeMessage() throws Exception {
+    public void jsonFormatterKeepsWholeMessageWithoutFacts() throws Exception {
         JsonNode node =
                 new ObjectMapper().readTree(new JsonLineFormatter().format(record("kernel: stopped; all done")));
         assertEquals(node.path("message").asText(), "stopped; all done");
--- a/daemon/src/test/java/org/cornelramp/daemon/operator/LostAppendAnswerTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/operator/LostAppendAnswerTest.java
@@ -16,13 +16,17 @@
 import org.testng.annotations.Test;
 
 /**
- * An operator edits a row; the log takes the record and its answer is lost. The operator must be told that the edit
- * is accepted, once, and not that it lost to itself. If the record never got there, it is appended again and
- * accepted. Only if the log refuses each time is the operator told that nothing was changed.
+ * Guards against a wrong result of an edit when the log appends its record and the answer is lost: the edit is accepted
+ * once and must not be rejected as a conflict with its own first record. If the request is lost, the record is appended
+ * again and accepted. Only if the log refuses every attempt is the edit reported as not run.
  */
 public class LostAppendAnswerTest {
-    /** The read-back that cannot succeed is given up on soon; the others end as soon as they succeed. */
-    private static final EditLimits LIMITS = new EditLimits(TestEntry.LONG, TestEntry.LONG, Duration.ofSeconds(1));
+    /**
+     * The limit on the read-back is short because one test waits until it passes; the other waits end as soon as they
+     * succeed.
+     */
+    private static final EditLimits LIMITS =
+            new EditLimits(TestEntry.TIMEOUT, TestEntry.TIMEOUT, Duration.ofSeconds(1));
 
     private static Either<Problem, List<EditResult>> edit(MemoryLog log, TestEntry entry, String id, long against)
             throws InterruptedException {
@@ -30,7 +34,7 @@
                 .apply(List.of(TestEntry.edit(id, against, 5)));
     }
 
-    private static void accepts(MemoryLog.AppendFault fault, int faults, long records) throws Exception {
+    private static void assertAccepted(MemoryLog.AppendFault fault, int faults, long records) throws Exception {
         MemoryLog log = new MemoryLog();
         try (TestEntry entry = new TestEntry(log, "e1").start()) {
             log.failAppends(fault, faults);
@@ -43,18 +47,18 @@
     }
 
     @Test
-    public void anEditThatTookEffectIsAcceptedOnce() throws Exception {
-        accepts(MemoryLog.AppendFault.LOSE_ANSWER, 1, 2);
-        accepts(MemoryLog.AppendFault.LOSE_ANSWER, 6, 7);
+    public void editWithLostAnswerIsAcceptedOnce() throws Exception {
+        assertAccepted(MemoryLog.AppendFault.LOSE_ANSWER, 1, 2);
+        assertAccepted(MemoryLog.AppendFault.LOSE_ANSWER, 6, 7);
     }
 
     @Test
-    public void anEditThatNeverGotThereIsAppendedAgain() throws Exception {
-        accepts(MemoryLog.AppendFault.LOSE_CALL, 1, 1);
+    public void editWithLostRequestIsAppendedAgain() throws Exception {
+        assertAccepted(MemoryLog.AppendFault.LOSE_REQUEST, 1, 1);
     }
 
     @Test
-    public void aLogThatRefusesEachTimeHasChangedNothing() throws Exception {
+    public void repeatedRefusalIsReportedAsNotRun() throws Exception {
         MemoryLog log = new MemoryLog();
         try (TestEntry entry = new TestEntry(log, "e1").start()) {
             entry.tableAt(0);
@@ -67,7 +71,7 @@
     }
 
     @Test
-    public void whatCannotBeReadBackIsUnknownAndSaysHowToFindOut() throws Exception {
+    public void editThatCannotBeReadBackIsReportedAsUnknown() throws Exception {
         MemoryLog log = new MemoryLog();
         try (TestEntry entry = new TestEntry(log, "e1").start()) {
             edit(log, entry, "a", -1);
--- a/daemon/src/test/java/org/cornelramp/daemon/operator/RacingOperatorsTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/operator/RacingOperatorsTest.java
@@ -16,9 +16,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Two operators read the same version of a row and edit it at two entries at the same moment. One is told that the
- * edit is accepted, the other that it lost, and to what; both entries hold the winner's values. Round after round,
- * since each race may go either way.
+ * Guards against a lost update when two operators edit the same version of a row at two entries at once: one edit is
+ * accepted, the other is rejected and its result names the accepted one, and both entries hold the accepted values. The
+ * test repeats the race because either edit can win.
  */
 public class RacingOperatorsTest {
     private static final int ROUNDS = 30;
@@ -49,7 +49,7 @@
     }
 
     @Test
-    public void oneIsAcceptedAndTheOtherToldWhatItLostTo() throws Exception {
+    public void oneEditIsAcceptedAndTheOtherNamesTheWinner() throws Exception {
         MemoryLog log = new MemoryLog();
         ExecutorService operators = Executors.newFixedThreadPool(2);
         try (TestEntry first = new TestEntry(log, "e1").start();
--- a/daemon/src/test/java/org/cornelramp/daemon/table/LogOutageTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/table/LogOutageTest.java
@@ -11,46 +11,46 @@
 import org.testng.annotations.Test;
 
 /**
- * The log goes down. An entry that has a table keeps it in force. An entry that starts now has none: it says that
- * it is not ready, takes a peer's table once it is sent one, and is ready. When the log is back, it goes on from
- * there, and its own fold of the whole log must be the peer's table.
+ * Guards the table while the log is unavailable. An entry with a table keeps it in force. A new entry is not ready
+ * until a peer sends its table. When the log is available again, the new entry resumes from the offset of that table,
+ * and its own fold of the log must equal the peer's table.
  */
 public class LogOutageTest {
 
     @Test
-    public void aFreshEntryStartsFromItsPeersTableAndGoesOnWithTheLog() throws Exception {
+    public void newEntryStartsFromPeerTableAndResumesFromLog() throws Exception {
         MemoryLog log = new MemoryLog();
         try (TestEntry old = new TestEntry(log, "e1").start();
-                TestEntry fresh = new TestEntry(log, "e2")) {
+                TestEntry newEntry = new TestEntry(log, "e2")) {
             log.append(LogStream.TABLE, List.of(TableRecords.writeEdit(TestEntry.edit("a", -1, 7))))
                     .get();
             FoldedTable before = old.tableAt(1);
             log.setReadable(false);
-            fresh.start();
-            fresh.awaitTrouble();
-            assertFalse(fresh.keeper.isReady());
-            assertTrue(fresh.keeper.takeSnapshot(before.offset(), old.keeper.snapshotAbove(0)));
-            assertTrue(fresh.keeper.isReady());
-            assertEquals(fresh.keeper.folded(), before);
+            newEntry.start();
+            newEntry.awaitLogFault();
+            assertFalse(newEntry.keeper.isReady());
+            assertTrue(newEntry.keeper.applySnapshot(before.offset(), old.keeper.snapshotAbove(0)));
+            assertTrue(newEntry.keeper.isReady());
+            assertEquals(newEntry.keeper.folded(), before);
             assertEquals(old.keeper.folded(), before);
             log.append(LogStream.TABLE, List.of(TableRecords.writeEdit(TestEntry.edit("b", 0, 8))))
                     .get();
             log.setReadable(true);
-            assertEquals(fresh.tableAt(2), old.tableAt(2));
+            assertEquals(newEntry.tableAt(2), old.tableAt(2));
             assertEquals(
-                    fresh.keeper
+                    newEntry.keeper
                             .folded()
                             .row(TestEntry.KEY)
                             .orElseThrow()
                             .values()
                             .weight(),
                     8);
-            assertEquals(fresh.meters.counter("cornelramp.table.divergences").count(), 0.0);
+            assertEquals(newEntry.meters.counter("cornelramp.table.divergences").count(), 0.0);
         }
     }
 
     @Test
-    public void anOlderTableOfAPeerIsNotTaken() throws Exception {
+    public void olderPeerTableIsRejected() throws Exception {
         MemoryLog log = new MemoryLog();
         try (TestEntry entry = new TestEntry(log, "e1").start()) {
             log.append(LogStream.TABLE, List.of(TableRecords.writeEdit(TestEntry.edit("a", -1, 7))))
@@ -59,16 +59,16 @@
             log.append(LogStream.TABLE, List.of(TableRecords.writeEdit(TestEntry.edit("b", 0, 8))))
                     .get();
             entry.tableAt(2);
-            assertFalse(entry.keeper.takeSnapshot(1, older));
-            // A peer that names a higher offset than its bytes hold must not bring an older state back either.
-            assertFalse(entry.keeper.takeSnapshot(9, older));
+            assertFalse(entry.keeper.applySnapshot(1, older));
+            // A peer that announces a higher offset than its snapshot has must not restore an older state either.
+            assertFalse(entry.keeper.applySnapshot(9, older));
             assertEquals(entry.keeper.folded().offset(), 2);
         }
     }
 
     private static byte[] peerTable(FoldedTable table) {
         TableKeeper peer = new TableKeeper();
-        peer.take(table);
+        peer.replaceIfNewer(table);
         return peer.snapshot();
     }
 }
--- a/daemon/src/test/java/org/cornelramp/daemon/table/MemoryLog.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/table/MemoryLog.java
@@ -10,17 +10,17 @@
 import org.cornelramp.ports.LogStream;
 import org.cornelramp.ports.PlatformException;
 
-/** A log in memory with the faults of the real one. Safe for use by any thread. */
+/** A log in memory that can inject the faults of the real log. Safe for use by any thread. */
 public final class MemoryLog implements LogClient {
 
-    /** What the next appends meet. */
+    /** The fault that is injected into the next appends. */
     public enum AppendFault {
         NONE,
-        /** Takes effect, and the answer is lost. */
+        /** The append takes effect, and the answer is lost. */
         LOSE_ANSWER,
-        /** Has no effect, and the answer is lost. */
-        LOSE_CALL,
-        /** Is refused. */
+        /** The request is lost, so the append has no effect and gets no answer. */
+        LOSE_REQUEST,
+        /** The append is refused. */
         REFUSE
     }
 
@@ -30,24 +30,24 @@
     private int faultyAppends;
     private boolean readable = true;
 
-    /** Lets the next appends fail. */
+    /** Injects a fault into the next {@code count} appends. */
     public synchronized void failAppends(AppendFault kind, int count) {
         fault = kind;
         faultyAppends = count;
     }
 
-    /** Lets all reads fail, or work again. */
+    /** Sets whether reads succeed; while false, they all fail. */
     public synchronized void setReadable(boolean now) {
         readable = now;
         notifyAll();
     }
 
-    /** Forgets all records below an offset. */
+    /** Deletes all records below an offset, as retention does. */
     public synchronized void forgetBelow(long offset) {
         oldest = Math.max(oldest, offset);
     }
 
-    /** Number of records ever appended. */
+    /** Returns the number of records ever appended. */
     public synchronized long size() {
         return records.size();
     }
@@ -59,7 +59,7 @@
         if (now == AppendFault.REFUSE) {
             return failed(PlatformException.Kind.REFUSED);
         }
-        if (now == AppendFault.LOSE_CALL) {
+        if (now == AppendFault.LOSE_REQUEST) {
             return failed(PlatformException.Kind.ANSWER_LOST);
         }
         long first = records.size();
--- a/daemon/src/test/java/org/cornelramp/daemon/table/RetentionTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/table/RetentionTest.java
@@ -11,9 +11,9 @@
 import org.testng.annotations.Test;
 
 /**
- * The log forgets the first edits. A fresh entry finds no record from offset 0 on: it starts from the snapshot on
- * the log, though a writer that was paused has added an older one behind it, and folds what came after. Without a
- * snapshot it says why it is not ready instead of serving a table with rows missing.
+ * Guards against a table with missing rows after retention has deleted the first edits from the log. A new entry starts
+ * from the newest snapshot on the log, even if a delayed writer has appended an older one after it, and folds the
+ * records after that. Without a snapshot the entry is not ready and gives the reason.
  */
 public class RetentionTest {
 
@@ -30,10 +30,10 @@
     }
 
     @Test
-    public void aFreshEntryStartsFromTheNewestSnapshotAndNotFromAStaleOne() throws Exception {
+    public void newEntryStartsFromNewestSnapshot() throws Exception {
         MemoryLog log = new MemoryLog();
         try (TestEntry old = new TestEntry(log, "e1").start();
-                TestEntry fresh = new TestEntry(log, "e2")) {
+                TestEntry newEntry = new TestEntry(log, "e2")) {
             edit(log, "a", -1, 1);
             FoldedTable stale = old.tableAt(1);
             edit(log, "b", 0, 2);
@@ -41,10 +41,10 @@
             snapshot(log, stale);
             edit(log, "c", 1, 3);
             log.forgetBelow(2);
-            fresh.start();
-            assertEquals(fresh.tableAt(5), old.tableAt(5));
+            newEntry.start();
+            assertEquals(newEntry.tableAt(5), old.tableAt(5));
             assertEquals(
-                    fresh.keeper
+                    newEntry.keeper
                             .folded()
                             .row(TestEntry.KEY)
                             .orElseThrow()
@@ -55,17 +55,17 @@
     }
 
     @Test
-    public void withoutASnapshotAFreshEntryIsNotReadyAndSaysWhy() throws Exception {
+    public void newEntryWithoutSnapshotIsNotReady() throws Exception {
         MemoryLog log = new MemoryLog();
-        try (TestEntry fresh = new TestEntry(log, "e2")) {
+        try (TestEntry newEntry = new TestEntry(log, "e2")) {
             edit(log, "a", -1, 1);
             edit(log, "b", 0, 2);
             log.forgetBelow(1);
-            fresh.start();
+            newEntry.start();
             assertEquals(
-                    fresh.awaitTrouble(),
-                    "the log lacks records from 0 on and holds no snapshot of them; a peer with a newer table helps");
-            assertFalse(fresh.keeper.isReady());
+                    newEntry.awaitLogFault(),
+                    "the log no longer holds the records from 0 on and has no snapshot that covers them; a peer with a newer table can supply them");
+            assertFalse(newEntry.keeper.isReady());
         }
     }
 }
--- a/daemon/src/test/java/org/cornelramp/daemon/table/TestEntry.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/table/TestEntry.java
@@ -14,10 +14,10 @@
 import org.cornelramp.core.table.TableEdit;
 import org.cornelramp.ports.LogClient;
 
-/** The table's part of one entry, for tests. Safe for use by any thread. */
+/** The components of one entry that hold and follow the table, for tests. Safe for use by any thread. */
 public final class TestEntry implements AutoCloseable {
-    /** Longest wait for what must happen; no test counts on how long it takes. */
-    public static final Duration LONG = Duration.ofSeconds(20);
+    /** Longest wait for an event that must occur; no test depends on how long it takes. */
+    public static final Duration TIMEOUT = Duration.ofSeconds(20);
 
     /** The row that tests edit. */
     public static final RowKey KEY = new RowKey(new OrganisationId("o"), new ServiceName("s"));
@@ -37,33 +37,34 @@
         return this;
     }
 
-    /** The table once it covers an offset. */
+    /** Waits until the table covers an offset and returns it. */
     public FoldedTable tableAt(long offset) throws InterruptedException {
-        FoldedTable table = keeper.await(offset, LONG);
+        FoldedTable table = keeper.await(offset, TIMEOUT);
         if (table.offset() < offset) {
-            throw new AssertionError("The table never reached " + offset + ": " + table + " " + follower.trouble());
+            throw new AssertionError(
+                    "The table did not reach offset " + offset + ": " + table + " " + follower.logFault());
         }
         return table;
     }
 
-    /** Waits until the log is told not to help, and gives why. */
-    String awaitTrouble() throws InterruptedException {
-        long end = System.nanoTime() + LONG.toNanos();
-        while (follower.trouble().isEmpty()) {
+    /** Waits until the follower reports a fault of the log, and returns the fault. */
+    String awaitLogFault() throws InterruptedException {
+        long end = System.nanoTime() + TIMEOUT.toNanos();
+        while (follower.logFault().isEmpty()) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("The log was never told not to help: " + follower.status());
+                throw new AssertionError("The follower reported no fault of the log: " + follower.status());
             }
             Thread.sleep(5);
         }
-        return follower.trouble();
+        return follower.logFault();
     }
 
-    /** Columns with a weight. */
+    /** Returns the columns of a row with the given weight. */
     public static RowValues values(int weight) {
         return new RowValues(weight, 0, 0, 0, 0, 1_000, 99, List.of());
     }
 
-    /** An edit of the row. */
+    /** Returns an edit of the row. */
     public static TableEdit edit(String id, long against, int weight) {
         return new TableEdit(id, KEY, against, Optional.of(values(weight)), "operator");
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/HttpClients.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/HttpClients.java
@@ -1,6 +1,6 @@
 package org.cornelramp.gateway;
 
-import org.cornelramp.platform.ConnectWatch;
+import org.cornelramp.platform.ConnectTracker;
 import org.eclipse.jetty.client.AbstractConnectionPool;
 import org.eclipse.jetty.client.DuplexConnectionPool;
 import org.eclipse.jetty.client.HttpClient;
@@ -55,7 +55,7 @@
     }
 
     private HttpClient client(int maxUsage, SelectorAwareScheduler connectTimers) {
-        ConnectWatch connectWatch = new ConnectWatch();
+        ConnectTracker connectWatch = new ConnectTracker();
         ClientConnector connector = new ResetAwareConnector(connectWatch, connectTimers);
         connector.setExecutor(threads);
         connector.setSelectors(1);
@@ -113,7 +113,7 @@
     }
 
     private static int underWay(HttpClient client) {
-        return client.getBean(ConnectWatch.class).underWay();
+        return client.getBean(ConnectTracker.class).inProgress();
     }
 
     /**
--- a/gateway/src/main/java/org/cornelramp/gateway/ResetAwareConnector.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/ResetAwareConnector.java
@@ -8,7 +8,7 @@
 import java.nio.channels.SocketChannel;
 import java.util.Map;
 import java.util.concurrent.Executor;
-import org.cornelramp.platform.ConnectWatch;
+import org.cornelramp.platform.ConnectTracker;
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.io.ManagedSelector;
@@ -30,14 +30,14 @@
  * be given up. As thread-safe as its parent.
  */
 final class ResetAwareConnector extends ClientConnector {
-    private final ConnectWatch connectWatch;
+    private final ConnectTracker connectWatch;
     private final SelectorAwareScheduler connectTimers;
 
     /**
      * @param connectWatch notified of the begin and end of each connect
      * @param connectTimers scheduler of the connect timeouts
      */
-    ResetAwareConnector(ConnectWatch connectWatch, SelectorAwareScheduler connectTimers) {
+    ResetAwareConnector(ConnectTracker connectWatch, SelectorAwareScheduler connectTimers) {
         this.connectWatch = connectWatch;
         this.connectTimers = connectTimers;
     }
@@ -54,13 +54,13 @@
     @Override
     protected void configure(SelectableChannel selectable) throws IOException {
         super.configure(selectable);
-        connectWatch.begun((SocketChannel) selectable);
+        connectWatch.started((SocketChannel) selectable);
     }
 
     @Override
     protected void connectFailed(
             SelectableChannel selectable, SocketAddress address, Throwable failure, Map<String, Object> context) {
-        connectWatch.ended((SocketChannel) selectable);
+        connectWatch.finished((SocketChannel) selectable);
         super.connectFailed(selectable, address, failure, context);
     }
 
@@ -71,7 +71,7 @@
 
     @Override
     protected EndPoint newEndPoint(SelectableChannel selectable, ManagedSelector selector, SelectionKey key) {
-        connectWatch.ended((SocketChannel) selectable);
+        connectWatch.finished((SocketChannel) selectable);
         return new ResetAwareEndPoint((SocketChannel) selectable, selector, key, getScheduler());
     }
 
--- a/gateway/src/main/java/org/cornelramp/gateway/archive/ArchiveRun.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/archive/ArchiveRun.java
@@ -47,7 +47,7 @@
     }
 
     private static void run(StandInStore store, List<StandInServer> servers) throws Exception {
-        List<Integer> ports = FreePorts.take(4);
+        List<Integer> ports = FreePorts.find(4);
         Path file = Files.writeString(
                 Files.createTempFile("archive", ".json"), StandInSettings.gateway("archive", ports, store.address()));
         Thread gateway = new Thread(() -> Main.main(new String[] {"--settings", file.toString()}), "main");
@@ -62,15 +62,15 @@
 
     /** Loads the classes that a gateway with peers needs as well: peers' updates and records, and a store outage. */
     private static int serveWithPeer(StandInStore store, StandInClient client) throws Exception {
-        String json = StandInSettings.gateway("peer", FreePorts.take(4), store.address());
+        String json = StandInSettings.gateway("peer", FreePorts.find(4), store.address());
         GatewaySettings settings = new GatewaySettingsReader().read(json).get();
         EventLog log = new EventLog(System.out, Clock.systemUTC(), settings.name());
         log.start();
         Gateway peer = new Gateway(settings, SteadyClock.system(), log);
-        store.setRefuses(true);
+        store.setUnavailable(true);
         peer.start();
         Thread.sleep(PEER_MILLIS / 2);
-        store.setRefuses(false);
+        store.setUnavailable(false);
         Thread.sleep(PEER_MILLIS);
         StandInClient other = new StandInClient(settings.requests(), StandInConfig.KEY);
         int served = sendRequests(client, "beside-") + sendRequests(other, "peer-");
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/ConfigFollower.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/ConfigFollower.java
@@ -5,7 +5,7 @@
 import org.cornelramp.gateway.route.ConfigHolder;
 import org.cornelramp.platform.ConfigDecoder;
 import org.cornelramp.platform.MetadataStore;
-import org.cornelramp.platform.StoreFault;
+import org.cornelramp.platform.PlatformFault;
 
 /**
  * Keeps the configuration in force up to date with the store. Confined to its own thread, except for start and stop.
@@ -57,7 +57,7 @@
 
     /** @param offset offset of the record in the store; negative if the configuration came from a peer */
     private void apply(byte[] source, String from, long offset) {
-        Either<StoreFault, RoutingConfig> config = ConfigDecoder.decode(source);
+        Either<PlatformFault, RoutingConfig> config = ConfigDecoder.decode(source);
         if (config.isLeft()) {
             recordUnreadable(offset, config.getLeft().toString());
             return;
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/ServerFollower.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/ServerFollower.java
@@ -12,7 +12,7 @@
 import org.cornelramp.gateway.route.RouterEvent;
 import org.cornelramp.platform.MetadataStore;
 import org.cornelramp.platform.RegistrationDecoder;
-import org.cornelramp.platform.StoreFault;
+import org.cornelramp.platform.PlatformFault;
 
 /**
  * Reads the backend servers' registrations. Confined to its own thread, except for start and stop.
@@ -71,7 +71,7 @@
      * used any more.
      */
     private Optional<BackendServer> decode(BackendServerId name, byte[] value, long offset) {
-        Either<StoreFault, BackendServer> server = RegistrationDecoder.decode(name, value);
+        Either<PlatformFault, BackendServer> server = RegistrationDecoder.decode(name, value);
         if (server.isLeft()) {
             recordUnreadable(offset, server.getLeft().toString());
         }
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/TopicFollower.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/TopicFollower.java
@@ -8,7 +8,7 @@
 import org.cornelramp.gateway.log.EventLog;
 import org.cornelramp.gateway.metrics.Meters;
 import org.cornelramp.platform.MetadataStore;
-import org.cornelramp.platform.StoreFault;
+import org.cornelramp.platform.PlatformFault;
 
 /**
  * A thread that continuously reads one topic of the platform's store: from the gateway that reads for all, or else from
@@ -149,7 +149,7 @@
     private long readStore() {
         lastAttemptMillis = parts.clock().millis();
         boolean complete = nextOffset < 0;
-        Either<StoreFault, MetadataStore.Page> read =
+        Either<PlatformFault, MetadataStore.Page> read =
                 complete ? parts.store().newest(topic) : parts.store().read(topic, nextOffset, LONG_POLL_MILLIS);
         if (read.isLeft()) {
             return handleFault(read.getLeft());
@@ -209,8 +209,8 @@
         return theirs == era || (theirs > era && recordSet.complete());
     }
 
-    private long handleFault(StoreFault fault) {
-        if (fault.kind() == StoreFault.Kind.GONE) {
+    private long handleFault(PlatformFault fault) {
+        if (fault.kind() == PlatformFault.Kind.GONE) {
             nextOffset = -1;
             return 0;
         }
--- a/gateway/src/main/java/org/cornelramp/gateway/place/LayerPlacer.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/place/LayerPlacer.java
@@ -25,7 +25,7 @@
 import org.cornelramp.gateway.route.FleetView;
 import org.cornelramp.platform.EngineControl;
 import org.cornelramp.platform.EngineReport;
-import org.cornelramp.platform.StoreFault;
+import org.cornelramp.platform.PlatformFault;
 
 /**
  * Assigns layers to the engines while this process is the leader.
@@ -218,7 +218,7 @@
             orders.remove(engine.id());
             return;
         }
-        Either<StoreFault, byte[]> result = engines.place(engine, placement.layers(), before);
+        Either<PlatformFault, byte[]> result = engines.place(engine, placement.layers(), before);
         meters.countOrder(result.isRight());
         log.line("placement", result.isRight() ? "ordered" : "order failed")
                 .with("server", engine.id())
@@ -228,12 +228,12 @@
                 .with("ordersBefore", before)
                 .with("term", lastTerm.generation())
                 .with("era", lastTerm.era())
-                .with("fault", result.fold(StoreFault::toString, any -> ""))
+                .with("fault", result.fold(PlatformFault::toString, any -> ""))
                 .write();
         if (result.isRight()) {
             acceptedOrders.put(engine.id(), before + 1);
         }
-        if (result.isLeft() && result.getLeft().kind() == StoreFault.Kind.CONFLICT) {
+        if (result.isLeft() && result.getLeft().kind() == PlatformFault.Kind.CONFLICT) {
             refreshOrderCount(engine, now);
             return;
         }
@@ -246,7 +246,7 @@
 
     /** Reads an engine's order count from its report, and excludes the engine from planning for a short time. */
     private void refreshOrderCount(BackendServer engine, long now) {
-        Either<StoreFault, EngineReport> report = engines.report(engine);
+        Either<PlatformFault, EngineReport> report = engines.report(engine);
         if (report.isLeft()) {
             log.line("placement", "no report")
                     .with("server", engine.id())
@@ -255,7 +255,7 @@
             orders.put(engine.id(), new Order(unknownLayers(engine), now + ORDER_TIMEOUT_MILLIS));
             return;
         }
-        acceptedOrders.put(engine.id(), report.get().orders());
+        acceptedOrders.put(engine.id(), report.get().acceptedOrders());
         Optional<LayerRange> held = report.get().layers();
         orders.put(engine.id(), new Order(held.orElse(unknownLayers(engine)), now + REFUSAL_PAUSE_MILLIS));
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/place/LeaderLease.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/place/LeaderLease.java
@@ -13,7 +13,7 @@
 import org.cornelramp.gateway.log.EventLog;
 import org.cornelramp.gateway.metrics.Meters;
 import org.cornelramp.platform.MetadataStore;
-import org.cornelramp.platform.StoreFault;
+import org.cornelramp.platform.PlatformFault;
 
 /**
  * Determines whether this process is the leader, and reads the addresses of the other group members.
@@ -150,7 +150,7 @@
     }
 
     private void join(long now) {
-        Either<StoreFault, MetadataStore.Membership> joined = store.join(GROUP, member, GROUP, TTL_MILLIS, generation);
+        Either<PlatformFault, MetadataStore.Membership> joined = store.join(GROUP, member, GROUP, TTL_MILLIS, generation);
         meters.countStoreCall("join", joined.fold(fault -> fault.kind().name(), any -> "ok"));
         if (joined.isLeft()) {
             access.recordFailure();
@@ -162,7 +162,7 @@
         long era = joined.get().era();
         boolean restored = old.era() != NO_ERA && era != old.era();
         // The former leader may still consider itself the leader until it has noticed the restore.
-        boolean leading = joined.get().holdsFirst() && !restored;
+        boolean leading = joined.get().holdsFirstPartition() && !restored;
         generation = restored ? 0 : joined.get().generation();
         boolean wasLeading = !old.term().equals(NONE);
         Term term = wasLeading ? old.term() : new Term(era, generation);
@@ -176,7 +176,7 @@
     }
 
     private void readMembers(long now) {
-        Either<StoreFault, Set<String>> members = store.members(GROUP);
+        Either<PlatformFault, Set<String>> members = store.members(GROUP);
         meters.countStoreCall("members", members.fold(fault -> fault.kind().name(), any -> "ok"));
         List<HostPort> peers = new ArrayList<>();
         members.getOrElse(Set.of()).forEach(memberName -> address(memberName).ifPresent(peers::add));
--- a/gateway/src/main/java/org/cornelramp/gateway/request/Attempt.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/Attempt.java
@@ -11,8 +11,8 @@
 import org.cornelramp.core.path.StagePath;
 import org.cornelramp.core.routing.RouteKind;
 import org.cornelramp.gateway.SteadyClock;
-import org.cornelramp.platform.AnswerHead;
-import org.cornelramp.platform.ForwardHead;
+import org.cornelramp.platform.ResponseHead;
+import org.cornelramp.platform.ForwardedHead;
 import org.cornelramp.platform.SocketReadiness;
 import org.eclipse.jetty.client.BytesRequestContent;
 import org.eclipse.jetty.client.HttpClient;
@@ -42,7 +42,7 @@
     private final HttpClient http;
     private final Exchange exchange;
     private final BackendServer server;
-    private final ForwardHead head;
+    private final ForwardedHead head;
     private final SteadyClock clock;
     private final BiConsumer<Attempt, AttemptEnd> onEnd;
     private final EventSplitter splitter = new EventSplitter();
@@ -56,7 +56,7 @@
     private volatile boolean cancelled;
     private volatile boolean contentEnded;
     private volatile Throwable clientFailure;
-    private volatile AnswerHead receivedHead;
+    private volatile ResponseHead receivedHead;
     private volatile HttpFields fields = HttpFields.EMPTY;
     private boolean writing;
     private boolean ended;
@@ -68,7 +68,7 @@
             HttpClient http,
             Exchange exchange,
             BackendServer server,
-            ForwardHead head,
+            ForwardedHead head,
             SteadyClock clock,
             BiConsumer<Attempt, AttemptEnd> onEnd) {
         this.http = http;
@@ -113,7 +113,7 @@
     /** Whether bytes of the response wait unread in the socket. */
     public boolean hasUnreadBytes() {
         Request out = request;
-        return out != null && SocketReadiness.hasUnread(out);
+        return out != null && SocketReadiness.hasUnreadBytes(out);
     }
 
     /** Sends the request. */
@@ -159,7 +159,7 @@
 
     void onContent(Response response, Content.Source source) {
         fields = response.getHeaders();
-        AnswerHead responseHead = AnswerHead.decode(response.getStatus(), fields);
+        ResponseHead responseHead = ResponseHead.decode(response.getStatus(), fields);
         receivedHead = responseHead;
         answering = true;
         relaying = exchange.request().route().kind() == RouteKind.STREAMING
@@ -169,7 +169,7 @@
     }
 
     /** Whether the response carries this request's id. Otherwise it belongs to an earlier request of the connection. */
-    private boolean matchesRequest(AnswerHead responseHead) {
+    private boolean matchesRequest(ResponseHead responseHead) {
         return responseHead.requestId().equals(exchange.request().id());
     }
 
@@ -285,11 +285,11 @@
         if (clientFailure != null) {
             return AttemptEnd.without(AttemptEnd.Kind.CLIENT_GONE, summarise(clientFailure));
         }
-        AnswerHead responseHead = receivedHead;
+        ResponseHead responseHead = receivedHead;
         if (result.isFailed() || responseHead == null) {
             return AttemptEnd.without(kindWithoutResponse(failure), summarise(failure));
         }
-        if (!matchesRequest(responseHead) && !responseHead.saysNotRun()) {
+        if (!matchesRequest(responseHead) && !responseHead.notRun()) {
             return AttemptEnd.without(AttemptEnd.Kind.BROKEN, "the response belongs to another request");
         }
         if (relaying) {
@@ -299,7 +299,7 @@
                     responseHead.status(),
                     fields,
                     new byte[0],
-                    responseHead.faultAt(),
+                    responseHead.faultyEngine(),
                     whole ? "" : "the stream ended in the middle of an event");
         }
         return bufferedEnd(responseHead);
@@ -322,9 +322,9 @@
         return text.length() > MAX_DETAIL_CHARS ? text.substring(0, MAX_DETAIL_CHARS) : text;
     }
 
-    private AttemptEnd bufferedEnd(AnswerHead responseHead) {
+    private AttemptEnd bufferedEnd(ResponseHead responseHead) {
         AttemptEnd.Kind kind = AttemptEnd.Kind.ANSWERED;
-        if (responseHead.saysNotRun()) {
+        if (responseHead.notRun()) {
             kind = AttemptEnd.Kind.NOT_RUN;
         } else if (!responseHead.signed() || responseHead.encoded()) {
             kind = AttemptEnd.Kind.BROKEN;
@@ -334,7 +334,7 @@
                 responseHead.status(),
                 fields,
                 buffer.toByteArray(),
-                responseHead.faultAt(),
+                responseHead.faultyEngine(),
                 "status " + responseHead.status());
     }
 
--- a/gateway/src/main/java/org/cornelramp/gateway/request/ClientRequestHandler.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/ClientRequestHandler.java
@@ -16,7 +16,7 @@
 import org.cornelramp.gateway.route.ConfigHolder;
 import org.cornelramp.gateway.route.Router;
 import org.cornelramp.gateway.route.RouterEvent;
-import org.cornelramp.platform.CallHead;
+import org.cornelramp.platform.RequestHead;
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.server.Request;
@@ -67,7 +67,7 @@
                 && earlyRequests.tryDelay(request, () -> handle(request, response, callback, now), now);
         if (delayed) {
             log.routine("intake", "held")
-                    .with("id", CallHead.decode(request.getHeaders()).requestId())
+                    .with("id", RequestHead.decode(request.getHeaders()).requestId())
                     .with("why", "no configuration yet")
                     .write();
         } else {
@@ -77,7 +77,7 @@
 
     private void handle(Request request, Response response, Callback callback, long now) {
         HttpFields fields = request.getHeaders().asImmutable();
-        CallHead head = CallHead.decode(fields);
+        RequestHead head = RequestHead.decode(fields);
         Optional<RoutingConfig> version = config.current();
         if (version.isEmpty()) {
             refuse(request, response, callback, head, Refusal.NO_CONFIGURATION);
@@ -111,7 +111,7 @@
             RoutingConfig version,
             Route route,
             Optional<RoutingConfig.Organisation> organisation,
-            CallHead head,
+            RequestHead head,
             HttpFields fields,
             long now) {}
 
@@ -152,13 +152,13 @@
         }
     }
 
-    private void refuse(Request request, Response response, Callback callback, CallHead head, Refusal refusal) {
+    private void refuse(Request request, Response response, Callback callback, RequestHead head, Refusal refusal) {
         String path = request.getHttpURI().getPath();
         logRefused(head, refusal, "host " + request.getHeaders().get(HttpHeader.HOST) + " path " + path);
         Exchange.refuse(response, callback, refusal, refusal.retryMillis(), closing.getAsBoolean());
     }
 
-    private void logRefused(CallHead head, Refusal refusal, String why) {
+    private void logRefused(RequestHead head, Refusal refusal, String why) {
         meters.countRefusal(refusal.name());
         log.line("intake", "refused")
                 .with("id", head.requestId())
--- a/gateway/src/main/java/org/cornelramp/gateway/request/Exchange.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/Exchange.java
@@ -10,8 +10,8 @@
 import java.util.function.BooleanSupplier;
 import org.cornelramp.core.model.OrganisationId;
 import org.cornelramp.core.routing.Route;
-import org.cornelramp.platform.AnswerHead;
-import org.cornelramp.platform.CallHead;
+import org.cornelramp.platform.ResponseHead;
+import org.cornelramp.platform.RequestHead;
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.server.Response;
@@ -54,7 +54,7 @@
      * @param deadlineMillis when the final response is due, on the steady clock
      */
     public record ClientRequest(
-            CallHead head,
+            RequestHead head,
             String method,
             String pathQuery,
             HttpFields fields,
@@ -82,7 +82,7 @@
         this.response = response;
         this.callback = callback;
         this.closing = closing;
-        this.lastEventId = call.head().lastEvent().orElse(-1L);
+        this.lastEventId = call.head().lastEventId().orElse(-1L);
     }
 
     /** The client's request. */
@@ -152,7 +152,7 @@
         if (!committed) {
             committed = true;
             beginResponse(200);
-            AnswerHead.copy(fields, response.getHeaders());
+            ResponseHead.copyEndToEnd(fields, response.getHeaders());
             // On a connection that closes after the response, the server would let the close mark its end. A stream
             // that
             // is cut because the process is killed would then look complete; the last chunk tells the two apart.
@@ -177,7 +177,7 @@
         }
         if (!committed) {
             beginResponse(200);
-            AnswerHead.copy(fields, response.getHeaders());
+            ResponseHead.copyEndToEnd(fields, response.getHeaders());
         }
         response.write(true, ByteBuffer.allocate(0), callback);
         return true;
@@ -189,7 +189,7 @@
             return false;
         }
         beginResponse(status);
-        AnswerHead.copy(fields, response.getHeaders());
+        ResponseHead.copyEndToEnd(fields, response.getHeaders());
         response.write(true, ByteBuffer.wrap(body), callback);
         return true;
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/route/Dispatcher.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Dispatcher.java
@@ -19,7 +19,7 @@
 import org.cornelramp.gateway.request.Attempt;
 import org.cornelramp.gateway.request.AttemptEnd;
 import org.cornelramp.gateway.request.Exchange;
-import org.cornelramp.platform.ForwardHead;
+import org.cornelramp.platform.ForwardedHead;
 import org.eclipse.jetty.client.HttpClient;
 
 /**
@@ -162,7 +162,7 @@
     private void startAttempt(ActiveRequest request, BackendServer server, Optional<StagePath> path, long now) {
         Exchange exchange = request.exchange();
         Exchange.ClientRequest call = exchange.request();
-        ForwardHead head = new ForwardHead(
+        ForwardedHead head = new ForwardedHead(
                 server.name(),
                 call.deadlineMillis() - now,
                 call.organisation(),
--- a/gateway/src/main/java/org/cornelramp/gateway/route/FailureDetector.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/FailureDetector.java
@@ -13,7 +13,7 @@
 import org.cornelramp.gateway.request.Attempt;
 import org.cornelramp.gateway.request.AttemptEnd;
 import org.cornelramp.platform.EngineReport;
-import org.cornelramp.platform.StoreFault;
+import org.cornelramp.platform.PlatformFault;
 
 /**
  * Detects failed servers from the ends of attempts and from engines' reports, and records them as suspected. Confined
@@ -179,7 +179,7 @@
     }
 
     /** Handles an engine's report, or the failure to read it. */
-    void handleReport(BackendServer engine, Either<StoreFault, EngineReport> report, long now) {
+    void handleReport(BackendServer engine, Either<PlatformFault, EngineReport> report, long now) {
         if (report.isLeft()) {
             handleMissingReport(engine, report.getLeft(), now);
             return;
@@ -187,7 +187,7 @@
         engineControl.recordAnswer(engine.id(), now);
         recordAlive(engine.id(), now, "it answers", now);
         double before = fleet.loads().slowdown(engine.id());
-        double slowdown = report.get().pace();
+        double slowdown = report.get().slowdown();
         fleet.loads().setSlowdown(engine.id(), slowdown, now);
         if (Math.abs(slowdown - before) > LOGGED_SLOWDOWN_CHANGE * before) {
             log.line("fleet", "pace")
@@ -202,8 +202,8 @@
         }
     }
 
-    private void handleMissingReport(BackendServer engine, StoreFault fault, long now) {
-        boolean dead = fault.kind() == StoreFault.Kind.NOT_LISTENING;
+    private void handleMissingReport(BackendServer engine, PlatformFault fault, long now) {
+        boolean dead = fault.kind() == PlatformFault.Kind.NOT_LISTENING;
         if (fleet.suspicions().isLost(engine.id(), now)) {
             fleet.suspicions().probeFailed(engine.id(), now);
         } else if (!dead && unanswered.isLikelyLocalFault(engine.id(), fleet.isLate(now), now)) {
--- a/gateway/src/main/java/org/cornelramp/gateway/route/ProbePair.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/ProbePair.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.cornelramp.platform.EngineReport;
-import org.cornelramp.platform.StoreFault;
+import org.cornelramp.platform.PlatformFault;
 
 /**
  * Combines two calls to one engine into one result: the first answer, or the failure once both calls have failed or one
@@ -14,12 +14,12 @@
  * <p>Invariant: the result is delivered once.
  */
 final class ProbePair {
-    private final Consumer<Either<StoreFault, EngineReport>> onResult;
+    private final Consumer<Either<PlatformFault, EngineReport>> onResult;
     private final CountDownLatch settled = new CountDownLatch(1);
     private int failures;
 
     /** @param onResult receives the result, on the thread that delivers it */
-    ProbePair(Consumer<Either<StoreFault, EngineReport>> onResult) {
+    ProbePair(Consumer<Either<PlatformFault, EngineReport>> onResult) {
         this.onResult = onResult;
     }
 
@@ -34,15 +34,15 @@
     }
 
     /** Handles the end of one call. */
-    void handleCallEnd(Either<StoreFault, EngineReport> report) {
+    void handleCallEnd(Either<PlatformFault, EngineReport> report) {
         if (isDecisive(report)) {
             onResult.accept(report);
         }
     }
 
-    private synchronized boolean isDecisive(Either<StoreFault, EngineReport> report) {
+    private synchronized boolean isDecisive(Either<PlatformFault, EngineReport> report) {
         boolean open = settled.getCount() > 0;
-        if (report.isRight() || report.getLeft().kind() == StoreFault.Kind.NOT_LISTENING) {
+        if (report.isRight() || report.getLeft().kind() == PlatformFault.Kind.NOT_LISTENING) {
             settled.countDown();
             return open;
         }
--- a/gateway/src/main/java/org/cornelramp/gateway/route/Router.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Router.java
@@ -7,7 +7,7 @@
 import org.cornelramp.core.model.BackendServerId;
 import org.cornelramp.core.model.ServiceName;
 import org.cornelramp.core.settings.GatewaySettings;
-import org.cornelramp.daemon.kernel.Duty;
+import org.cornelramp.daemon.kernel.EventLoop;
 import org.cornelramp.gateway.HttpClients;
 import org.cornelramp.gateway.SteadyClock;
 import org.cornelramp.gateway.log.EventLog;
@@ -17,9 +17,9 @@
 import org.cornelramp.gateway.request.AttemptEnd;
 import org.cornelramp.gateway.request.Exchange;
 import org.cornelramp.gateway.request.Refusal;
-import org.cornelramp.platform.CallHead;
+import org.cornelramp.platform.RequestHead;
 import org.cornelramp.platform.MoveFault;
-import org.cornelramp.platform.StoreFault;
+import org.cornelramp.platform.PlatformFault;
 
 /**
  * Chooses a backend server for each request, and another one when an attempt fails.
@@ -53,7 +53,7 @@
     private final OverdueAttempts overdueAttempts;
     private final PeerUpdateHandler peerUpdateHandler;
     private final AtomicInteger activeRequestCount = new AtomicInteger();
-    private final Duty<RouterEvent> duty;
+    private final EventLoop<RouterEvent> duty;
     private final Dispatcher dispatcher;
     private final RetryDispatcher retryDispatcher;
     private final StreamMonitor streamMonitor;
@@ -80,7 +80,7 @@
         this.meters = meters;
         this.engineControl = engineControl;
         this.routingLog = new RoutingLog(log, meters);
-        this.duty = new Duty<>("router", RING_CAPACITY, this::handle, this::tick, TICK_MILLIS);
+        this.duty = new EventLoop<>("router", RING_CAPACITY, this::handle, this::tick, TICK_MILLIS);
         this.sharedRetries = new SharedRetries(settings.name(), settings.retries(), new SplittableRandom());
         this.failureDetector =
                 new FailureDetector(fleet, engineControl, settings.timing().stallMillis(), log, meters, this::offer);
@@ -183,9 +183,9 @@
         send(request, now);
     }
 
-    private static int expectedTokens(CallHead head) {
-        int guess = head.guessedOutputTokens() > 0 ? head.guessedOutputTokens() : head.mostOutputTokens();
-        int output = head.mostOutputTokens() > 0 ? Math.min(guess, head.mostOutputTokens()) : guess;
+    private static int expectedTokens(RequestHead head) {
+        int guess = head.estimatedOutputTokens() > 0 ? head.estimatedOutputTokens() : head.maxOutputTokens();
+        int output = head.maxOutputTokens() > 0 ? Math.min(guess, head.maxOutputTokens()) : guess;
         return head.promptTokens() + output;
     }
 
@@ -343,7 +343,7 @@
 
     private void handleReport(RouterEvent.EngineReportResult reported, long now) {
         boolean missed = reported.report().isLeft()
-                && reported.report().getLeft().kind() != StoreFault.Kind.NOT_LISTENING
+                && reported.report().getLeft().kind() != PlatformFault.Kind.NOT_LISTENING
                 && streamMonitor.isForwarding(
                         activeRequests.values(), reported.engine().id(), now);
         if (missed) {
--- a/gateway/src/main/java/org/cornelramp/gateway/route/RouterEvent.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/RouterEvent.java
@@ -11,7 +11,7 @@
 import org.cornelramp.gateway.request.Exchange;
 import org.cornelramp.platform.EngineReport;
 import org.cornelramp.platform.MoveFault;
-import org.cornelramp.platform.StoreFault;
+import org.cornelramp.platform.PlatformFault;
 
 /** Input events of the router. Immutable, safe for use by any thread. */
 public sealed interface RouterEvent {
@@ -43,7 +43,7 @@
     record StoreStatus(boolean available) implements RouterEvent {}
 
     /** An engine's report has been read, or the call for it has failed. */
-    record EngineReportResult(BackendServer engine, Either<StoreFault, EngineReport> report) implements RouterEvent {}
+    record EngineReportResult(BackendServer engine, Either<PlatformFault, EngineReport> report) implements RouterEvent {}
 
     /** An order to an engine to move a running request to another path has ended. */
     record MoveResult(Attempt attempt, StagePath path, Either<MoveFault, byte[]> result) implements RouterEvent {}
--- a/gateway/src/main/java/org/cornelramp/gateway/route/RoutingLog.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/RoutingLog.java
@@ -118,8 +118,8 @@
                 .with("attempts", request.attemptCount())
                 .with("millis", nowMillis - call.receivedMillis())
                 .with("promptTokens", call.head().promptTokens())
-                .with("guessedTokens", call.head().guessedOutputTokens())
-                .with("mostTokens", call.head().mostOutputTokens())
+                .with("guessedTokens", call.head().estimatedOutputTokens())
+                .with("mostTokens", call.head().maxOutputTokens())
                 .with("firstEventMillis", exchange.timeToFirstEventMillis())
                 .with("longestPauseMillis", exchange.longestPauseMillis())
                 .write();
--- a/gateway/src/main/java/org/cornelramp/gateway/route/StreamMonitor.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/StreamMonitor.java
@@ -18,7 +18,7 @@
 import org.cornelramp.gateway.log.EventLog;
 import org.cornelramp.gateway.request.Attempt;
 import org.cornelramp.platform.MoveFault;
-import org.cornelramp.platform.StoreFault;
+import org.cornelramp.platform.PlatformFault;
 
 /**
  * Detects stalled streams and moves running streams off dead engines.
@@ -182,8 +182,8 @@
      * this way, 4 of which found no retry.
      */
     void handleMoveFailure(ActiveRequest request, Attempt attempt, MoveFault refusal, long now) {
-        StoreFault.Kind kind = refusal.fault().kind();
-        if (kind == StoreFault.Kind.NO_ANSWER || kind == StoreFault.Kind.NOT_LISTENING) {
+        PlatformFault.Kind kind = refusal.fault().kind();
+        if (kind == PlatformFault.Kind.NO_ANSWER || kind == PlatformFault.Kind.NOT_LISTENING) {
             // The engine does not listen any more; further orders, four a second, would fail too.
             request.markNotMovable();
         }
--- a/gateway/src/test/java/org/cornelramp/gateway/GatewayEndToEndTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/GatewayEndToEndTest.java
@@ -53,7 +53,7 @@
         assertEquals(answer.statusCode(), 200);
         assertEquals(answer.body(), FIVE_EVENTS);
         assertEquals(answer.headers().firstValue("x-attempt-id"), Optional.of("r1"));
-        StandInServer.Received forwarded = Stream.of(fixture.firstEngine, fixture.secondEngine)
+        StandInServer.ReceivedRequest forwarded = Stream.of(fixture.firstEngine, fixture.secondEngine)
                 .flatMap(engine -> engine.received().stream())
                 .filter(request -> request.body().equals("hello"))
                 .findFirst()
@@ -157,7 +157,7 @@
      */
     @Test
     public void keepsServingWhileTheStoreRefuses() throws Exception {
-        fixture.store.setRefuses(true);
+        fixture.store.setUnavailable(true);
         GatewayFixture.await(() -> fixture.log().contains("\"event\":\"lost\""), "the loss is noticed");
         assertEquals(fixture.client().send("/chat/a", "r10", "x").body(), FIVE_EVENTS);
         assertEquals(fixture.client().send("/book/a", "r11", "x").statusCode(), 200);
@@ -214,7 +214,7 @@
         });
         List<CompletableFuture<HttpResponse<String>>> answers = new ArrayList<>();
         for (int i = 0; i < 14; i++) {
-            answers.add(fixture.client().sendLater("/chat/a", "stop-" + i, "s" + i));
+            answers.add(fixture.client().sendAsync("/chat/a", "stop-" + i, "s" + i));
             Thread.sleep(300);
         }
         Set<Integer> statuses = new TreeSet<>();
@@ -252,7 +252,7 @@
         GatewayFixture.await(() -> fixture.received("cut") == 1, "the stream runs");
         Thread.sleep(500); // lets some events through
         fixture.gateway.close();
-        assertFalse(answer.get().whole(), "a partial response looks complete: " + answer.get());
+        assertFalse(answer.get().complete(), "a partial response looks complete: " + answer.get());
         stopping.handle((done, failure) -> null).get();
     }
 
--- a/gateway/src/test/java/org/cornelramp/gateway/GatewayFixture.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/GatewayFixture.java
@@ -65,7 +65,7 @@
         secondEngine = engines.get(1);
         firstApp = new StandInServer(store, "a1", "app", "dc1", "");
         secondApp = new StandInServer(store, "a2", "app", "dc1", "");
-        List<Integer> ports = FreePorts.take(5);
+        List<Integer> ports = FreePorts.find(5);
         ports.set(4, store.address().port());
         settings = new GatewaySettingsReader().read(settingsText(ports, more)).get();
         log = new EventLog(logged, Clock.systemUTC(), "g1");
--- a/gateway/src/test/java/org/cornelramp/gateway/GatewayStartTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/GatewayStartTest.java
@@ -35,7 +35,7 @@
     public void open() throws Exception {
         store = new StandInStore();
         app = new StandInServer(store, "a1", "app", "dc1", "");
-        List<Integer> ports = FreePorts.take(5);
+        List<Integer> ports = FreePorts.find(5);
         ports.set(4, store.address().port());
         settings = new GatewaySettingsReader()
                 .read(GatewayFixture.settingsText(ports, ""))
@@ -51,7 +51,7 @@
     }
 
     private CompletableFuture<HttpResponse<String>> send(String id) {
-        return new StandInClient(settings.requests(), StandInConfig.KEY).sendLater("/book/a", id, "x");
+        return new StandInClient(settings.requests(), StandInConfig.KEY).sendAsync("/book/a", id, "x");
     }
 
     /**
--- a/gateway/src/test/java/org/cornelramp/gateway/LateEngineReportTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/LateEngineReportTest.java
@@ -9,7 +9,7 @@
 import org.cornelramp.core.settings.HostPort;
 import org.cornelramp.platform.EngineControl;
 import org.cornelramp.platform.EngineReport;
-import org.cornelramp.platform.StoreFault;
+import org.cornelramp.platform.PlatformFault;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -33,14 +33,14 @@
         clients.stop();
     }
 
-    private Either<StoreFault, EngineReport> requestReport(int port) {
+    private Either<PlatformFault, EngineReport> requestReport(int port) {
         BackendServer engine = TestEngines.empty("e1", new HostPort("127.0.0.1", port));
         return new EngineControl(clients.pooled()).report(engine, TIMEOUT_MILLIS);
     }
 
     private boolean isSilent(FixedResponseServer server) {
-        Either<StoreFault, EngineReport> report = requestReport(server.port());
-        return report.isLeft() && report.getLeft().kind() == StoreFault.Kind.NO_ANSWER;
+        Either<PlatformFault, EngineReport> report = requestReport(server.port());
+        return report.isLeft() && report.getLeft().kind() == PlatformFault.Kind.NO_ANSWER;
     }
 
     /**
--- a/gateway/src/test/java/org/cornelramp/gateway/LeavingAndSuspectedEngineTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/LeavingAndSuspectedEngineTest.java
@@ -56,7 +56,7 @@
 
     /** Sends a stream, and waits until its path is logged. */
     private CompletableFuture<HttpResponse<String>> begin(String id) throws Exception {
-        CompletableFuture<HttpResponse<String>> answer = fixture.client().sendLater("/chat/a", id, id);
+        CompletableFuture<HttpResponse<String>> answer = fixture.client().sendAsync("/chat/a", id, id);
         GatewayFixture.await(() -> sent(id).find(), "the stream is sent");
         return answer;
     }
@@ -103,7 +103,7 @@
     public void streamThatMustNotBeRepeatedStaysOnALeavingEngine() throws Exception {
         fixture.close();
         fixture = GatewayFixture.ofHalves(2, "");
-        fixture.store.publishConfig(GatewayFixture.ofHalvesConfig(2).jsonOfStreamsSentOnce());
+        fixture.store.publishConfig(GatewayFixture.ofHalvesConfig(2).jsonWithoutStreamResumption());
         GatewayFixture.await(() -> fixture.log().contains("\"version\":2"), "the configuration is in force");
         setBehaviour(LONG_STREAM.withMoveStatus(409));
         CompletableFuture<HttpResponse<String>> answer = begin("once");
@@ -138,7 +138,7 @@
     public void moveIsNotRetriedWhenTheFirstEngineDoesNotAnswer() throws Exception {
         setBehaviour(LONG_STREAM);
         CompletableFuture<HttpResponse<String>> answer = begin("deaf");
-        engineOnPathOf("deaf", 1).setMute(true);
+        engineOnPathOf("deaf", 1).setControlMuted(true);
         engineOnPathOf("deaf", 2).register("draining");
         assertTrue(answer.get().body().endsWith(LAST_EVENT), answer.get().body());
         assertEquals(fixture.log().split("\"event\":\"not moved\"", -1).length - 1, 1, "unanswered orders");
@@ -153,7 +153,7 @@
     @Test
     public void streamWithEventsIsNotCutForAnUnansweredStatusRequest() throws Exception {
         setBehaviour(Behaviour.ordinary().withEvents(20).withPauseMillis(150));
-        fixture.engines.forEach(engine -> engine.setMute(true));
+        fixture.engines.forEach(engine -> engine.setControlMuted(true));
         HttpResponse<String> answer = fixture.client().send("/chat/a", "slow", "slow");
         assertTrue(answer.body().endsWith("id: 19\ndata: piece 19\n\n"), answer.body());
         assertTrue(hasMissedReport(), "an engine did not answer a status request");
@@ -211,7 +211,7 @@
                 .findFirst()
                 .orElseThrow();
         first.reportStalled(dead.address());
-        first.refusePart(next.address());
+        first.refuseEngine(next.address());
         assertTrue(
                 answer.get().body().endsWith("id: 3\ndata: piece 3\n\n"),
                 answer.get().body());
--- a/gateway/src/test/java/org/cornelramp/gateway/LostResponseTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/LostResponseTest.java
@@ -34,10 +34,10 @@
      */
     @Test
     public void streamWhoseResponseIsLostIsSentAgain() throws Exception {
-        fixture.engines.forEach(engine -> engine.loseAnswers(1));
-        CompletableFuture<HttpResponse<String>> response = fixture.client().sendLater("/chat/a", "lost", "lost");
+        fixture.engines.forEach(engine -> engine.dropAnswers(1));
+        CompletableFuture<HttpResponse<String>> response = fixture.client().sendAsync("/chat/a", "lost", "lost");
         GatewayFixture.await(() -> fixture.received("lost") == 1, "the engine has the request");
-        fixture.engines.forEach(engine -> engine.loseAnswers(0));
+        fixture.engines.forEach(engine -> engine.dropAnswers(0));
         Thread.sleep(OVERTAKE_MILLIS);
         for (int i = 0; i < 3; i++) {
             assertEquals(fixture.client().send("/chat/a", "later-" + i, "later").statusCode(), 200);
--- a/gateway/src/test/java/org/cornelramp/gateway/RestoredStoreTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/RestoredStoreTest.java
@@ -59,7 +59,7 @@
      * it.
      */
     private void restoreFromBeforeVersion2() throws Exception {
-        StandInStore.Copy copy = fixture.store.copy();
+        StandInStore.Snapshot copy = fixture.store.snapshot();
         fixture.store.publishConfig(GatewayFixture.config(2, "/talk/"));
         GatewayFixture.await(() -> servesChats("/talk/"), "version 2 is in force");
         fixture.store.restore(copy);
@@ -71,7 +71,7 @@
      */
     @Test
     public void noticeOfLeavingAfterTheRestoreIsRead() throws Exception {
-        StandInStore.Copy copy = fixture.store.copy();
+        StandInStore.Snapshot copy = fixture.store.snapshot();
         for (int i = 0; i < 8; i++) {
             fixture.store.register("stranger-" + i, "{}");
         }
@@ -88,7 +88,7 @@
      */
     @Test
     public void serverThatHadLeftGetsNoRequests() throws Exception {
-        StandInStore.Copy copy = fixture.store.copy();
+        StandInStore.Snapshot copy = fixture.store.snapshot();
         announceLeaving();
         fixture.store.restore(copy);
         awaitRestored();
@@ -117,7 +117,7 @@
         restoreFromBeforeVersion2();
         // Gateways of a deployment contact each other on the same port, each at an address of its own.
         GatewaySettings first = fixture.settings;
-        List<Integer> free = FreePorts.take(2);
+        List<Integer> free = FreePorts.find(2);
         List<Integer> ports = List.of(
                 free.get(0),
                 free.get(1),
--- a/gateway/src/test/java/org/cornelramp/gateway/StoreOutageTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/StoreOutageTest.java
@@ -20,12 +20,12 @@
     public void onlyTheLeaseRenewalCallsAnUnavailableStore() throws Exception {
         try (GatewayFixture fixture = new GatewayFixture()) {
             long readsBefore = fixture.store.reads();
-            fixture.store.setRefuses(true);
+            fixture.store.setUnavailable(true);
             Thread.sleep(OUTAGE_MILLIS);
             long readsDuringOutage = fixture.store.reads() - readsBefore;
             assertTrue(readsDuringOutage <= MAX_READS, "reads " + readsDuringOutage);
             fixture.store.publishConfig(GatewayFixture.config(2, "/talk/"));
-            fixture.store.setRefuses(false);
+            fixture.store.setUnavailable(false);
             GatewayFixture.await(
                     () -> fixture.log().contains("\"event\":\"in force\",\"version\":2"), "version 2 is in force");
             assertEquals(fixture.client().send("/talk/a", "after", "x").statusCode(), 200);
--- a/gateway/src/test/java/org/cornelramp/gateway/StreamResumptionTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/StreamResumptionTest.java
@@ -47,7 +47,7 @@
     @Test
     public void begunStreamWaitsForARetry() throws Exception {
         breakAfter(1);
-        CompletableFuture<HttpResponse<String>> response = fixture.client().sendLater("/chat/a", "waits", "waits");
+        CompletableFuture<HttpResponse<String>> response = fixture.client().sendAsync("/chat/a", "waits", "waits");
         GatewayFixture.await(() -> fixture.log().contains("no repeat left"), "the retries are used up");
         assertEquals(fixture.received("waits"), 2);
         breakAfter(-1);
@@ -61,7 +61,7 @@
     private CompletableFuture<HttpResponse<String>> begin(String id) throws Exception {
         Behaviour slow = Behaviour.ordinary().withPauseMillis(400).withBreakAfter(2);
         fixture.engines.forEach(engine -> engine.setBehaviour(slow));
-        CompletableFuture<HttpResponse<String>> response = fixture.client().sendLater("/chat/a", id, id);
+        CompletableFuture<HttpResponse<String>> response = fixture.client().sendAsync("/chat/a", id, id);
         GatewayFixture.await(() -> fixture.received(id) >= 1, "it runs");
         return response;
     }
@@ -149,7 +149,7 @@
     }
 
     private byte[] text(String path, String id) {
-        return fixture.client().text(path, id).getBytes(StandardCharsets.UTF_8);
+        return fixture.client().rawRequest(path, id).getBytes(StandardCharsets.UTF_8);
     }
 
     /**
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/LentRetryTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/LentRetryTest.java
@@ -99,7 +99,7 @@
     private HttpResponse<String> sendWithBrokenFirstAttempt(String id) throws Exception {
         fixture.engines.forEach(
                 engine -> engine.setBehaviour(Behaviour.ordinary().withBreakAfter(0)));
-        var answer = fixture.client().sendLater("/chat/a", id, id);
+        var answer = fixture.client().sendAsync("/chat/a", id, id);
         GatewayFixture.await(() -> fixture.received(id) == 1, "the first attempt");
         fixture.engines.forEach(engine -> engine.setBehaviour(Behaviour.ordinary()));
         return answer.get();
--- a/gateway/src/test/java/org/cornelramp/gateway/request/AttemptTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/request/AttemptTest.java
@@ -18,9 +18,9 @@
 import org.cornelramp.core.routing.WeightedService;
 import org.cornelramp.core.settings.HostPort;
 import org.cornelramp.gateway.TestEngines;
-import org.cornelramp.platform.CallHead;
-import org.cornelramp.platform.ForwardHead;
-import org.cornelramp.platform.standin.StandInHeads;
+import org.cornelramp.platform.RequestHead;
+import org.cornelramp.platform.ForwardedHead;
+import org.cornelramp.platform.standin.HeaderFixtures;
 import org.eclipse.jetty.client.Response;
 import org.eclipse.jetty.client.Result;
 import org.eclipse.jetty.http.HttpFields;
@@ -47,12 +47,12 @@
     }
 
     private Exchange exchange() {
-        HttpFields fields = StandInHeads.request(ID);
+        HttpFields fields = HeaderFixtures.request(ID);
         List<WeightedService> split = List.of(new WeightedService(SERVICE, 1));
         Route route =
                 new Route("chat", "host", "/chat/", RouteKind.STREAMING, 9_000, 500, 200, 1, 2, false, true, split);
         Exchange.ClientRequest call = new Exchange.ClientRequest(
-                CallHead.decode(fields), "POST", "/chat/a", fields, new byte[0], route, Optional.empty(), 1, 0, 9_000);
+                RequestHead.decode(fields), "POST", "/chat/a", fields, new byte[0], route, Optional.empty(), 1, 0, 9_000);
         return new Exchange(call, clientResponse(), Callback.NOOP, () -> false, null);
     }
 
@@ -68,7 +68,7 @@
     }
 
     private static Response engineResponse() {
-        HttpFields head = StandInHeads.answer(ID);
+        HttpFields head = HeaderFixtures.answer(ID);
         return fake(Response.class, (name, args) -> switch (name) {
             case "getStatus" -> 200;
             case "getHeaders" -> head;
@@ -135,7 +135,7 @@
     }
 
     private Attempt attempt(Exchange exchange) {
-        ForwardHead head = new ForwardHead(
+        ForwardedHead head = new ForwardedHead(
                 engine().name(), 9_000, Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty());
         return new Attempt(null, exchange, engine(), head, () -> 1, (any, end) -> ends.add(end));
     }
--- a/gateway/src/test/java/org/cornelramp/gateway/request/ClientDisconnectProbeTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/request/ClientDisconnectProbeTest.java
@@ -41,7 +41,7 @@
     }
 
     private void send(Socket socket, String path, String id) throws IOException {
-        String request = fixture.client().text(path, id);
+        String request = fixture.client().rawRequest(path, id);
         socket.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
     }
 
--- a/gateway/src/test/java/org/cornelramp/gateway/route/FailureDetectorTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/route/FailureDetectorTest.java
@@ -20,8 +20,8 @@
 import org.cornelramp.gateway.request.Attempt;
 import org.cornelramp.gateway.request.AttemptEnd;
 import org.cornelramp.platform.EngineControl;
-import org.cornelramp.platform.ForwardHead;
-import org.cornelramp.platform.StoreFault;
+import org.cornelramp.platform.ForwardedHead;
+import org.cornelramp.platform.PlatformFault;
 import org.eclipse.jetty.client.HttpClient;
 import org.eclipse.jetty.http.HttpFields;
 import org.testng.annotations.Test;
@@ -51,7 +51,7 @@
     }
 
     private Attempt attempt() {
-        ForwardHead head = new ForwardHead(
+        ForwardedHead head = new ForwardedHead(
                 engine.name(), 1_000, Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty());
         return new Attempt(null, null, engine, head, SteadyClock.system(), (ended, end) -> {});
     }
@@ -103,7 +103,7 @@
     public void lateGatewayTrustsRefusedConnection() {
         FleetState late = new FleetState(1_200);
         late.recordTickDelay(200, NOW);
-        StoreFault refused = new StoreFault(StoreFault.Kind.NOT_LISTENING, "Connection refused");
+        PlatformFault refused = new PlatformFault(PlatformFault.Kind.NOT_LISTENING, "Connection refused");
         failureDetector(late).handleReport(engine, Either.left(refused), NOW);
         assertTrue(late.isLost(engine.id(), NOW));
     }
--- a/gateway/src/test/java/org/cornelramp/gateway/route/ProbePairTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/route/ProbePairTest.java
@@ -9,20 +9,20 @@
 import java.util.List;
 import java.util.Optional;
 import org.cornelramp.platform.EngineReport;
-import org.cornelramp.platform.StoreFault;
+import org.cornelramp.platform.PlatformFault;
 import org.testng.annotations.Test;
 
 /** The result of two overlapping calls to one engine. */
 public class ProbePairTest {
-    private static final Either<StoreFault, EngineReport> NO_ANSWER =
-            Either.left(new StoreFault(StoreFault.Kind.NO_ANSWER, "no answer in 60 ms"));
+    private static final Either<PlatformFault, EngineReport> NO_ANSWER =
+            Either.left(new PlatformFault(PlatformFault.Kind.NO_ANSWER, "no answer in 60 ms"));
 
-    private static final Either<StoreFault, EngineReport> REFUSED =
-            Either.left(new StoreFault(StoreFault.Kind.NOT_LISTENING, "Connection refused"));
+    private static final Either<PlatformFault, EngineReport> REFUSED =
+            Either.left(new PlatformFault(PlatformFault.Kind.NOT_LISTENING, "Connection refused"));
 
-    private final List<Either<StoreFault, EngineReport>> results = new ArrayList<>();
+    private final List<Either<PlatformFault, EngineReport>> results = new ArrayList<>();
 
-    private static Either<StoreFault, EngineReport> report() {
+    private static Either<PlatformFault, EngineReport> report() {
         return Either.right(new EngineReport(Optional.empty(), false, 0, 1, 0, 0, 0, Optional.empty(), List.of()));
     }
 
--- a/ports/src/main/java/org/cornelramp/ports/BackendOffer.java
+++ b/ports/src/main/java/org/cornelramp/ports/BackendOffer.java
@@ -6,13 +6,13 @@
 import org.cornelramp.core.model.ServiceName;
 
 /**
- * What a backend server holds. Immutable, safe for use by any thread.
+ * What a backend server offers. Immutable, safe for use by any thread.
  *
- * @param service model or service
+ * @param service name of the model or service
  * @param layers layers held by an engine; empty from a plain service
- * @param version version that is loaded
+ * @param version loaded version
  * @param accelerator kind of accelerator
- * @param slots requests run side by side
+ * @param slots number of requests that it can run at once
  * @param life text that changes when the backend server restarts
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
--- a/ports/src/main/java/org/cornelramp/ports/CacheEvents.java
+++ b/ports/src/main/java/org/cornelramp/ports/CacheEvents.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * Cache events of an engine: late, and with gaps. Immutable, safe for use by any thread.
+ * Cache events of an engine, which may be late and have gaps. Immutable, safe for use by any thread.
  *
- * @param next number to read from next
+ * @param next number from which to continue reading
  * @param events the events
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
--- a/ports/src/main/java/org/cornelramp/ports/EngineClient.java
+++ b/ports/src/main/java/org/cornelramp/ports/EngineClient.java
@@ -3,19 +3,21 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** Speaks to the model engine beside an agent. Safe for use by any thread; futures fail with {@link PlatformException}. */
+/**
+ * Client of the model engine beside an agent. Safe for use by any thread; futures fail with {@link PlatformException}.
+ */
 public interface EngineClient {
 
-    /** What the engine holds, and the text that changes when it restarts. */
+    /** Returns what the engine offers, and the text that changes when it restarts. */
     CompletableFuture<BackendOffer> offer();
 
-    /** The engine's own load report, which lags. */
+    /** Returns the engine's own load report, which may be out of date. */
     CompletableFuture<EngineLoad> load();
 
-    /** Runs steps in the engine's next iterations; done when all are. */
+    /** Runs steps in the engine's next iterations; completes when all have run. */
     CompletableFuture<EngineStepResults> steps(List<EngineStep> steps);
 
-    /** Drops a session. */
+    /** Cancels a session. */
     CompletableFuture<Void> cancel(long session);
 
     /** Exports the KV cache of a session. */
@@ -24,9 +26,11 @@
     /** Imports an exported KV cache. */
     CompletableFuture<Void> importKv(long session, EngineKv kv);
 
-    /** Gives an order under a term; {@link PlatformException.Kind#REFUSED} if the engine knows a newer one. */
+    /**
+     * Sends an order under a term; fails with {@link PlatformException.Kind#REFUSED} if the engine knows a newer one.
+     */
     CompletableFuture<Void> order(EngineOrder order);
 
-    /** Cache events from a number on; late, and with gaps. */
+    /** Returns cache events from a number onwards, which may be late and have gaps. */
     CompletableFuture<CacheEvents> cacheEvents(long from);
 }
--- a/ports/src/main/java/org/cornelramp/ports/EngineKv.java
+++ b/ports/src/main/java/org/cornelramp/ports/EngineKv.java
@@ -5,7 +5,7 @@
 /**
  * The exported KV cache of one session. Immutable if the array is not changed.
  *
- * @param position next position
+ * @param position next position to run
  * @param layers state of each layer
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
--- a/ports/src/main/java/org/cornelramp/ports/EngineOrder.java
+++ b/ports/src/main/java/org/cornelramp/ports/EngineOrder.java
@@ -6,14 +6,14 @@
 /**
  * An order to an engine. Immutable, safe for use by any thread.
  *
- * @param term fencing number
- * @param kind what to do
+ * @param term fencing token
+ * @param kind operation
  * @param argument model, adapter, version or role
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record EngineOrder(long term, Kind kind, String argument) {
 
-    /** What an order asks for. */
+    /** The operation of an order. */
     public enum Kind {
         /** Load a model from the weight store. */
         @JsonProperty("load-model")
--- a/ports/src/main/java/org/cornelramp/ports/EngineStep.java
+++ b/ports/src/main/java/org/cornelramp/ports/EngineStep.java
@@ -8,8 +8,8 @@
  * @param session the session, as 16 hexadecimal digits
  * @param position position of the first input
  * @param inputs one activation, or token number, for each position
- * @param priority 0 first to 9 last
- * @param epoch epoch under which the step is run, for the engine's trace
+ * @param priority from 0, the highest, to 9
+ * @param epoch epoch of the session under which the step runs, for the engine's trace
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record EngineStep(String session, int position, long[] inputs, int priority, int epoch) {}
--- a/ports/src/main/java/org/cornelramp/ports/EngineStepResult.java
+++ b/ports/src/main/java/org/cornelramp/ports/EngineStepResult.java
@@ -7,7 +7,7 @@
  * Result of one step. Immutable if the array is not changed.
  *
  * @param session the session, as 16 hexadecimal digits
- * @param outputs one for each input; absent on an error
+ * @param outputs one output for each input; absent on an error
  * @param error {@code gap}, {@code no-session}, {@code kv-full} or {@code cancelled}; absent on success
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
--- a/ports/src/main/java/org/cornelramp/ports/LogPage.java
+++ b/ports/src/main/java/org/cornelramp/ports/LogPage.java
@@ -5,7 +5,7 @@
 /**
  * Records read from a stream. Immutable, safe for use by any thread.
  *
- * @param oldest offset of the oldest record that is kept
+ * @param oldest offset of the oldest retained record
  * @param next offset after the newest record of the stream
  * @param records the records, in order
  */
--- a/ports/src/main/java/org/cornelramp/ports/LogStream.java
+++ b/ports/src/main/java/org/cornelramp/ports/LogStream.java
@@ -2,11 +2,11 @@
 
 import java.util.Locale;
 
-/** The streams that the system keeps on the log service. */
+/** The streams of the system on the log service. */
 public enum LogStream {
     /** Table edits and snapshots. */
     TABLE,
-    /** Bindings of callers' own idempotency keys, and what planned stops settled. */
+    /** Bindings of callers' own idempotency keys, and the outcomes that agents record at planned stops. */
     KEYS,
     /** Claims of terms. */
     TERMS,
--- a/ports/src/main/java/org/cornelramp/ports/PlatformException.java
+++ b/ports/src/main/java/org/cornelramp/ports/PlatformException.java
@@ -1,23 +1,23 @@
 package org.cornelramp.ports;
 
-/** Reports that the platform or a backend server did not do what was asked. Immutable, safe for use by any thread. */
+/** Thrown when a call to the platform or to a backend server fails. Immutable, safe for use by any thread. */
 public final class PlatformException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final Kind kind;
     private final long retryAfterMillis;
 
-    /** What is known after the failure. */
+    /** What is known about the effect of the failed call. */
     public enum Kind {
-        /** The call did not reach the other side: it had no effect. */
+        /** The call was not sent: it had no effect. */
         NOT_SENT,
-        /** The other side refused: the call had no effect. */
+        /** The server refused the call: it had no effect. */
         REFUSED,
-        /** Sent, and no answer came: the call may have had its effect. */
+        /** The call was sent without an answer that states its outcome: it may have taken effect. */
         ANSWER_LOST,
-        /** What was asked for is no longer kept. */
+        /** The requested data is no longer retained, or does not exist. */
         GONE,
-        /** An answer came that is not in the agreed form. */
+        /** The answer does not have the agreed format. */
         MALFORMED
     }
 
@@ -27,12 +27,12 @@
         this.retryAfterMillis = retryAfterMillis;
     }
 
-    /** What is known after the failure. */
+    /** What is known about the effect of the failed call. */
     public Kind kind() {
         return kind;
     }
 
-    /** When to come back, in milliseconds; 0 if the other side did not say. */
+    /** Delay before a retry, in milliseconds; 0 if the server did not state one. */
     public long retryAfterMillis() {
         return retryAfterMillis;
     }
--- a/ports/src/main/java/org/cornelramp/ports/ServiceCall.java
+++ b/ports/src/main/java/org/cornelramp/ports/ServiceCall.java
@@ -10,7 +10,7 @@
  * @param path path and query
  * @param contentType media type of the body; empty if there is none
  * @param body the body
- * @param key idempotency key, passed on for services that check it; empty if there is none
+ * @param key idempotency key, forwarded for services that check it; empty if there is none
  * @param requestId id of the request
  * @param timeoutMillis longest wait for the answer, in milliseconds
  */
--- a/ports/src/main/java/org/cornelramp/ports/ServiceClient.java
+++ b/ports/src/main/java/org/cornelramp/ports/ServiceClient.java
@@ -5,14 +5,14 @@
 /**
  * Calls the plain service beside an agent. Safe for use by any thread.
  *
- * <p>A failed call tells by its {@link PlatformException.Kind} whether it may have taken effect; the client itself
+ * <p>The {@link PlatformException.Kind} of a failed call states whether it may have taken effect; the client itself
  * never repeats a call.
  */
 public interface ServiceClient {
 
-    /** What the service is. */
+    /** Returns what the service offers. */
     CompletableFuture<BackendOffer> offer();
 
-    /** Makes one call, once. */
+    /** Sends a call exactly once. */
     CompletableFuture<ServiceReply> call(ServiceCall call);
 }
--- a/ports/src/main/java/org/cornelramp/ports/VmList.java
+++ b/ports/src/main/java/org/cornelramp/ports/VmList.java
@@ -8,9 +8,9 @@
 import org.cornelramp.core.settings.Role;
 
 /**
- * The VMs that the platform shows. Immutable, safe for use by any thread.
+ * The VMs that the platform lists. Immutable, safe for use by any thread.
  *
- * @param at when the list was true, in milliseconds since 1970
+ * @param at time at which the list was current, in milliseconds since 1970
  * @param vms the VMs
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
@@ -21,19 +21,19 @@
      *
      * @param vm its name, the same as the name in the settings of its daemon
      * @param role role of its daemon
-     * @param address where an agent takes links; where an entry serves HTTP
+     * @param address address at which an agent accepts links, or an entry serves HTTP
      * @param dataCentre its data centre
      * @param state whether it is leaving
      */
     @JsonIgnoreProperties(ignoreUnknown = true)
     public record Vm(String vm, Role role, HostPort address, DataCentre dataCentre, State state) {}
 
-    /** What the platform says of a VM. */
+    /** State of a VM. */
     public enum State {
         /** In use. */
         @JsonProperty("live")
         LIVE,
-        /** About to be taken away. */
+        /** About to be removed. */
         @JsonProperty("leaving")
         LEAVING
     }
--- a/ports/src/main/java/org/cornelramp/ports/http/HttpCalls.java
+++ b/ports/src/main/java/org/cornelramp/ports/http/HttpCalls.java
@@ -20,10 +20,11 @@
 import org.eclipse.jetty.http.HttpStatus;
 
 /**
- * Makes single HTTP calls to one base URL and says honestly what is known when one fails. Safe for use by any thread.
+ * Sends single HTTP calls to one base URL and reports what is known about the effect of a failed one. Safe for use by
+ * any thread.
  *
- * <p>Invariant: a call is sent at most once, and a failure is {@link PlatformException.Kind#NOT_SENT} only if no
- * byte of the call was handed to a connection.
+ * <p>Invariant: a call is sent at most once, and a failure is {@link PlatformException.Kind#NOT_SENT} only if no byte
+ * of the call was handed to a connection.
  */
 final class HttpCalls {
     private static final int MAX_ANSWER_BYTES = 16 << 20;
@@ -56,31 +57,31 @@
     }
 
     /** Adds a JSON body. */
-    Request json(Request request, Object body) {
+    Request withJsonBody(Request request, Object body) {
         try {
             return request.body(new BytesRequestContent("application/json", mapper.writeValueAsBytes(body)));
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("The request has no JSON form: " + e.getMessage(), e);
+            throw new IllegalArgumentException("The request cannot be serialised as JSON: " + e.getMessage(), e);
         }
     }
 
     /** Sends a request and reads a successful answer as JSON. */
     <T> CompletableFuture<T> sendJson(Request request, long timeoutMillis, Class<T> type) {
-        return send(request, timeoutMillis).thenApply(answer -> read(checked(answer), type));
+        return send(request, timeoutMillis).thenApply(answer -> decode(requireSuccess(answer), type));
     }
 
-    /** Sends a request and drops the body of a successful answer. */
+    /** Sends a request and ignores the body of a successful answer. */
     CompletableFuture<Void> sendEmpty(Request request, long timeoutMillis) {
-        return send(request, timeoutMillis).thenAccept(HttpCalls::checked);
+        return send(request, timeoutMillis).thenAccept(HttpCalls::requireSuccess);
     }
 
     /** Sends a request once; any complete answer is a success here, whatever its status. */
     CompletableFuture<HttpAnswer> send(Request request, long timeoutMillis) {
         CompletableFuture<HttpAnswer> future = new CompletableFuture<>();
-        AtomicBoolean begun = new AtomicBoolean();
+        AtomicBoolean startedSending = new AtomicBoolean();
         request.timeout(timeoutMillis, TimeUnit.MILLISECONDS);
         request.idleTimeout(timeoutMillis + MILLIS_PER_SECOND, TimeUnit.MILLISECONDS);
-        request.onRequestBegin(sent -> begun.set(true));
+        request.onRequestBegin(sent -> startedSending.set(true));
         request.send(new BufferingResponseListener(MAX_ANSWER_BYTES) {
             @Override
             public void onComplete(Result result) {
@@ -88,20 +89,20 @@
                     future.complete(
                             new HttpAnswer(result.getResponse().getStatus(), result.getResponse(), getContent()));
                 } else {
-                    future.completeExceptionally(failure(result, begun.get()));
+                    future.completeExceptionally(failure(result, startedSending.get()));
                 }
             }
         });
         return future;
     }
 
-    private PlatformException failure(Result result, boolean begun) {
+    private PlatformException failure(Result result, boolean startedSending) {
         Throwable cause = result.getFailure();
-        if (begun && cause instanceof TimeoutException) {
-            distrustOpen(result.getRequest());
+        if (startedSending && cause instanceof TimeoutException) {
+            evictOpenConnections(result.getRequest());
         }
         String target = result.getRequest().getURI().toString();
-        if (!begun) {
+        if (!startedSending) {
             return new PlatformException(
                     PlatformException.Kind.NOT_SENT, "Not sent, check that " + target + " is up: " + cause, 0);
         }
@@ -111,13 +112,13 @@
                 0);
     }
 
-    private void distrustOpen(Request request) {
-        if (http.resolveDestination(request).getConnectionPool() instanceof DistrustingConnectionPool pool) {
-            pool.distrustOpen();
+    private void evictOpenConnections(Request request) {
+        if (http.resolveDestination(request).getConnectionPool() instanceof EvictingConnectionPool pool) {
+            pool.evictOpenConnections();
         }
     }
 
-    private <T> T read(HttpAnswer answer, Class<T> type) {
+    private <T> T decode(HttpAnswer answer, Class<T> type) {
         try {
             T value = mapper.readValue(answer.body(), type);
             if (value == null) {
@@ -127,20 +128,20 @@
         } catch (IOException e) {
             throw new PlatformException(
                     PlatformException.Kind.MALFORMED,
-                    "The answer is not in the agreed form, check the version of " + base + ": " + e.getMessage(),
+                    "The answer does not have the agreed format, check the version of " + base + ": " + e.getMessage(),
                     0);
         }
     }
 
-    private static HttpAnswer checked(HttpAnswer answer) {
+    private static HttpAnswer requireSuccess(HttpAnswer answer) {
         if (HttpStatus.isSuccess(answer.status())) {
             return answer;
         }
-        throw new PlatformException(kindOf(answer.status()), detail(answer), answer.retryAfterMillis());
+        throw new PlatformException(failureKind(answer.status()), detail(answer), answer.retryAfterMillis());
     }
 
-    /** An unexplained failure of the server, or a gateway's, does not say that the call had no effect. */
-    private static PlatformException.Kind kindOf(int status) {
+    /** A server or gateway error such as 500, 502 or 504 does not guarantee that the call had no effect. */
+    private static PlatformException.Kind failureKind(int status) {
         return switch (status) {
             case HttpStatus.GONE_410, HttpStatus.NOT_FOUND_404 -> PlatformException.Kind.GONE;
             case HttpStatus.SERVICE_UNAVAILABLE_503 -> PlatformException.Kind.REFUSED;
@@ -155,7 +156,7 @@
         return "Answered with status " + answer.status() + ": " + part;
     }
 
-    /** One whole answer. */
+    /** One complete answer. */
     record HttpAnswer(int status, Response response, byte[] body) {
         HttpAnswer {
             body = body == null ? new byte[0] : body;
--- a/ports/src/main/java/org/cornelramp/ports/http/HttpEngineClient.java
+++ b/ports/src/main/java/org/cornelramp/ports/http/HttpEngineClient.java
@@ -13,10 +13,13 @@
 import org.cornelramp.ports.EngineStepResults;
 import org.eclipse.jetty.http.HttpMethod;
 
-/** A model engine over HTTP. Safe for use by any thread. */
+/** Client of a model engine over HTTP. Safe for use by any thread. */
 final class HttpEngineClient implements EngineClient {
-    /** Steps wait for their turn in the engine; the agent judges earlier whether its engine is down. */
-    private static final long STEPS_MILLIS = 30_000;
+    /**
+     * Timeout of a batch of steps, which queues in the engine; the agent detects an engine that is down before it
+     * expires.
+     */
+    private static final long STEPS_TIMEOUT_MILLIS = 30_000;
 
     private final HttpCalls calls;
 
@@ -37,8 +40,8 @@
     @Override
     public CompletableFuture<EngineStepResults> steps(List<EngineStep> steps) {
         return calls.sendJson(
-                calls.json(calls.request(HttpMethod.POST, "/v1/steps"), Map.of("steps", steps)),
-                STEPS_MILLIS,
+                calls.withJsonBody(calls.request(HttpMethod.POST, "/v1/steps"), Map.of("steps", steps)),
+                STEPS_TIMEOUT_MILLIS,
                 EngineStepResults.class);
     }
 
@@ -56,12 +59,13 @@
     @Override
     public CompletableFuture<Void> importKv(long session, EngineKv kv) {
         return calls.sendEmpty(
-                calls.json(calls.request(HttpMethod.PUT, path(session) + "/kv"), kv), calls.answerMillis());
+                calls.withJsonBody(calls.request(HttpMethod.PUT, path(session) + "/kv"), kv), calls.answerMillis());
     }
 
     @Override
     public CompletableFuture<Void> order(EngineOrder order) {
-        return calls.sendEmpty(calls.json(calls.request(HttpMethod.POST, "/v1/orders"), order), calls.answerMillis());
+        return calls.sendEmpty(
+                calls.withJsonBody(calls.request(HttpMethod.POST, "/v1/orders"), order), calls.answerMillis());
     }
 
     @Override
--- a/ports/src/main/java/org/cornelramp/ports/http/HttpLogClient.java
+++ b/ports/src/main/java/org/cornelramp/ports/http/HttpLogClient.java
@@ -10,7 +10,7 @@
 import org.cornelramp.ports.LogStream;
 import org.eclipse.jetty.http.HttpMethod;
 
-/** The log service over HTTP. Safe for use by any thread. */
+/** Client of the log service over HTTP. Safe for use by any thread. */
 final class HttpLogClient implements LogClient {
     private final HttpCalls calls;
 
@@ -21,7 +21,7 @@
     @Override
     public CompletableFuture<Long> append(LogStream stream, List<JsonNode> records) {
         return calls.sendJson(
-                        calls.json(
+                        calls.withJsonBody(
                                 calls.request(HttpMethod.POST, path(stream) + "/records"), Map.of("records", records)),
                         calls.answerMillis(),
                         Appended.class)
--- a/ports/src/main/java/org/cornelramp/ports/http/HttpPlatform.java
+++ b/ports/src/main/java/org/cornelramp/ports/http/HttpPlatform.java
@@ -14,10 +14,10 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /**
- * Makes the clients of the platform's interfaces, all over one HTTP client.
+ * Creates the clients of the platform's interfaces, which share one HTTP client.
  *
- * <p>Safe for use by any thread once started. Futures complete on the HTTP client's few threads, so whoever waits
- * on one must hand over to its own thread and never block. Invariant: no call is sent twice, since a call whose
+ * <p>Safe for use by any thread once started. Futures complete on the HTTP client's few threads, so callbacks
+ * must hand over to their own thread and never block. Invariant: no call is sent twice, since a call whose
  * answer was lost may have taken effect.
  */
 public final class HttpPlatform {
@@ -32,7 +32,7 @@
             .build();
 
     /**
-     * Takes over the configuration of a client that has not been started.
+     * Configures the given client, which must not have been started.
      *
      * @param http the client
      * @param timeouts timeouts of all calls
@@ -49,15 +49,15 @@
         http.setConnectTimeout(timeouts.connectMillis());
         http.setIdleTimeout(timeouts.idleMillis());
         http.getTransport()
-                .setConnectionPoolFactory(destination ->
-                        new DistrustingConnectionPool(destination, http.getMaxConnectionsPerDestination()));
+                .setConnectionPoolFactory(
+                        destination -> new EvictingConnectionPool(destination, http.getMaxConnectionsPerDestination()));
     }
 
-    /** Starts the client's threads. */
+    /** Starts the HTTP client and its threads. */
     public void start() {
         try {
             http.start();
-            // Without handlers for redirects, authentication and the like, nothing in the client sends a call again.
+            // Without handlers for redirects, authentication and the like, the client never resends a call.
             http.getProtocolHandlers().clear();
         } catch (Exception e) {
             throw new PlatformException(
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Ends the client's threads; calls in progress fail. */
+    /** Stops the HTTP client and its threads; calls in progress fail. */
     public void stop() {
         try {
             http.stop();
--- a/ports/src/main/java/org/cornelramp/ports/http/HttpServiceClient.java
+++ b/ports/src/main/java/org/cornelramp/ports/http/HttpServiceClient.java
@@ -11,9 +11,10 @@
 import org.eclipse.jetty.http.HttpMethod;
 
 /**
- * A plain service over HTTP. Safe for use by any thread.
+ * Client of a plain service over HTTP. Safe for use by any thread.
  *
- * <p>Every whole answer is a reply, whatever its status: what a status says of the effect is the service's matter.
+ * <p>Every complete answer is a reply, whatever its status, since only the service defines what a status means for the
+ * effect of the call.
  */
 final class HttpServiceClient implements ServiceClient {
     private static final String KEY_HEADER = "Idempotency-Key";
--- a/ports/src/main/java/org/cornelramp/ports/http/HttpVmListClient.java
+++ b/ports/src/main/java/org/cornelramp/ports/http/HttpVmListClient.java
@@ -5,7 +5,7 @@
 import org.cornelramp.ports.VmListClient;
 import org.eclipse.jetty.http.HttpMethod;
 
-/** The VM list over HTTP. Safe for use by any thread. */
+/** Client of the VM list over HTTP. Safe for use by any thread. */
 final class HttpVmListClient implements VmListClient {
     private final HttpCalls calls;
 
--- a/ports/src/main/java/org/cornelramp/ports/http/HttpWeightStoreClient.java
+++ b/ports/src/main/java/org/cornelramp/ports/http/HttpWeightStoreClient.java
@@ -5,7 +5,7 @@
 import org.cornelramp.ports.WeightStoreClient;
 import org.eclipse.jetty.http.HttpMethod;
 
-/** The weight store over HTTP. Safe for use by any thread. */
+/** Client of the weight store over HTTP. Safe for use by any thread. */
 final class HttpWeightStoreClient implements WeightStoreClient {
     private final HttpCalls calls;
 
@@ -16,7 +16,7 @@
     @Override
     public CompletableFuture<Long> load(String model, String version) {
         return calls.sendJson(
-                        calls.json(
+                        calls.withJsonBody(
                                 calls.request(HttpMethod.POST, "/v1/loads"),
                                 Map.of("model", model, "version", version)),
                         calls.answerMillis(),
--- a/ports/src/main/java/org/cornelramp/ports/http/package-info.java
+++ b/ports/src/main/java/org/cornelramp/ports/http/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's interfaces over HTTP; docs/PLATFORM.md is the contract. */
+/** The platform's interfaces over HTTP, as specified in docs/PLATFORM.md. */
 package org.cornelramp.ports.http;
--- a/ports/src/test/java/org/cornelramp/ports/http/AnswerStatusTest.java
+++ b/ports/src/test/java/org/cornelramp/ports/http/AnswerStatusTest.java
@@ -11,8 +11,8 @@
 import org.testng.annotations.Test;
 
 /**
- * The log service answers an append with an error. A refusal means that nothing was appended; an unexplained failure
- * of the server does not, and must not be taken for one, or a record could be appended twice.
+ * Guards against appending a record twice: an append that the log service refuses has no effect and may be repeated,
+ * but after a server error the record may have been appended, so such an error must not be reported as a refusal.
  */
 public class AnswerStatusTest {
 
@@ -31,14 +31,14 @@
     }
 
     @Test(dataProvider = "statuses")
-    public void statusTellsWhatIsKnown(int status, PlatformException.Kind kind) throws Exception {
+    public void statusDeterminesFailureKind(int status, PlatformException.Kind kind) throws Exception {
         PlatformException failure = failureOfAppend(RawServer.answer(status, "Retry-After: 3\r\n", "{}"));
         assertEquals(failure.kind(), kind);
         assertEquals(failure.retryAfterMillis(), 3_000);
     }
 
     @Test
-    public void answerInAnotherFormIsMalformed() throws Exception {
+    public void answerInAnotherFormatIsMalformed() throws Exception {
         assertEquals(failureOfAppend(RawServer.answer(200, "", "<html>")).kind(), PlatformException.Kind.MALFORMED);
     }
 
--- a/ports/src/test/java/org/cornelramp/ports/http/LostAnswerTest.java
+++ b/ports/src/test/java/org/cornelramp/ports/http/LostAnswerTest.java
@@ -7,9 +7,9 @@
 import org.testng.annotations.Test;
 
 /**
- * A service takes a booking and the connection ends before its answer. The booking may have been made. The agent is
- * told that the answer is lost and never that the call was not sent, and the service sees the booking once: a
- * client that repeated it would send two crews for one wardrobe.
+ * Guards against running a booking twice when the connection ends after the request and before the answer. The booking
+ * may have been made, so the failure must be reported as a lost answer, never as not sent, and the client must not
+ * repeat it.
  */
 public class LostAnswerTest {
 
--- a/ports/src/test/java/org/cornelramp/ports/http/PlatformFixture.java
+++ b/ports/src/test/java/org/cornelramp/ports/http/PlatformFixture.java
@@ -11,7 +11,7 @@
 import org.eclipse.jetty.client.HttpClient;
 import org.eclipse.jetty.client.transport.HttpClientTransportOverHTTP;
 
-/** A started platform for one test. */
+/** A started {@link HttpPlatform} for one test. */
 final class PlatformFixture implements AutoCloseable {
     private final HttpPlatform platform;
 
--- a/ports/src/test/java/org/cornelramp/ports/http/RawServer.java
+++ b/ports/src/test/java/org/cornelramp/ports/http/RawServer.java
@@ -11,26 +11,26 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A server for one test that sees every byte: it answers, closes or keeps silent as the test says. */
+/** A raw TCP server for one test, which records requests and then answers, closes the connection or stays silent. */
 final class RawServer implements AutoCloseable {
-    private static final String LENGTH = "content-length: ";
+    private static final String CONTENT_LENGTH = "content-length: ";
 
     private final ServerSocket socket;
     private final Behaviour behaviour;
-    private final List<Socket> open = new CopyOnWriteArrayList<>();
+    private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private final List<String> requests = new CopyOnWriteArrayList<>();
     private final AtomicInteger connections = new AtomicInteger();
 
-    /** What to do with a request. */
+    /** Decides how to handle a request. */
     interface Behaviour {
-        /** Gives the answer; empty to close the connection, null to keep silent. */
+        /** Returns the answer; empty to close the connection, null to stay silent. */
         String answer(int connection, int request);
     }
 
     RawServer(Behaviour behaviour) throws IOException {
         this.behaviour = behaviour;
         this.socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        daemon(this::acceptAll);
+        startDaemonThread(this::acceptAll);
     }
 
     static String answer(int status, String headers, String body) {
@@ -41,7 +41,7 @@
         return "http://127.0.0.1:" + socket.getLocalPort();
     }
 
-    /** Requests that have come in whole. */
+    /** Requests that were received completely. */
     List<String> requests() {
         return requests;
     }
@@ -53,12 +53,12 @@
     @Override
     public void close() throws IOException {
         socket.close();
-        for (Socket each : open) {
+        for (Socket each : sockets) {
             each.close();
         }
     }
 
-    private static void daemon(Runnable work) {
+    private static void startDaemonThread(Runnable work) {
         Thread thread = new Thread(work);
         thread.setDaemon(true);
         thread.start();
@@ -68,9 +68,9 @@
         try {
             while (true) {
                 Socket accepted = socket.accept();
-                open.add(accepted);
+                sockets.add(accepted);
                 int connection = connections.getAndIncrement();
-                daemon(() -> serve(accepted, connection));
+                startDaemonThread(() -> serve(accepted, connection));
             }
         } catch (IOException e) {
             requests.add("closed");
@@ -121,8 +121,8 @@
     private static int contentLength(String head) {
         return head.toLowerCase(java.util.Locale.ROOT)
                 .lines()
-                .filter(line -> line.startsWith(LENGTH))
-                .map(line -> Integer.parseInt(line.substring(LENGTH.length())))
+                .filter(line -> line.startsWith(CONTENT_LENGTH))
+                .map(line -> Integer.parseInt(line.substring(CONTENT_LENGTH.length())))
                 .findFirst()
                 .orElse(0);
     }
--- a/ports/src/test/java/org/cornelramp/ports/http/RefusedConnectionTest.java
+++ b/ports/src/test/java/org/cornelramp/ports/http/RefusedConnectionTest.java
@@ -8,16 +8,17 @@
 import org.testng.annotations.Test;
 
 /**
- * Nothing listens at the service's address, as after its VM was taken away. The agent is told that the call was not
- * sent, so that it may say "not run" and the booking can be made elsewhere.
+ * Guards against reporting an unknown outcome when nothing listens at the service's address, for example because its VM
+ * was removed. The failure must state that the call was not sent, so that it can be answered as not run and retried on
+ * another server.
  */
 public class RefusedConnectionTest {
 
     @Test
     public void callIsNotSent() throws Exception {
         int port;
-        try (ServerSocket gone = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = gone.getLocalPort();
+        try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = closed.getLocalPort();
         }
         try (PlatformFixture fixture = new PlatformFixture(HttpTimeouts.DEFAULTS)) {
             PlatformException failure = PlatformFixture.failureOf(
--- a/ports/src/test/java/org/cornelramp/ports/http/SilentConnectionsTest.java
+++ b/ports/src/test/java/org/cornelramp/ports/http/SilentConnectionsTest.java
@@ -11,16 +11,16 @@
 import org.testng.annotations.Test;
 
 /**
- * Something between agent and service forgets all open connections; new ones work. Three connections are pooled. The
- * next call times out on one of them, and every call after it must go out on a new connection: otherwise each
- * pooled one would cost another caller the whole timeout.
+ * Guards against one timeout for each pooled connection when a middlebox between agent and service loses its state of
+ * all open connections while new ones work. Three connections are pooled; after the first timeout on one of them, every
+ * later call must use a new connection.
  */
 public class SilentConnectionsTest {
 
     @Test
-    public void oneTimeoutDropsAllConnectionsThatWereOpen() throws Exception {
-        CountDownLatch allHere = new CountDownLatch(3);
-        try (RawServer server = new RawServer((connection, request) -> answer(allHere, connection, request));
+    public void oneTimeoutEvictsAllOpenConnections() throws Exception {
+        CountDownLatch allConnected = new CountDownLatch(3);
+        try (RawServer server = new RawServer((connection, request) -> answer(allConnected, connection, request));
                 PlatformFixture fixture = new PlatformFixture(HttpTimeouts.DEFAULTS)) {
             ServiceClient service = fixture.platform().service(server.url());
             CompletableFuture<ServiceReply> first = service.call(PlatformFixture.booking(5_000));
@@ -39,14 +39,14 @@
         }
     }
 
-    private static String answer(CountDownLatch allHere, int connection, int request) {
+    private static String answer(CountDownLatch allConnected, int connection, int request) {
         if (connection < 3 && request > 0) {
             return null;
         }
         if (connection < 3) {
-            allHere.countDown();
+            allConnected.countDown();
             try {
-                allHere.await(5, TimeUnit.SECONDS);
+                allConnected.await(5, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/wire/src/main/java/org/cornelramp/wire/codec/FrameException.java
+++ b/wire/src/main/java/org/cornelramp/wire/codec/FrameException.java
@@ -1,6 +1,9 @@
 package org.cornelramp.wire.codec;
 
-/** Reports bytes that are not a frame of this version. Immutable, safe for use by any thread. */
+/**
+ * Thrown for bytes that are not a valid frame of this version, or a message that does not fit into one. Immutable, safe
+ * for use by any thread.
+ */
 public final class FrameException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -8,15 +11,15 @@
 
     /** What is wrong with the bytes. */
     public enum Kind {
-        /** The length is above the bound; set the same {@code bounds.frameBytes} in the whole fleet. */
+        /** The length exceeds the bound; set the same {@code bounds.frameBytes} in the whole fleet. */
         TOO_LARGE(true),
         /** The length leaves no room for version and type. */
         TOO_SHORT(true),
-        /** The version of the frame's form is not this one; upgrade the older side. */
+        /** The frame format has another version; upgrade the older process. */
         UNKNOWN_VERSION(true),
-        /** A message that this version does not know; its frame is skipped. */
+        /** This version does not know the message type; the frame is skipped. */
         UNKNOWN_TYPE(false),
-        /** The map is not that of the message type. */
+        /** The body does not match the message type. */
         MALFORMED_BODY(true);
 
         private final boolean fatal;
@@ -26,9 +29,9 @@
         }
 
         /**
-         * Whether the link must be closed. After a message of an unknown type the next frame's place is still
-         * known, and closing would cut the links between neighbouring versions; after the others nothing that
-         * follows can be trusted.
+         * Whether the link must be closed. After a message of an unknown type the start of the next frame is still
+         * known, and closing would disconnect adjacent versions from each other; after the other kinds the rest of
+         * the stream cannot be trusted.
          */
         public boolean isFatal() {
             return fatal;
--- a/wire/src/main/java/org/cornelramp/wire/codec/FrameMapper.java
+++ b/wire/src/main/java/org/cornelramp/wire/codec/FrameMapper.java
@@ -12,8 +12,8 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * The mapper of frame bodies. Fields that a reader does not know are ignored, and lists, maps and optional values
- * that the writer does not know read as empty: so neighbouring versions understand each other.
+ * The object mapper of frame bodies. A reader ignores unknown fields and reads missing lists, maps, strings and
+ * optional values as empty, so that adjacent versions are compatible.
  */
 final class FrameMapper {
     static final ObjectMapper MAPPER = build();
@@ -25,7 +25,7 @@
         mapper.registerModule(new Jdk8Module());
         mapper.disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
         mapper.disable(SerializationFeature.FAIL_ON_EMPTY_BEANS);
-        // What is empty reads back as empty, so that its name need not be sent with every heartbeat and call.
+        // A missing value is read as empty, so empty fields need not be sent with every heartbeat and call.
         mapper.setDefaultPropertyInclusion(JsonInclude.Include.NON_EMPTY);
         JsonSetter.Value empty = JsonSetter.Value.forValueNulls(Nulls.AS_EMPTY);
         mapper.configOverride(List.class).setSetterInfo(empty);
--- a/wire/src/main/java/org/cornelramp/wire/codec/FrameReader.java
+++ b/wire/src/main/java/org/cornelramp/wire/codec/FrameReader.java
@@ -6,104 +6,105 @@
 import org.cornelramp.wire.message.Message;
 
 /**
- * Cuts the bytes of one link into frames and reads them. Confined to one thread.
+ * Splits the bytes of one link into frames and decodes them. Confined to one thread.
  *
- * <p>Invariant: it never holds more than one frame of the largest size and one read. The length is checked before
- * room is made for it: four bytes of garbage must not cost gigabytes.
+ * <p>Invariant: it never buffers more than one frame of the largest size and one read. The length is checked before
+ * memory is allocated for it, so that four invalid bytes cannot allocate gigabytes.
  */
 public final class FrameReader {
-    private static final int START_BYTES = 4 << 10;
-    private static final int KEPT_BYTES = 64 << 10;
+    private static final int INITIAL_CAPACITY = 4 << 10;
+    private static final int MAX_RETAINED_CAPACITY = 64 << 10;
 
     private final int maxBytes;
-    private ByteBuffer held = ByteBuffer.allocate(START_BYTES).limit(0);
+    private ByteBuffer buffered = ByteBuffer.allocate(INITIAL_CAPACITY).limit(0);
 
     /**
-     * @param maxBytes largest frame, without its length
+     * @param maxBytes largest frame in bytes, without its length field
      */
     public FrameReader(int maxBytes) {
         this.maxBytes = maxBytes;
     }
 
-    /** Takes the bytes that a link gave, whole frames or not; the buffer is read to its end. */
+    /** Adds bytes that a link received, which need not be whole frames; the given buffer is consumed. */
     public void feed(ByteBuffer bytes) {
-        if (!held.hasRemaining()) {
-            // One large frame must not hold its room for the rest of the link's life.
-            held = held.capacity() > KEPT_BYTES ? ByteBuffer.allocate(START_BYTES) : held;
-            held.clear().limit(0);
+        if (!buffered.hasRemaining()) {
+            // The buffer of one large frame is released instead of being kept until the link closes.
+            buffered = buffered.capacity() > MAX_RETAINED_CAPACITY ? ByteBuffer.allocate(INITIAL_CAPACITY) : buffered;
+            buffered.clear().limit(0);
         }
-        int need = held.remaining() + bytes.remaining();
-        if (held.capacity() - held.limit() < bytes.remaining()) {
-            held = moved(Math.max(need, need > START_BYTES ? need + need / 2 : START_BYTES));
+        int needed = buffered.remaining() + bytes.remaining();
+        if (buffered.capacity() - buffered.limit() < bytes.remaining()) {
+            buffered = resized(Math.max(needed, needed > INITIAL_CAPACITY ? needed + needed / 2 : INITIAL_CAPACITY));
         }
-        int from = held.position();
-        int to = held.limit();
-        held.limit(to + bytes.remaining()).position(to);
-        held.put(bytes);
-        held.position(from);
+        int from = buffered.position();
+        int to = buffered.limit();
+        buffered.limit(to + bytes.remaining()).position(to);
+        buffered.put(bytes);
+        buffered.position(from);
     }
 
-    private ByteBuffer moved(int capacity) {
-        return ByteBuffer.allocate(capacity).put(held).flip();
+    private ByteBuffer resized(int capacity) {
+        return ByteBuffer.allocate(capacity).put(buffered).flip();
     }
 
-    /** Bytes that wait for the rest of their frame. */
-    int held() {
-        return held.remaining();
+    /** Number of buffered bytes that are not decoded yet. */
+    int buffered() {
+        return buffered.remaining();
     }
 
     /**
-     * Reads the next whole frame; empty until more bytes are fed.
+     * Decodes the next whole frame; empty until more bytes are added.
      *
-     * @throws FrameException if the frame cannot be read; after one that is not {@link FrameException.Kind#isFatal
-     *     fatal} the frame is skipped and reading goes on with the next
+     * @throws FrameException if the frame cannot be decoded; after an exception that is not
+     *     {@link FrameException.Kind#isFatal fatal} the frame is skipped and decoding continues with the next
      */
     public Optional<Message> next() throws FrameException {
-        if (held.remaining() < FrameWriter.LENGTH_BYTES) {
+        if (buffered.remaining() < FrameWriter.LENGTH_BYTES) {
             return Optional.empty();
         }
-        int length = held.getInt(held.position());
-        check(length);
-        if (held.remaining() < FrameWriter.LENGTH_BYTES + length) {
+        int length = buffered.getInt(buffered.position());
+        checkLength(length);
+        if (buffered.remaining() < FrameWriter.LENGTH_BYTES + length) {
             return Optional.empty();
         }
-        held.position(held.position() + FrameWriter.LENGTH_BYTES);
-        byte version = held.get();
-        int type = held.get();
-        int bodyBytes = length - FrameWriter.TAG_BYTES;
-        int body = held.position();
-        held.position(body + bodyBytes);
+        buffered.position(buffered.position() + FrameWriter.LENGTH_BYTES);
+        byte version = buffered.get();
+        int type = buffered.get();
+        int bodyBytes = length - FrameWriter.VERSION_AND_TYPE_BYTES;
+        int body = buffered.position();
+        buffered.position(body + bodyBytes);
         if (version != FrameWriter.VERSION) {
             throw new FrameException(
                     FrameException.Kind.UNKNOWN_VERSION,
-                    "A frame has version " + version + " and this side reads " + FrameWriter.VERSION);
+                    "A frame has version " + version + " but this process supports " + FrameWriter.VERSION);
         }
-        return Optional.of(read(type, body, bodyBytes));
+        return Optional.of(decodeBody(type, body, bodyBytes));
     }
 
-    private void check(int length) throws FrameException {
-        if (length < FrameWriter.TAG_BYTES) {
-            throw new FrameException(FrameException.Kind.TOO_SHORT, "A frame has the length " + length);
+    private void checkLength(int length) throws FrameException {
+        if (length < FrameWriter.VERSION_AND_TYPE_BYTES) {
+            throw new FrameException(FrameException.Kind.TOO_SHORT, "A frame has the invalid length " + length);
         }
         if (length > maxBytes) {
             throw new FrameException(
                     FrameException.Kind.TOO_LARGE,
-                    "A frame of " + length + " bytes is above bounds.frameBytes " + maxBytes);
+                    "A frame of " + length + " bytes exceeds bounds.frameBytes " + maxBytes);
         }
     }
 
-    private Message read(int number, int body, int bodyBytes) throws FrameException {
+    private Message decodeBody(int number, int body, int bodyBytes) throws FrameException {
         MessageType type = MessageType.of(number)
-                .orElseThrow(() -> new FrameException(
-                        FrameException.Kind.UNKNOWN_TYPE, "A message of type " + number + " is not known"));
+                .orElseThrow(() ->
+                        new FrameException(FrameException.Kind.UNKNOWN_TYPE, "Message type " + number + " is unknown"));
         try {
-            Message message = FrameMapper.MAPPER.readValue(held.array(), body, bodyBytes, type.form());
+            Message message = FrameMapper.MAPPER.readValue(buffered.array(), body, bodyBytes, type.messageClass());
             if (message == null) {
-                throw new FrameException(FrameException.Kind.MALFORMED_BODY, "A " + type + " frame holds nothing");
+                throw new FrameException(FrameException.Kind.MALFORMED_BODY, "A " + type + " frame has a null body");
             }
             return message;
         } catch (IOException | RuntimeException e) {
-            // The decoder reports some garbage by unchecked exceptions; on the network thread they would end all links.
+            // The decoder throws unchecked exceptions for some malformed input; on the network thread they would end
+            // all links.
             throw new FrameException(FrameException.Kind.MALFORMED_BODY, "The body of a " + type + " is malformed", e);
         }
     }
--- a/wire/src/main/java/org/cornelramp/wire/codec/FrameWriter.java
+++ b/wire/src/main/java/org/cornelramp/wire/codec/FrameWriter.java
@@ -5,34 +5,38 @@
 import org.cornelramp.wire.message.Message;
 
 /**
- * Writes messages as frames: a length of 4 bytes that counts what follows it, the version and the type of one byte
- * each, and a MessagePack map. Immutable, safe for use by any thread.
+ * Writes messages as frames: a length of 4 bytes that counts the bytes after it, a version and a message type of one
+ * byte each, and a MessagePack map. Immutable, safe for use by any thread.
  */
 public final class FrameWriter {
-    /** Version of the frame's form. */
+    /** Version of the frame format. */
     public static final byte VERSION = 1;
-    /** Bytes of the length. */
+    /** Size of the length field in bytes. */
     static final int LENGTH_BYTES = 4;
-    /** Bytes of version and type. */
-    static final int TAG_BYTES = 2;
+    /** Size of the version and type fields in bytes. */
+    static final int VERSION_AND_TYPE_BYTES = 2;
 
     private final int maxBytes;
 
     /**
-     * @param maxBytes largest frame, without its length
+     * @param maxBytes largest frame in bytes, without its length field
      */
     public FrameWriter(int maxBytes) {
         this.maxBytes = maxBytes;
     }
 
-    /** Writes one message; the buffer is ready to be read. */
+    /**
+     * Writes one message; the returned buffer is ready for reading.
+     *
+     * @throws FrameException if the message is larger than the bound or cannot be serialised
+     */
     public ByteBuffer write(Message message) throws FrameException {
         byte[] body = body(message);
-        int length = TAG_BYTES + body.length;
+        int length = VERSION_AND_TYPE_BYTES + body.length;
         if (length > maxBytes) {
             throw new FrameException(
                     FrameException.Kind.TOO_LARGE,
-                    "A " + MessageType.of(message) + " of " + length + " bytes is above bounds.frameBytes " + maxBytes);
+                    "A " + MessageType.of(message) + " of " + length + " bytes exceeds bounds.frameBytes " + maxBytes);
         }
         ByteBuffer frame = ByteBuffer.allocate(LENGTH_BYTES + length);
         frame.putInt(length);
@@ -46,7 +50,7 @@
         try {
             return FrameMapper.MAPPER.writeValueAsBytes(message);
         } catch (JsonProcessingException e) {
-            throw new FrameException(FrameException.Kind.MALFORMED_BODY, "The message cannot be written", e);
+            throw new FrameException(FrameException.Kind.MALFORMED_BODY, "The message cannot be serialised", e);
         }
     }
 }
--- a/wire/src/main/java/org/cornelramp/wire/codec/MessageType.java
+++ b/wire/src/main/java/org/cornelramp/wire/codec/MessageType.java
@@ -28,8 +28,8 @@
 import org.cornelramp.wire.message.Token;
 
 /**
- * The byte that names each message in a frame. A number is never given to another message, so that an older
- * reader refuses what it does not know instead of taking it for something else.
+ * The byte that identifies the type of a message in a frame. A number is never reassigned to another message, so that
+ * an older reader rejects an unknown message instead of misreading it.
  */
 public enum MessageType {
     HELLO(1, Hello.class),
@@ -56,40 +56,40 @@
     ORDER_RESULT(41, OrderResult.class);
 
     private static final Map<Integer, MessageType> BY_NUMBER = new HashMap<>();
-    private static final Map<Class<?>, MessageType> BY_FORM = new HashMap<>();
+    private static final Map<Class<?>, MessageType> BY_CLASS = new HashMap<>();
 
     static {
         for (MessageType type : values()) {
             BY_NUMBER.put(type.number, type);
-            BY_FORM.put(type.form, type);
+            BY_CLASS.put(type.messageClass, type);
         }
     }
 
     private final int number;
-    private final Class<? extends Message> form;
+    private final Class<? extends Message> messageClass;
 
     MessageType(int number, Class<? extends Message> form) {
         this.number = number;
-        this.form = form;
+        this.messageClass = form;
     }
 
-    /** The byte in the frame, 1 to 127. */
+    /** The type byte in the frame, 1 to 127. */
     public int number() {
         return number;
     }
 
-    /** The class of the message. */
-    public Class<? extends Message> form() {
-        return form;
+    /** The message class. */
+    public Class<? extends Message> messageClass() {
+        return messageClass;
     }
 
-    /** The type with this byte, if this version knows one. */
+    /** The type with this byte; empty if this version knows none. */
     public static Optional<MessageType> of(int number) {
         return Optional.ofNullable(BY_NUMBER.get(number));
     }
 
     /** The type of a message. */
     public static MessageType of(Message message) {
-        return BY_FORM.get(message.getClass());
+        return BY_CLASS.get(message.getClass());
     }
 }
--- a/wire/src/main/java/org/cornelramp/wire/link/Dialler.java
+++ b/wire/src/main/java/org/cornelramp/wire/link/Dialler.java
@@ -4,20 +4,20 @@
 import org.cornelramp.core.settings.HostPort;
 
 /**
- * Says when one kept address is connected to again. Confined to the network thread, but for {@link #forget}.
- * Invariant: there is at most one link to the address, and none is due while there is one.
+ * Decides when to reconnect to one address. Confined to the network thread, except for {@link #stop}.
+ * Invariant: there is at most one link to the address, and no attempt is due while there is one.
  */
 final class Dialler {
-    private static final long MILLI = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
     final HostPort address;
     TcpLink link;
 
     private final Backoff backoff;
     private int failures;
-    private long nextAt;
-    private boolean waits;
-    private volatile boolean forgotten;
+    private long nextAttemptAt;
+    private boolean backingOff;
+    private volatile boolean stopped;
 
     Dialler(HostPort address, LinkOptions options) {
         this.address = address;
@@ -25,21 +25,22 @@
     }
 
     boolean isDue(long now) {
-        return link == null && !forgotten && (!waits || now - nextAt >= 0);
+        return link == null && !stopped && (!backingOff || now - nextAttemptAt >= 0);
     }
 
-    void succeeded() {
+    void recordSuccess() {
         failures = 0;
     }
 
-    void failed(long now) {
+    void recordFailure(long now) {
         link = null;
         failures++;
-        waits = true;
-        nextAt = now + backoff.waitMillis(failures, ThreadLocalRandom.current().nextDouble()) * MILLI;
+        backingOff = true;
+        nextAttemptAt =
+                now + backoff.delayMillis(failures, ThreadLocalRandom.current().nextDouble()) * NANOS_PER_MILLI;
     }
 
-    void forget() {
-        forgotten = true;
+    void stop() {
+        stopped = true;
     }
 }
--- a/wire/src/main/java/org/cornelramp/wire/link/LinkCounters.java
+++ b/wire/src/main/java/org/cornelramp/wire/link/LinkCounters.java
@@ -2,11 +2,11 @@
 
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts of what happened on all links of a process, since its start. Safe for use by any thread. */
+/** Counters of all links of a process, since its start. Safe for use by any thread. */
 public final class LinkCounters {
     final LongAdder opened = new LongAdder();
-    final LongAdder silent = new LongAdder();
-    final LongAdder garbage = new LongAdder();
+    final LongAdder unresponsive = new LongAdder();
+    final LongAdder invalid = new LongAdder();
     final LongAdder skipped = new LongAdder();
     final LongAdder refusedSends = new LongAdder();
     final LongAdder framesIn = new LongAdder();
@@ -14,27 +14,27 @@
     final LongAdder bytesIn = new LongAdder();
     final LongAdder bytesOut = new LongAdder();
 
-    /** Links whose peer said who it is. */
+    /** Links whose peer has sent its hello. */
     public long opened() {
         return opened.sum();
     }
 
-    /** Links closed because the peer was silent or took nothing. */
-    public long silent() {
-        return silent.sum();
+    /** Links closed because the peer sent nothing or read nothing. */
+    public long unresponsive() {
+        return unresponsive.sum();
     }
 
-    /** Links closed because what came was no frame of this version. */
-    public long garbage() {
-        return garbage.sum();
+    /** Links closed because of invalid frames, or a first message that is not a hello. */
+    public long invalid() {
+        return invalid.sum();
     }
 
-    /** Messages skipped because this version does not know them. */
+    /** Messages skipped because this version does not know their type. */
     public long skipped() {
         return skipped.sum();
     }
 
-    /** Messages refused because a link was full or closed, or the message too large. */
+    /** Messages not sent because the link was closed, its buffer full, or the message too large. */
     public long refusedSends() {
         return refusedSends.sum();
     }
