--- a/wire/src/main/java/org/cornelramp/wire/link/LinkLoop.java
+++ b/wire/src/main/java/org/cornelramp/wire/link/LinkLoop.java
@@ -26,20 +26,20 @@
 import org.cornelramp.wire.message.Message;
 
 /**
- * Holds all links of one process on one network thread: listens, connects and connects again, says hello, sends
- * heartbeats, and closes links that are silent, stalled or send garbage.
+ * Runs all links of one process on one network thread: it listens, connects and reconnects, sends hello messages and
+ * heartbeats, and closes links that are silent, stalled or send invalid data.
  *
- * <p>{@link #listen}, {@link #keep}, {@link #forget} and {@link #beatNow} are safe for use by any thread; the rest
+ * <p>{@link #listen}, {@link #keepConnected}, {@link #disconnect} and {@link #sendHeartbeatsNow} are safe for use by any thread; the rest
  * of the state is confined to the network thread, which also calls the suppliers and the listener. They must not
- * block. Invariant: the listener hears of a link first by {@code opened} and last by {@code closed}, each once; a
- * connection whose peer never said who it is stays unheard of.
+ * block. Invariant: for each link the first call of the listener is {@code opened} and the last is {@code closed}, each
+ * once; a connection whose peer never sends a hello is not reported.
  */
 public final class LinkLoop implements AutoCloseable {
     private static final System.Logger LOG = System.getLogger(LinkLoop.class.getName());
     private static final int READ_BYTES = 64 << 10;
-    private static final int READS_EACH = 16;
+    private static final int MAX_READS_PER_LINK = 16;
     private static final int BACKLOG = 1_024;
-    private static final long STOP_MILLIS = 2_000;
+    private static final long STOP_TIMEOUT_MILLIS = 2_000;
 
     private final LinkOptions options;
     private final Supplier<Hello> hello;
@@ -51,18 +51,18 @@
     private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BYTES);
     private final Set<TcpLink> links = new LinkedHashSet<>();
     private final Map<HostPort, Dialler> diallers = new ConcurrentHashMap<>();
-    private final Queue<TcpLink> flushes = new ConcurrentLinkedQueue<>();
-    private final Queue<ServerSocketChannel> listeners = new ConcurrentLinkedQueue<>();
+    private final Queue<TcpLink> flushRequests = new ConcurrentLinkedQueue<>();
+    private final Queue<ServerSocketChannel> unregisteredServers = new ConcurrentLinkedQueue<>();
     private final List<ServerSocketChannel> servers = new ArrayList<>();
     private volatile boolean running = true;
-    private volatile boolean beatAsked;
+    private volatile boolean heartbeatRequested;
 
     /**
      * @param name name of the network thread
      * @param options bounds and intervals
-     * @param hello what this process says when a link opens
-     * @param heartbeat what this process says in each interval
-     * @param listener told of links and messages
+     * @param hello supplies the message that this process sends when a link opens
+     * @param heartbeat supplies the heartbeat of this process in each interval
+     * @param listener notified of links and messages
      */
     public LinkLoop(
             String name,
@@ -87,7 +87,7 @@
         thread.start();
     }
 
-    /** Takes links at an address; returns it with the port that was bound. */
+    /** Accepts links at an address; returns it with the port that was bound. */
     public HostPort listen(HostPort address) throws IOException {
         ServerSocketChannel server = ServerSocketChannel.open();
         try {
@@ -98,34 +98,34 @@
             server.close();
             throw e;
         }
-        listeners.add(server);
+        unregisteredServers.add(server);
         selector.wakeup();
         return new HostPort(address.host(), ((InetSocketAddress) server.getLocalAddress()).getPort());
     }
 
-    /** Holds a link to an address, connecting again whenever it is lost, until {@link #forget}. */
-    public void keep(HostPort address) {
+    /** Connects to an address, and reconnects whenever the link is lost, until {@link #disconnect}. */
+    public void keepConnected(HostPort address) {
         if (diallers.putIfAbsent(address, new Dialler(address, options)) == null) {
             selector.wakeup();
         }
     }
 
-    /** Holds a link to an address no longer, and closes it. */
-    public void forget(HostPort address) {
+    /** Closes the link to an address and does not reconnect. */
+    public void disconnect(HostPort address) {
         Dialler dialler = diallers.remove(address);
         if (dialler != null) {
-            dialler.forget();
+            dialler.stop();
             selector.wakeup();
         }
     }
 
-    /** Sends a heartbeat on all links at once, since something in it has changed. */
-    public void beatNow() {
-        beatAsked = true;
+    /** Sends a heartbeat on all links immediately; called when its contents have changed. */
+    public void sendHeartbeatsNow() {
+        heartbeatRequested = true;
         selector.wakeup();
     }
 
-    /** What happened on all links so far. */
+    /** Counters of all links. */
     public LinkCounters counters() {
         return counters;
     }
@@ -136,14 +136,14 @@
         running = false;
         selector.wakeup();
         try {
-            thread.join(STOP_MILLIS);
+            thread.join(STOP_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    void askFlush(TcpLink link) {
-        flushes.add(link);
+    void requestFlush(TcpLink link) {
+        flushRequests.add(link);
         if (Thread.currentThread() != thread) {
             selector.wakeup();
         }
@@ -157,43 +157,49 @@
     private void run() {
         while (running) {
             try {
-                turn();
+                runOnce();
             } catch (IOException | RuntimeException e) {
-                LOG.log(System.Logger.Level.ERROR, "link: one turn failed, the loop goes on", e);
+                LOG.log(
+                        System.Logger.Level.ERROR,
+                        "link: an iteration of the network loop failed; the loop continues",
+                        e);
             }
         }
-        new ArrayList<>(links).forEach(link -> close(link, "this process stops"));
-        // A channel that its selector no longer knows stays bound, and the port could not be listened on again.
+        new ArrayList<>(links).forEach(link -> close(link, "this process is stopping"));
+        // Closing the selector leaves the server channels bound, so the port could not be bound again.
         servers.forEach(LinkLoop::closeQuietly);
-        listeners.forEach(LinkLoop::closeQuietly);
+        unregisteredServers.forEach(LinkLoop::closeQuietly);
         closeQuietly(selector);
     }
 
-    /** Reads before it judges silence: after a pause of this process the frames of a living peer wait unread. */
-    private void turn() throws IOException {
+    /**
+     * One iteration. It reads before it checks for silence: after a pause of this process, frames of a live peer are
+     * unread.
+     */
+    private void runOnce() throws IOException {
         selector.select(Math.max(1, options.heartbeatMillis() / 4));
         long now = System.nanoTime();
         registerListeners();
         for (SelectionKey key : selector.selectedKeys()) {
-            serve(key, now);
+            handleKey(key, now);
         }
         selector.selectedKeys().clear();
-        flushAsked(now);
+        flushRequestedLinks(now);
         dial(now);
-        watch(now);
-        flushAsked(now);
+        checkLinks(now);
+        flushRequestedLinks(now);
     }
 
     private void registerListeners() throws IOException {
-        ServerSocketChannel server = listeners.poll();
+        ServerSocketChannel server = unregisteredServers.poll();
         while (server != null) {
             server.register(selector, SelectionKey.OP_ACCEPT);
             servers.add(server);
-            server = listeners.poll();
+            server = unregisteredServers.poll();
         }
     }
 
-    private void serve(SelectionKey key, long now) {
+    private void handleKey(SelectionKey key, long now) {
         if (!key.isValid()) {
             return;
         }
@@ -227,26 +233,26 @@
             TcpLink link = add(channel, Optional.empty(), now);
             start(link, channel.register(selector, SelectionKey.OP_READ, link), now);
         } catch (IOException e) {
-            LOG.log(System.Logger.Level.WARNING, "link: a connection was not taken; why=" + e.getMessage());
+            LOG.log(System.Logger.Level.WARNING, "link: a connection could not be accepted; why=" + e.getMessage());
         }
     }
 
-    private TcpLink add(SocketChannel channel, Optional<HostPort> kept, long now) throws IOException {
+    private TcpLink add(SocketChannel channel, Optional<HostPort> dialledAddress, long now) throws IOException {
         channel.configureBlocking(false);
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        TcpLink link = new TcpLink(this, options, channel, kept, now);
+        TcpLink link = new TcpLink(this, options, channel, dialledAddress, now);
         links.add(link);
         return link;
     }
 
     private void start(TcpLink link, SelectionKey key, long now) {
         key.interestOps(SelectionKey.OP_READ);
-        link.silence.heard(now);
+        link.silenceDetector.recordReceived(now);
         link.send(hello.get());
     }
 
     private void read(TcpLink link, long now) throws IOException {
-        for (int i = 0; i < READS_EACH && link.isOpen(); i++) {
+        for (int i = 0; i < MAX_READS_PER_LINK && link.isOpen(); i++) {
             readBuffer.clear();
             int count = link.channel.read(readBuffer);
             if (count < 0) {
@@ -258,29 +264,29 @@
             }
             counters.bytesIn.add(count);
             link.reader.feed(readBuffer.flip());
-            deliver(link, now);
+            decodeFrames(link, now);
         }
     }
 
-    private void deliver(TcpLink link, long now) {
+    private void decodeFrames(TcpLink link, long now) {
         while (link.isOpen()) {
             try {
                 Optional<Message> message = link.reader.next();
                 if (message.isEmpty()) {
                     return;
                 }
-                link.silence.heard(now);
+                link.silenceDetector.recordReceived(now);
                 counters.framesIn.increment();
                 receive(link, message.get());
             } catch (FrameException e) {
-                refuse(link, e);
+                handleInvalidFrame(link, e);
             }
         }
     }
 
-    private void refuse(TcpLink link, FrameException e) {
+    private void handleInvalidFrame(TcpLink link, FrameException e) {
         if (e.kind().isFatal()) {
-            counters.garbage.increment();
+            counters.invalid.increment();
             close(link, e.getMessage());
         } else {
             counters.skipped.increment();
@@ -289,37 +295,43 @@
     }
 
     private void receive(TcpLink link, Message message) {
-        if (link.isIntroduced()) {
-            link.expand(message).ifPresent(whole -> guard(link, () -> listener.received(link, whole)));
+        if (link.hasPeer()) {
+            link.expandBeat(message).ifPresent(expanded -> callListener(link, () -> listener.received(link, expanded)));
             return;
         }
-        if (!(message instanceof Hello said)) {
-            counters.garbage.increment();
+        if (!(message instanceof Hello peerHello)) {
+            counters.invalid.increment();
             close(link, "the first message is not a hello");
             return;
         }
-        link.introduce(said);
+        link.setPeer(peerHello);
         counters.opened.increment();
-        link.kept().map(diallers::get).ifPresent(Dialler::succeeded);
+        link.dialledAddress().map(diallers::get).ifPresent(Dialler::recordSuccess);
         LOG.log(System.Logger.Level.DEBUG, "link: opened; peer=" + link);
-        guard(link, () -> listener.opened(link));
+        callListener(link, () -> listener.opened(link));
     }
 
-    /** A fault of the listener over one message must not end the thread that all links depend on. */
-    private void guard(TcpLink link, Runnable call) {
+    /**
+     * Calls the listener; an exception closes only this link and must not end the network thread, which serves all
+     * links.
+     */
+    private void callListener(TcpLink link, Runnable call) {
         try {
             call.run();
         } catch (RuntimeException e) {
-            LOG.log(System.Logger.Level.ERROR, "link: a listener failed, its link is closed; peer=" + link, e);
-            close(link, "a listener failed");
+            LOG.log(
+                    System.Logger.Level.ERROR,
+                    "link: the listener threw an exception, the link is closed; peer=" + link,
+                    e);
+            close(link, "the listener threw an exception");
         }
     }
 
-    private void flushAsked(long now) {
-        TcpLink link = flushes.poll();
+    private void flushRequestedLinks(long now) {
+        TcpLink link = flushRequests.poll();
         while (link != null) {
             flushOne(link, now);
-            link = flushes.poll();
+            link = flushRequests.poll();
         }
     }
 
@@ -360,25 +372,25 @@
             if (dialler.link != null) {
                 close(dialler.link, "not connected: " + e.getMessage());
             } else {
-                dialler.failed(now);
+                dialler.recordFailure(now);
             }
         }
     }
 
-    private void watch(long now) {
-        boolean all = beatAsked;
-        beatAsked = false;
+    private void checkLinks(long now) {
+        boolean sendToAll = heartbeatRequested;
+        heartbeatRequested = false;
         for (TcpLink link : new ArrayList<>(links)) {
-            if (link.kept().isPresent() && !diallers.containsKey(link.kept().get())) {
+            if (link.dialledAddress().isPresent() && !diallers.containsKey(link.dialledAddress().get())) {
                 close(link, "no longer needed");
-            } else if (link.silence.isSilent(now)) {
-                counters.silent.increment();
-                close(link, "silent for " + SilenceDetector.INTERVALS + " heartbeats");
-            } else if (link.hasUnsent() && link.silence.isStalled(now)) {
-                counters.silent.increment();
-                close(link, "took nothing for " + SilenceDetector.INTERVALS + " heartbeats");
-            } else if ((link.silence.takeBeat(now) || all) && link.channel.isConnected()) {
-                link.beat(heartbeat.get());
+            } else if (link.silenceDetector.isSilent(now)) {
+                counters.unresponsive.increment();
+                close(link, "silent for " + SilenceDetector.MAX_SILENT_INTERVALS + " heartbeats");
+            } else if (link.hasUnsent() && link.silenceDetector.isStalled(now)) {
+                counters.unresponsive.increment();
+                close(link, "read nothing for " + SilenceDetector.MAX_SILENT_INTERVALS + " heartbeats");
+            } else if ((link.silenceDetector.pollHeartbeatDue(now) || sendToAll) && link.channel.isConnected()) {
+                link.sendHeartbeat(heartbeat.get());
             }
         }
     }
@@ -389,13 +401,13 @@
             return;
         }
         closeQuietly(link.channel);
-        link.kept()
+        link.dialledAddress()
                 .map(diallers::get)
                 .filter(dialler -> dialler.link == link)
-                .ifPresent(dialler -> dialler.failed(System.nanoTime()));
-        if (link.isIntroduced()) {
+                .ifPresent(dialler -> dialler.recordFailure(System.nanoTime()));
+        if (link.hasPeer()) {
             LOG.log(System.Logger.Level.INFO, "link: closed; peer=" + link + " why=" + link.closeReason());
-            guard(link, () -> listener.closed(link, link.closeReason()));
+            callListener(link, () -> listener.closed(link, link.closeReason()));
         }
     }
 
--- a/wire/src/main/java/org/cornelramp/wire/link/SilenceDetector.java
+++ b/wire/src/main/java/org/cornelramp/wire/link/SilenceDetector.java
@@ -1,54 +1,54 @@
 package org.cornelramp.wire.link;
 
 /**
- * Decides by time alone when a heartbeat is due and when a link counts as dead. Confined to one thread.
+ * Decides by time alone when a heartbeat is due and when a link is dead. Confined to one thread.
  *
- * <p>A connection can go silent for good while TCP still calls it open, because something between the two ends has
- * lost track of it: requests on it would wait for ever. Both ends send heartbeats, so three intervals without one
- * frame mean that nothing passes any more. Times are of a monotone clock, in nanoseconds.
+ * <p>A connection can stop carrying data while TCP still reports it as open, because a middlebox has lost its state;
+ * requests on it would wait for ever. Both ends send heartbeats, so three intervals without a frame mean that the
+ * connection is dead. Times are of a monotonic clock, in nanoseconds.
  */
 final class SilenceDetector {
-    /** Heartbeats that may be missed. */
-    static final int INTERVALS = 3;
+    /** Number of heartbeat intervals without a frame after which a link is dead. */
+    static final int MAX_SILENT_INTERVALS = 3;
 
     private final long intervalNanos;
-    private long heardAt;
-    private long progressAt;
-    private long nextBeatAt;
+    private long lastReceivedAt;
+    private long lastProgressAt;
+    private long nextHeartbeatAt;
 
     SilenceDetector(long intervalNanos, long now) {
         this.intervalNanos = intervalNanos;
-        this.heardAt = now;
-        this.progressAt = now;
-        this.nextBeatAt = now + intervalNanos;
+        this.lastReceivedAt = now;
+        this.lastProgressAt = now;
+        this.nextHeartbeatAt = now + intervalNanos;
     }
 
-    /** Notes that bytes of the peer came. */
-    void heard(long now) {
-        heardAt = now;
+    /** Records that the peer has sent a frame. */
+    void recordReceived(long now) {
+        lastReceivedAt = now;
     }
 
-    /** Notes that the peer takes what is sent, or that nothing waits for it. */
-    void progressed(long now) {
-        progressAt = now;
+    /** Records that the peer reads what is sent, or that nothing is unsent. */
+    void recordProgress(long now) {
+        lastProgressAt = now;
     }
 
-    /** Whether the peer has been silent for three intervals. */
+    /** Whether the peer has sent nothing for three intervals. */
     boolean isSilent(long now) {
-        return now - heardAt >= INTERVALS * intervalNanos;
+        return now - lastReceivedAt >= MAX_SILENT_INTERVALS * intervalNanos;
     }
 
-    /** Whether bytes have waited for three intervals without the peer taking any: it talks, and does not listen. */
+    /** Whether the peer has read nothing for three intervals; it may still send heartbeats itself. */
     boolean isStalled(long now) {
-        return now - progressAt >= INTERVALS * intervalNanos;
+        return now - lastProgressAt >= MAX_SILENT_INTERVALS * intervalNanos;
     }
 
-    /** Whether a heartbeat is due; if so, the next is due an interval later. */
-    boolean takeBeat(long now) {
-        if (now - nextBeatAt < 0) {
+    /** Whether a heartbeat is due; if so, schedules the next one an interval later. */
+    boolean pollHeartbeatDue(long now) {
+        if (now - nextHeartbeatAt < 0) {
             return false;
         }
-        nextBeatAt = now + intervalNanos;
+        nextHeartbeatAt = now + intervalNanos;
         return true;
     }
 }
--- a/wire/src/main/java/org/cornelramp/wire/link/TcpLink.java
+++ b/wire/src/main/java/org/cornelramp/wire/link/TcpLink.java
@@ -21,38 +21,38 @@
 /**
  * One connection of a {@link LinkLoop}.
  *
- * <p>{@link #send}, {@link #isOpen}, {@link #peer} and {@link #close} are safe for use by any thread; all else is
- * confined to the network thread. Invariant: the frames that wait never hold more than the bound in bytes, so a
- * peer that reads slowly costs its own sender a refusal, and no other link anything.
+ * <p>{@link #send}, {@link #isOpen}, {@link #peer} and {@link #close} are safe for use by any thread; everything else
+ * is confined to the network thread. Invariant: the unsent frames never exceed the bound in bytes, so a peer that reads
+ * slowly makes only sends on its own link fail and does not affect other links.
  */
 final class TcpLink implements Link {
-    private static final Beat SAME = new Beat();
+    private static final Beat UNCHANGED_HEARTBEAT = new Beat();
 
     final SocketChannel channel;
-    final SilenceDetector silence;
+    final SilenceDetector silenceDetector;
     final FrameReader reader;
 
     private final LinkLoop loop;
     private final Optional<HostPort> kept;
     private final FrameWriter writer;
-    private final long outBytes;
-    private final Queue<ByteBuffer> out = new ConcurrentLinkedQueue<>();
-    private final AtomicLong waiting = new AtomicLong();
-    private final AtomicBoolean flushAsked = new AtomicBoolean();
+    private final long maxUnsentBytes;
+    private final Queue<ByteBuffer> unsentFrames = new ConcurrentLinkedQueue<>();
+    private final AtomicLong unsentBytes = new AtomicLong();
+    private final AtomicBoolean flushRequested = new AtomicBoolean();
     private volatile Hello peer;
     private volatile String closeReason;
-    private ByteBuffer writing;
-    private Heartbeat said;
-    private Heartbeat heard;
+    private ByteBuffer partlyWritten;
+    private Heartbeat lastSentHeartbeat;
+    private Heartbeat lastReceivedHeartbeat;
 
     TcpLink(LinkLoop loop, LinkOptions options, SocketChannel channel, Optional<HostPort> kept, long now) {
         this.loop = loop;
         this.channel = channel;
         this.kept = kept;
-        this.silence = new SilenceDetector(options.heartbeatMillis() * 1_000_000L, now);
+        this.silenceDetector = new SilenceDetector(options.heartbeatMillis() * 1_000_000L, now);
         this.reader = new FrameReader(options.frameBytes());
         this.writer = new FrameWriter(options.frameBytes());
-        this.outBytes = options.outBytes();
+        this.maxUnsentBytes = options.maxUnsentBytes();
     }
 
     @Override
@@ -61,16 +61,16 @@
     }
 
     @Override
-    public Optional<HostPort> kept() {
+    public Optional<HostPort> dialledAddress() {
         return kept;
     }
 
-    /** Sets who the peer is, once. */
-    void introduce(Hello hello) {
+    /** Sets the peer's hello, once. */
+    void setPeer(Hello hello) {
         peer = hello;
     }
 
-    boolean isIntroduced() {
+    boolean hasPeer() {
         return peer != null;
     }
 
@@ -88,15 +88,15 @@
             return false;
         }
         int size = frame.remaining();
-        if (waiting.addAndGet(size) > outBytes) {
-            waiting.addAndGet(-size);
+        if (unsentBytes.addAndGet(size) > maxUnsentBytes) {
+            unsentBytes.addAndGet(-size);
             loop.counters().refusedSends.increment();
             return false;
         }
-        out.add(frame);
+        unsentFrames.add(frame);
         loop.counters().framesOut.increment();
-        if (flushAsked.compareAndSet(false, true)) {
-            loop.askFlush(this);
+        if (flushRequested.compareAndSet(false, true)) {
+            loop.requestFlush(this);
         }
         return true;
     }
@@ -109,11 +109,11 @@
     @Override
     public void close(String why) {
         if (markClosed(why)) {
-            loop.askFlush(this);
+            loop.requestFlush(this);
         }
     }
 
-    /** Takes the link out of use; true for the first caller. */
+    /** Marks the link as closed; true for the first caller. */
     synchronized boolean markClosed(String why) {
         if (closeReason != null) {
             return false;
@@ -126,46 +126,46 @@
         return closeReason;
     }
 
-    /** Writes what waits, as far as the socket takes it, and asks to be told when it takes more. */
+    /** Writes unsent frames until the socket buffer is full, and then registers interest in writing. */
     void flush(SelectionKey key, long now) throws IOException {
-        flushAsked.set(false);
-        while (writing != null || (writing = out.poll()) != null) {
-            int written = channel.write(writing);
+        flushRequested.set(false);
+        while (partlyWritten != null || (partlyWritten = unsentFrames.poll()) != null) {
+            int written = channel.write(partlyWritten);
             if (written > 0) {
-                waiting.addAndGet(-written);
+                unsentBytes.addAndGet(-written);
                 loop.counters().bytesOut.add(written);
-                silence.progressed(now);
+                silenceDetector.recordProgress(now);
             }
-            if (writing.hasRemaining()) {
+            if (partlyWritten.hasRemaining()) {
                 key.interestOps(SelectionKey.OP_READ | SelectionKey.OP_WRITE);
                 return;
             }
-            writing = null;
+            partlyWritten = null;
         }
-        silence.progressed(now);
+        silenceDetector.recordProgress(now);
         key.interestOps(SelectionKey.OP_READ);
     }
 
-    /** Sends a heartbeat, in short if nothing in it has changed since the last one on this link. */
-    void beat(Heartbeat beat) {
-        if (beat.equals(said)) {
-            send(SAME);
-        } else if (send(beat)) {
-            said = beat;
+    /** Sends a heartbeat, as a {@link Beat} if it equals the last one sent on this link. */
+    void sendHeartbeat(Heartbeat heartbeat) {
+        if (heartbeat.equals(lastSentHeartbeat)) {
+            send(UNCHANGED_HEARTBEAT);
+        } else if (send(heartbeat)) {
+            lastSentHeartbeat = heartbeat;
         }
     }
 
-    /** What a message means to the listener: a short heartbeat stands for the last whole one. */
-    Optional<Message> expand(Message message) {
-        if (message instanceof Heartbeat beat) {
-            heard = beat;
+    /** The message to pass to the listener: a {@link Beat} is replaced by the last full heartbeat. */
+    Optional<Message> expandBeat(Message message) {
+        if (message instanceof Heartbeat heartbeat) {
+            lastReceivedHeartbeat = heartbeat;
         }
-        return Optional.ofNullable(message instanceof Beat ? heard : message);
+        return Optional.ofNullable(message instanceof Beat ? lastReceivedHeartbeat : message);
     }
 
-    /** Whether bytes wait that the socket has not taken. */
+    /** Whether a frame is only partly written because the socket buffer was full. */
     boolean hasUnsent() {
-        return writing != null;
+        return partlyWritten != null;
     }
 
     @Override
--- a/wire/src/main/java/org/cornelramp/wire/link/package-info.java
+++ b/wire/src/main/java/org/cornelramp/wire/link/package-info.java
@@ -1,2 +1,2 @@
-/** Framed TCP links between the system's own processes, with heartbeats that find silent connections. */
+/** Framed TCP links between the system's own processes, with heartbeats that detect dead connections. */
 package org.cornelramp.wire.link;
--- a/wire/src/main/java/org/cornelramp/wire/message/Beat.java
+++ b/wire/src/main/java/org/cornelramp/wire/message/Beat.java
@@ -1,10 +1,10 @@
 package org.cornelramp.wire.message;
 
 /**
- * Says that the sender lives and that its last {@link Heartbeat} on this link still holds. An idle process says the
- * same many times a minute on every link; whole heartbeats were most of what its links carried.
+ * States that the sender is alive and that its last {@link Heartbeat} on this link is unchanged. An idle process
+ * repeats the same heartbeat many times a minute on every link, and full heartbeats made up most of its traffic.
  *
- * <p>The link layer sends it in place of an equal heartbeat and gives its listener the last whole one again.
- * Immutable, safe for use by any thread.
+ * <p>The link layer sends it in place of an equal heartbeat, and passes the last full one to the receiver's listener
+ * again. Immutable, safe for use by any thread.
  */
 public record Beat() implements Message {}
--- a/wire/src/main/java/org/cornelramp/wire/message/Heartbeat.java
+++ b/wire/src/main/java/org/cornelramp/wire/message/Heartbeat.java
@@ -8,19 +8,19 @@
 import org.cornelramp.core.model.Offer;
 
 /**
- * Says that the sender lives; a link without one for three intervals is dead, whatever TCP says.
+ * States that the sender is alive; a link without a frame for three intervals is dead, even if TCP reports it as open.
  * Immutable, safe for use by any thread.
  *
- * @param state whether the sender takes new work
+ * @param state whether the sender accepts new work
  * @param load load of an agent; {@link AgentLoad#IDLE} from an entry
  * @param offer what the backend server offers now; empty from an entry
- * @param tableOffset offset of the table that the sender applies
- * @param term newest term that the sender knows, the fencing number of orders
- * @param setAside requests that the sender has set aside, each with its time to forget, at most a few dozen
+ * @param tableOffset offset of the sender's table
+ * @param term newest term that the sender knows, the fencing token of orders
+ * @param setAside requests that the sender has set aside, each with its expiry time, at most a few dozen
  * @param crashed from an agent, reports of the newest crashes of its backend server with the requests in progress;
- *     from an entry, fingerprints of requests that were in progress at crashes, which an agent runs alone
- * @param demand requests a second that the sending entry wants to pass, for each row; empty from an agent
- * @param entryDemand demand told to this agent by each linked entry, summed for each row; empty from an entry
+ *     from an entry, fingerprints of requests that were in progress at crashes; an agent runs each of them alone
+ * @param demand requests a second that the sending entry wants to admit, for each row; empty from an agent
+ * @param entryDemand demand reported to this agent by its linked entries, summed for each row; empty from an entry
  */
 public record Heartbeat(
         AgentState state,
--- a/wire/src/main/java/org/cornelramp/wire/message/Hello.java
+++ b/wire/src/main/java/org/cornelramp/wire/message/Hello.java
@@ -6,14 +6,14 @@
 import org.cornelramp.core.model.Offer;
 
 /**
- * Opens a link: the first message of each end, which tells who it is. Immutable, safe for use by any thread.
+ * Opens a link: the first message of each end, which identifies the sender. Immutable, safe for use by any thread.
  *
  * @param process name of the sending process
  * @param entry whether the sender is an entry; otherwise it is an agent
- * @param incarnation life of the sending agent; for an entry, a random life under its own name
+ * @param incarnation incarnation of the sending agent; for an entry, a random one under its own name
  * @param dataCentre data centre of the sender
  * @param offer what the backend server offers; empty from an entry, or while the backend server has not answered
- * @param address address at which the sender takes links, as host:port; empty if it takes none
+ * @param address address at which the sender accepts links, as host:port; empty if it accepts none
  */
 public record Hello(
         String process,
--- a/wire/src/main/java/org/cornelramp/wire/message/OrderOutcome.java
+++ b/wire/src/main/java/org/cornelramp/wire/message/OrderOutcome.java
@@ -2,12 +2,12 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** What became of an order. The set is closed. */
+/** The outcome of an order. The set is closed. */
 public enum OrderOutcome {
-    /** The engine took it. */
+    /** The engine accepted it. */
     @JsonProperty("taken")
     TAKEN,
-    /** Refused: a newer term is known. Whoever gave the order holds its duty no longer. */
+    /** Refused: a newer term is known. The sender of the order no longer holds its duty. */
     @JsonProperty("stale")
     STALE,
     /** Refused for now: since its start the agent could not learn the newest term, or it has too many orders. */
@@ -16,7 +16,7 @@
     /** The engine refused it, or it did not reach the engine: it had no effect. */
     @JsonProperty("failed")
     FAILED,
-    /** It reached the engine, and no answer came: it may have had its effect. */
+    /** It was sent to the engine without an answer: it may have taken effect. */
     @JsonProperty("unknown")
     UNKNOWN
 }
--- a/wire/src/main/java/org/cornelramp/wire/message/Settle.java
+++ b/wire/src/main/java/org/cornelramp/wire/message/Settle.java
@@ -3,13 +3,13 @@
 import org.cornelramp.core.model.Incarnation;
 
 /**
- * Asks an agent what became of a key after the link that carried its call was lost.
+ * Asks an agent for the outcome of a key after the link that carried its call was lost.
  *
- * <p>With {@code cancel}, a key that has not started is set to never run, and the agent says so; a key that
- * runs is answered when it ends. Either way the answer is an {@link InvokeResult}; a {@link Settled} says
- * at once that the key still runs.
+ * <p>With {@code cancel}, a key that has not started is prevented from ever running, and the agent reports that; a key
+ * that is running is answered when it ends. In both cases the answer is an {@link InvokeResult}; a {@link Settled}
+ * reports immediately that the key is still running.
  *
- * @param call number under which the answer comes
+ * @param call number of this request on this link, echoed in the answer
  * @param key the idempotency key
  * @param bound the incarnation that the key is bound to
  * @param cancel whether a key that has not started must never run
--- a/wire/src/main/java/org/cornelramp/wire/message/Settled.java
+++ b/wire/src/main/java/org/cornelramp/wire/message/Settled.java
@@ -1,9 +1,9 @@
 package org.cornelramp.wire.message;
 
 /**
- * Says that a key asked for by {@link Settle} is still running; its {@link InvokeResult} follows.
+ * States that a key asked for by {@link Settle} is still running; its {@link InvokeResult} follows.
  * Immutable, safe for use by any thread.
  *
- * @param call number of the question
+ * @param call number of the {@link Settle} that this answers
  */
 public record Settled(long call) implements Message {}
--- a/wire/src/main/java/org/cornelramp/wire/message/Step.java
+++ b/wire/src/main/java/org/cornelramp/wire/message/Step.java
@@ -2,7 +2,7 @@
 
 /**
  * Carries the inputs of consecutive positions to a stage. The stage runs them only at its own next position;
- * it drops positions that it has run and refuses a gap or an older epoch.
+ * it drops positions that it has already run, and refuses a gap or an older epoch.
  *
  * @param session the session
  * @param epoch the epoch
--- a/wire/src/test/java/org/cornelramp/wire/codec/FrameReaderProperties.java
+++ b/wire/src/test/java/org/cornelramp/wire/codec/FrameReaderProperties.java
@@ -13,37 +13,39 @@
 import org.cornelramp.wire.message.StageOpened;
 import org.cornelramp.wire.message.TableRequest;
 
-/** Whatever bytes come, in whatever pieces, the reader gives messages or a typed error and holds little memory. */
+/**
+ * For arbitrary bytes in chunks of any size, the reader returns messages or typed errors and its buffer stays bounded.
+ */
 class FrameReaderProperties {
     private static final int MAX = 2_000;
 
     @Property(seed = "606", tries = 5_000)
-    void garbageGivesTypedErrors(@ForAll byte[] garbage, @ForAll @IntRange(min = 1, max = 40) int piece) {
-        readAll(garbage, piece);
+    void arbitraryBytesGiveTypedErrors(@ForAll byte[] garbage, @ForAll @IntRange(min = 1, max = 40) int chunkSize) {
+        readAll(garbage, chunkSize);
     }
 
-    /** A frame whose length, version and type are right reaches the body's decoder, which must not throw others. */
+    /** Guards against untyped exceptions of the body decoder, which is reached by frames with a valid header. */
     @Property(seed = "607", tries = 5_000)
-    void garbageInAWellFormedFrameGivesTypedErrors(
+    void arbitraryBodiesInValidFramesGiveTypedErrors(
             @ForAll @Size(max = 200) byte[] body, @ForAll @IntRange(max = 45) int type) {
         ByteBuffer frame = ByteBuffer.allocate(6 + body.length);
         frame.putInt(2 + body.length).put(FrameWriter.VERSION).put((byte) type).put(body);
         readAll(frame.array(), 7);
     }
 
-    /** One byte of a good frame is changed. */
+    /** One byte of a valid frame is changed. */
     @Property(seed = "608", tries = 3_000)
-    void aChangedByteGivesAMessageOrATypedError(@ForAll @IntRange(max = 300) int place, @ForAll byte value)
+    void aChangedByteGivesAMessageOrATypedError(@ForAll @IntRange(max = 300) int index, @ForAll byte value)
             throws FrameException {
         byte[] bytes = new FrameWriter(MAX).write(new StageOpened(4, 1, 2, 900)).array();
-        bytes[place % bytes.length] = value;
+        bytes[index % bytes.length] = value;
         readAll(bytes, 3);
     }
 
     @Property(seed = "609", tries = 1_000)
-    void piecesOfAnySizeGiveTheSameMessages(
+    void chunksOfAnySizeGiveTheSameMessages(
             @ForAll @Size(max = 12) List<@IntRange(max = 100_000) Integer> numbers,
-            @ForAll @IntRange(min = 1, max = 90) int piece)
+            @ForAll @IntRange(min = 1, max = 90) int chunkSize)
             throws FrameException {
         List<Message> sent = new ArrayList<>();
         ByteBuffer all = ByteBuffer.allocate(4_000);
@@ -54,22 +56,22 @@
         }
         byte[] bytes = new byte[all.flip().remaining()];
         all.get(bytes);
-        if (!readAll(bytes, piece).equals(sent)) {
-            throw new AssertionError("Other messages came than were sent");
+        if (!readAll(bytes, chunkSize).equals(sent)) {
+            throw new AssertionError("The messages read differ from the messages written");
         }
     }
 
     /** Reads until a fatal error, as a link does. */
-    private static List<Message> readAll(byte[] bytes, int piece) {
+    private static List<Message> readAll(byte[] bytes, int chunkSize) {
         FrameReader reader = new FrameReader(MAX);
         List<Message> messages = new ArrayList<>();
-        for (int at = 0; at < bytes.length; at += piece) {
-            reader.feed(ByteBuffer.wrap(bytes, at, Math.min(piece, bytes.length - at)));
+        for (int at = 0; at < bytes.length; at += chunkSize) {
+            reader.feed(ByteBuffer.wrap(bytes, at, Math.min(chunkSize, bytes.length - at)));
             if (!drain(reader, messages)) {
                 return messages;
             }
-            if (reader.held() > MAX + 4 + piece) {
-                throw new AssertionError("The reader holds " + reader.held() + " bytes");
+            if (reader.buffered() > MAX + 4 + chunkSize) {
+                throw new AssertionError("The reader buffers " + reader.buffered() + " bytes");
             }
         }
         return messages;
--- a/wire/src/test/java/org/cornelramp/wire/codec/FrameRoundTripTest.java
+++ b/wire/src/test/java/org/cornelramp/wire/codec/FrameRoundTripTest.java
@@ -46,7 +46,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Each message reads back from its frame as it was written. */
+/** Every message type survives being written to a frame and read back. */
 public class FrameRoundTripTest {
     private static final int MAX = 1 << 20;
     private static final Incarnation LIFE = new Incarnation(new BackendServerId("gpu-1"), -3);
--- a/wire/src/test/java/org/cornelramp/wire/codec/MixedVersionsTest.java
+++ b/wire/src/test/java/org/cornelramp/wire/codec/MixedVersionsTest.java
@@ -15,9 +15,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Processes of neighbouring versions are linked during a rolling replacement. The newer sends a field that the older
- * does not know; the older leaves out fields that the newer has. Both must read on, or each replacement would cut all
- * links for its whole length.
+ * Guards against incompatible messages between adjacent versions, which are linked during a rolling upgrade: the newer
+ * process sends an unknown field, the older one omits fields. If either closed the link, each upgrade would disconnect
+ * the fleet until its end.
  */
 public class MixedVersionsTest {
     private static final ObjectMapper MAPPER = new ObjectMapper(new MessagePackFactory());
@@ -28,12 +28,12 @@
         body.put("state", "ACTIVE");
         body.put("tableOffset", 12);
         body.put("fieldOfALaterVersion", "x");
-        Heartbeat beat = (Heartbeat) read(MessageType.HEARTBEAT, body);
-        assertEquals(beat.tableOffset(), 12);
-        assertEquals(beat.offer(), Optional.empty());
-        assertEquals(beat.setAside(), List.of());
-        assertTrue(beat.demand().isEmpty());
-        assertEquals(beat.term(), 0);
+        Heartbeat heartbeat = (Heartbeat) read(MessageType.HEARTBEAT, body);
+        assertEquals(heartbeat.tableOffset(), 12);
+        assertEquals(heartbeat.offer(), Optional.empty());
+        assertEquals(heartbeat.setAside(), List.of());
+        assertTrue(heartbeat.demand().isEmpty());
+        assertEquals(heartbeat.term(), 0);
     }
 
     @Test
--- a/wire/src/test/java/org/cornelramp/wire/link/BadPeerTest.java
+++ b/wire/src/test/java/org/cornelramp/wire/link/BadPeerTest.java
@@ -11,44 +11,44 @@
 import org.testng.annotations.Test;
 
 /**
- * Peers connect and then say nothing, fall silent, send garbage, or do not listen. Each costs its own link and a
- * count; a link beside them carries messages all the time.
+ * Guards against misbehaving peers that affect other links: peers connect and then send no hello, fall silent, send
+ * invalid bytes, or read nothing. Each loses only its own link and is counted; other links still carry messages.
  */
 public class BadPeerTest {
 
     @Test
-    public void oneThatNeverSaysHelloIsClosed() throws Exception {
-        try (Peer a = new Peer("a", Peer.QUICK)) {
+    public void aPeerWithoutHelloIsClosed() throws Exception {
+        try (Peer a = new Peer("a", Peer.FAST_HEARTBEATS)) {
             HostPort at = a.loop.listen(new HostPort("127.0.0.1", 0));
             try (RawPeer silent = new RawPeer(at)) {
-                assertTrue(silent.isClosedByOther());
+                assertTrue(silent.awaitClose());
             }
-            assertEquals(a.loop.counters().silent(), 1);
+            assertEquals(a.loop.counters().unresponsive(), 1);
             assertEquals(a.loop.counters().opened(), 0);
         }
     }
 
     @Test
-    public void oneThatFallsSilentIsClosedAndTheListenerTold() throws Exception {
-        try (Peer a = new Peer("a", Peer.QUICK)) {
+    public void aSilentPeerIsClosedAndTheListenerNotified() throws Exception {
+        try (Peer a = new Peer("a", Peer.FAST_HEARTBEATS)) {
             HostPort at = a.loop.listen(new HostPort("127.0.0.1", 0));
             try (RawPeer peer = new RawPeer(at)) {
                 peer.send(Peer.hello("b"));
                 assertEquals(a.opened().peer().process(), "b");
                 assertTrue(a.closed.tryAcquire(10, TimeUnit.SECONDS));
-                assertTrue(peer.isClosedByOther());
+                assertTrue(peer.awaitClose());
             }
-            assertEquals(a.loop.counters().silent(), 1);
+            assertEquals(a.loop.counters().unresponsive(), 1);
         }
     }
 
     @Test
-    public void garbageClosesOnlyItsOwnLink() throws Exception {
+    public void invalidBytesCloseOnlyTheirOwnLink() throws Exception {
         try (Peer a = new Peer("a");
                 Peer b = new Peer("b")) {
             HostPort at = a.loop.listen(new HostPort("127.0.0.1", 0));
-            b.loop.keep(at);
-            Link good = b.opened();
+            b.loop.keepConnected(at);
+            Link validLink = b.opened();
             for (ByteBuffer garbage : new ByteBuffer[] {
                 ByteBuffer.allocate(64).putInt(0, Integer.MAX_VALUE),
                 ByteBuffer.allocate(64).putInt(0, 1),
@@ -57,11 +57,11 @@
             }) {
                 try (RawPeer peer = new RawPeer(at)) {
                     peer.send(garbage);
-                    assertTrue(peer.isClosedByOther());
+                    assertTrue(peer.awaitClose());
                 }
             }
-            assertEquals(a.loop.counters().garbage(), 4);
-            assertTrue(good.send(new TableRequest(5)));
+            assertEquals(a.loop.counters().invalid(), 4);
+            assertTrue(validLink.send(new TableRequest(5)));
             assertEquals(a.received(), new TableRequest(5));
         }
     }
@@ -80,35 +80,37 @@
         }
     }
 
-    /** It sends heartbeats all the time and reads nothing: what is sent to it is bounded, refused, and then closed. */
+    /**
+     * The peer keeps sending heartbeats and reads nothing: the buffer fills, sends are refused, and the link is closed.
+     */
     @Test
-    public void oneThatDoesNotListenIsRefusedAndClosed() throws Exception {
-        LinkOptions small = LinkOptions.of(400, 1 << 16).withOutBytes(100_000);
+    public void sendsToAPeerThatDoesNotReadAreRefusedAndItsLinkClosed() throws Exception {
+        LinkOptions small = LinkOptions.of(400, 1 << 16).withMaxUnsentBytes(100_000);
         try (Peer a = new Peer("a", small)) {
             HostPort at = a.loop.listen(new HostPort("127.0.0.1", 0));
-            try (RawPeer deaf = new RawPeer(at)) {
-                deaf.send(Peer.hello("b"));
+            try (RawPeer peer = new RawPeer(at)) {
+                peer.send(Peer.hello("b"));
                 Link link = a.opened();
                 byte[] body = new byte[60_000];
                 boolean refused = false;
                 while (link.isOpen()) {
                     refused |= !link.send(new org.cornelramp.wire.message.TableUpdate(1, body));
-                    Heartbeat beat = Peer.BEAT;
-                    trySend(deaf, beat);
+                    Heartbeat heartbeat = Peer.HEARTBEAT;
+                    trySend(peer, heartbeat);
                 }
                 assertTrue(refused);
                 assertTrue(a.closed.tryAcquire(10, TimeUnit.SECONDS));
-                assertEquals(a.loop.counters().silent(), 1);
+                assertEquals(a.loop.counters().unresponsive(), 1);
             }
         }
     }
 
-    private static void trySend(RawPeer peer, Heartbeat beat) throws Exception {
+    private static void trySend(RawPeer peer, Heartbeat heartbeat) throws Exception {
         try {
-            peer.send(beat);
+            peer.send(heartbeat);
             Thread.sleep(5);
         } catch (java.io.IOException e) {
-            // The link was closed, which the caller's loop sees next.
+            // The link was closed, which the caller's loop detects next.
             Thread.onSpinWait();
         }
     }
--- a/wire/src/test/java/org/cornelramp/wire/link/LinkLoopTest.java
+++ b/wire/src/test/java/org/cornelramp/wire/link/LinkLoopTest.java
@@ -9,15 +9,15 @@
 import org.cornelramp.wire.message.TableRequest;
 import org.testng.annotations.Test;
 
-/** Two processes find each other, talk both ways, and find each other again after the link is lost. */
+/** Two processes connect, exchange messages in both directions, and reconnect after the link is lost. */
 public class LinkLoopTest {
 
     @Test
-    public void talksBothWaysAndConnectsAgain() throws Exception {
+    public void exchangesMessagesBothWaysAndReconnects() throws Exception {
         try (Peer a = new Peer("a");
                 Peer b = new Peer("b")) {
             HostPort at = a.loop.listen(new HostPort("127.0.0.1", 0));
-            b.loop.keep(at);
+            b.loop.keepConnected(at);
             Link toA = b.opened();
             Link toB = a.opened();
             assertEquals(toA.peer().process(), "a");
--- a/wire/src/test/java/org/cornelramp/wire/link/Peer.java
+++ b/wire/src/test/java/org/cornelramp/wire/link/Peer.java
@@ -18,27 +18,27 @@
 
 /** A process with links, for tests. */
 final class Peer implements AutoCloseable, LinkListener {
-    static final Heartbeat BEAT = new Heartbeat(
+    static final Heartbeat HEARTBEAT = new Heartbeat(
             AgentState.ACTIVE, AgentLoad.IDLE, Optional.empty(), 0, 0, List.of(), List.of(), Map.of(), Map.of());
 
-    /** Heartbeats so far apart that a busy machine does not make a living peer look silent. */
-    static final LinkOptions CALM = LinkOptions.of(1_000, 1 << 16);
-    /** Heartbeats so close that a silent peer is soon found. */
-    static final LinkOptions QUICK = LinkOptions.of(50, 1 << 16);
+    /** An interval long enough that a live peer on a busy machine does not appear silent. */
+    static final LinkOptions SLOW_HEARTBEATS = LinkOptions.of(1_000, 1 << 16);
+    /** An interval short enough that a silent peer is detected quickly. */
+    static final LinkOptions FAST_HEARTBEATS = LinkOptions.of(50, 1 << 16);
 
     final LinkLoop loop;
     final Semaphore closed = new Semaphore(0);
-    final Semaphore beats = new Semaphore(0);
+    final Semaphore heartbeats = new Semaphore(0);
     private final BlockingQueue<Link> links = new LinkedBlockingQueue<>();
     private final BlockingQueue<Message> messages = new LinkedBlockingQueue<>();
 
     Peer(String name) {
-        this(name, CALM);
+        this(name, SLOW_HEARTBEATS);
     }
 
     Peer(String name, LinkOptions options) {
         Hello hello = hello(name);
-        loop = new LinkLoop("links-" + name, options, () -> hello, () -> BEAT, this);
+        loop = new LinkLoop("links-" + name, options, () -> hello, () -> HEARTBEAT, this);
         loop.start();
     }
 
@@ -68,7 +68,7 @@
     @Override
     public void received(Link link, Message message) {
         if (message instanceof Heartbeat) {
-            beats.release();
+            heartbeats.release();
         } else {
             messages.add(message);
         }
--- a/wire/src/test/java/org/cornelramp/wire/link/RawPeer.java
+++ b/wire/src/test/java/org/cornelramp/wire/link/RawPeer.java
@@ -9,7 +9,7 @@
 import org.cornelramp.wire.codec.FrameWriter;
 import org.cornelramp.wire.message.Message;
 
-/** A peer that sends what bytes the test wants, and nothing by itself. */
+/** A peer that sends only the bytes that a test gives it. */
 final class RawPeer implements AutoCloseable {
     private final SocketChannel channel;
 
@@ -27,8 +27,8 @@
         }
     }
 
-    /** Reads until the other side closes; true once it has. */
-    boolean isClosedByOther() throws IOException {
+    /** Reads until the other end closes the connection, then returns true. */
+    boolean awaitClose() throws IOException {
         ByteBuffer buffer = ByteBuffer.allocate(4_096);
         try {
             while (channel.read(buffer) >= 0) {
--- a/wire/src/test/java/org/cornelramp/wire/link/ReboundPortTest.java
+++ b/wire/src/test/java/org/cornelramp/wire/link/ReboundPortTest.java
@@ -7,8 +7,8 @@
 import org.testng.annotations.Test;
 
 /**
- * A process stops its links and another starts at the same address. The first left its listening socket open, so that
- * the second could not bind the port; now it binds, and peers find it there.
+ * Guards against a listening socket that stays open after the links are closed: another process that starts at the same
+ * address could not bind the port.
  */
 public class ReboundPortTest {
 
@@ -18,14 +18,14 @@
         try (Peer first = new Peer("first")) {
             at = first.loop.listen(new HostPort("127.0.0.1", 0));
             try (Peer caller = new Peer("caller")) {
-                caller.loop.keep(at);
+                caller.loop.keepConnected(at);
                 assertNotNull(caller.opened());
             }
         }
         try (Peer second = new Peer("second");
                 Peer caller = new Peer("caller")) {
             assertEquals(second.loop.listen(at), at);
-            caller.loop.keep(at);
+            caller.loop.keepConnected(at);
             assertEquals(caller.opened().peer().process(), "second");
         }
     }
