--- a/bench/src/main/java/org/cornelramp/bench/gateway/GatewayChecks.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/GatewayChecks.java
@@ -181,7 +181,8 @@
         long since = arrival.leavingSinceMillis();
         boolean late = since != Long.MAX_VALUE && arrival.arrivalMillis() - since > GatewayEnvironment.DRAIN_MILLIS;
         if (late
-                && !faultHistory.isAffected(ALL_BUT_BACKEND, call.gateway(), since - STABLE_MILLIS, arrival.arrivalMillis())) {
+                && !faultHistory.isAffected(
+                        ALL_BUT_BACKEND, call.gateway(), since - STABLE_MILLIS, arrival.arrivalMillis())) {
             violations.add(
                     "drain",
                     call.id() + " reached " + arrival.server() + " " + (arrival.arrivalMillis() - since)
--- a/bench/src/main/java/org/cornelramp/bench/gateway/GatewaySoakCommand.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/GatewaySoakCommand.java
@@ -70,7 +70,8 @@
             faults = new GatewayFaultInjector(environment, violations, seed, seconds * 1_000L);
             runLoad(environment, faults, calls, violations, seed, seconds * 1_000L);
             awaitRecovery(environment, violations);
-            new GatewayChecks(calls.all(), environment.fleet().observedRequests(), environment.faultHistory(), violations)
+            new GatewayChecks(
+                            calls.all(), environment.fleet().observedRequests(), environment.faultHistory(), violations)
                     .run();
         }
         report(seed, folder, faults, calls.all(), violations);
--- a/bench/src/test/java/org/cornelramp/bench/gateway/GatewayChecksTest.java
+++ b/bench/src/test/java/org/cornelramp/bench/gateway/GatewayChecksTest.java
@@ -39,9 +39,11 @@
         return call(kind, 200, kind.completeAnswer("r1"), true);
     }
 
-    private static ObservedRequest arrival(CallKind kind, boolean ran, List<StandInHop> hops, long millis, long leavingSince) {
+    private static ObservedRequest arrival(
+            CallKind kind, boolean ran, List<StandInHop> hops, long millis, long leavingSince) {
         String service = kind == CallKind.CHAT ? StandInConfig.ENGINES : StandInConfig.PLAIN;
-        return new ObservedRequest("s1", service, "r1", StandInConfig.ORGANISATION, false, ran, hops, millis, leavingSince);
+        return new ObservedRequest(
+                "s1", service, "r1", StandInConfig.ORGANISATION, false, ran, hops, millis, leavingSince);
     }
 
     private static ObservedRequest executed(CallKind kind) {
@@ -132,7 +134,8 @@
 
     @Test
     public void reportsRequestToLeavingServerUnlessStoreFailed() {
-        ObservedRequest late = arrival(CallKind.LOOK, true, List.of(), SENT + 5, SENT - GatewayEnvironment.DRAIN_MILLIS);
+        ObservedRequest late =
+                arrival(CallKind.LOOK, true, List.of(), SENT + 5, SENT - GatewayEnvironment.DRAIN_MILLIS);
         assertViolation("drain", complete(CallKind.LOOK), late);
         faultHistory.begin(Target.STORE, FaultHistory.ALL, SENT - 1_000);
         assertEquals(check(complete(CallKind.LOOK), late), List.of());
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/EntryPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/EntryPlugin.java
@@ -123,7 +123,8 @@
                 new AgentRegistry(new IncarnationHistory(keyWindow, IdempotencyKey.CLOCK_SKEW), healthTracker);
         Chooser chooser = settings.choice().newChooser(PrefixHints.NONE);
         Selection selection = new Selection(agents, chooser, settings.dataCentre(), StaticLinkCosts.DEFAULTS, random);
-        RequestTracker tracker = new RequestTracker(registry.require(RequestRecorder.class), registry.meters(), admission);
+        RequestTracker tracker =
+                new RequestTracker(registry.require(RequestRecorder.class), registry.meters(), admission);
         ChatQueue chatQueue = new ChatQueue(agents, selection, settings.bounds().inProgress(), random);
         return new RouterContext(agents, selection, admission, healthTracker, chatQueue, stream, tracker);
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/OperatorPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/OperatorPlugin.java
@@ -98,7 +98,8 @@
         };
     }
 
-    private static Endpoint applied(String processName, TableKeeper keeper, OperatorAgentAccess agents, EntryList entries) {
+    private static Endpoint applied(
+            String processName, TableKeeper keeper, OperatorAgentAccess agents, EntryList entries) {
         return call -> Either.right(
                 new AppliedDocument(processName, keeper.folded().offset(), agents.tableOffsets(), entries.live()));
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/table/TablePlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/table/TablePlugin.java
@@ -37,7 +37,8 @@
         Supplier<String> logFault = registry.settings().role() == Role.ENTRY
                 ? follow(registry, keeper, meters)
                 : () -> "no entry has sent one yet";
-        registry.require(Readiness.class).add("table", () -> keeper.isReady() ? Optional.empty() : fault(logFault.get()));
+        registry.require(Readiness.class)
+                .add("table", () -> keeper.isReady() ? Optional.empty() : fault(logFault.get()));
     }
 
     private static Supplier<String> follow(Registry registry, TableKeeper keeper, TableMeters meters) {
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/ServerFollower.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/ServerFollower.java
@@ -11,8 +11,8 @@
 import org.cornelramp.gateway.route.Router;
 import org.cornelramp.gateway.route.RouterEvent;
 import org.cornelramp.platform.MetadataStore;
-import org.cornelramp.platform.RegistrationDecoder;
 import org.cornelramp.platform.PlatformFault;
+import org.cornelramp.platform.RegistrationDecoder;
 
 /**
  * Reads the backend servers' registrations. Confined to its own thread, except for start and stop.
--- a/gateway/src/main/java/org/cornelramp/gateway/place/LeaderLease.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/place/LeaderLease.java
@@ -150,7 +150,8 @@
     }
 
     private void join(long now) {
-        Either<PlatformFault, MetadataStore.Membership> joined = store.join(GROUP, member, GROUP, TTL_MILLIS, generation);
+        Either<PlatformFault, MetadataStore.Membership> joined =
+                store.join(GROUP, member, GROUP, TTL_MILLIS, generation);
         meters.countStoreCall("join", joined.fold(fault -> fault.kind().name(), any -> "ok"));
         if (joined.isLeft()) {
             access.recordFailure();
--- a/gateway/src/main/java/org/cornelramp/gateway/route/Router.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Router.java
@@ -17,9 +17,9 @@
 import org.cornelramp.gateway.request.AttemptEnd;
 import org.cornelramp.gateway.request.Exchange;
 import org.cornelramp.gateway.request.Refusal;
-import org.cornelramp.platform.RequestHead;
 import org.cornelramp.platform.MoveFault;
 import org.cornelramp.platform.PlatformFault;
+import org.cornelramp.platform.RequestHead;
 
 /**
  * Chooses a backend server for each request, and another one when an attempt fails.
--- a/gateway/src/main/java/org/cornelramp/gateway/route/RouterEvent.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/RouterEvent.java
@@ -43,7 +43,8 @@
     record StoreStatus(boolean available) implements RouterEvent {}
 
     /** An engine's report has been read, or the call for it has failed. */
-    record EngineReportResult(BackendServer engine, Either<PlatformFault, EngineReport> report) implements RouterEvent {}
+    record EngineReportResult(BackendServer engine, Either<PlatformFault, EngineReport> report)
+            implements RouterEvent {}
 
     /** An order to an engine to move a running request to another path has ended. */
     record MoveResult(Attempt attempt, StagePath path, Either<MoveFault, byte[]> result) implements RouterEvent {}
--- a/gateway/src/test/java/org/cornelramp/gateway/request/AttemptTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/request/AttemptTest.java
@@ -18,8 +18,8 @@
 import org.cornelramp.core.routing.WeightedService;
 import org.cornelramp.core.settings.HostPort;
 import org.cornelramp.gateway.TestEngines;
-import org.cornelramp.platform.RequestHead;
 import org.cornelramp.platform.ForwardedHead;
+import org.cornelramp.platform.RequestHead;
 import org.cornelramp.platform.standin.HeaderFixtures;
 import org.eclipse.jetty.client.Response;
 import org.eclipse.jetty.client.Result;
@@ -52,7 +52,16 @@
         Route route =
                 new Route("chat", "host", "/chat/", RouteKind.STREAMING, 9_000, 500, 200, 1, 2, false, true, split);
         Exchange.ClientRequest call = new Exchange.ClientRequest(
-                RequestHead.decode(fields), "POST", "/chat/a", fields, new byte[0], route, Optional.empty(), 1, 0, 9_000);
+                RequestHead.decode(fields),
+                "POST",
+                "/chat/a",
+                fields,
+                new byte[0],
+                route,
+                Optional.empty(),
+                1,
+                0,
+                9_000);
         return new Exchange(call, clientResponse(), Callback.NOOP, () -> false, null);
     }
 
--- a/wire/src/main/java/org/cornelramp/wire/link/LinkLoop.java
+++ b/wire/src/main/java/org/cornelramp/wire/link/LinkLoop.java
@@ -381,7 +381,8 @@
         boolean sendToAll = heartbeatRequested;
         heartbeatRequested = false;
         for (TcpLink link : new ArrayList<>(links)) {
-            if (link.dialledAddress().isPresent() && !diallers.containsKey(link.dialledAddress().get())) {
+            if (link.dialledAddress().isPresent()
+                    && !diallers.containsKey(link.dialledAddress().get())) {
                 close(link, "no longer needed");
             } else if (link.silenceDetector.isSilent(now)) {
                 counters.unresponsive.increment();
