--- a/bench/src/main/java/org/cornelramp/bench/demo/DemoCommand.java
+++ b/bench/src/main/java/org/cornelramp/bench/demo/DemoCommand.java
@@ -142,8 +142,10 @@
                 .toList();
         daemons.forEach(ManagedProcess::terminate);
         for (ManagedProcess daemon : daemons) {
-            check(daemon.awaitEnd(STOP_LIMIT), daemon.name() + " did not stop:\n" + daemon.text());
-            check(daemon.exitCode() == 0, daemon.name() + " ended with " + daemon.exitCode() + ":\n" + daemon.text());
+            check(daemon.awaitEnd(STOP_LIMIT), daemon.name() + " did not stop:\n" + daemon.readOutput());
+            check(
+                    daemon.exitCode() == 0,
+                    daemon.name() + " ended with " + daemon.exitCode() + ":\n" + daemon.readOutput());
         }
         say("stopped " + daemons.size() + " daemons, each with exit status 0");
     }
--- a/bench/src/main/java/org/cornelramp/bench/fleet/Fleet.java
+++ b/bench/src/main/java/org/cornelramp/bench/fleet/Fleet.java
@@ -151,7 +151,7 @@
     }
 
     /** Sets the fault options of a stand-in. */
-    public void faults(String url, Map<String, String> switches) {
+    public void setFaults(String url, Map<String, String> switches) {
         http.json("POST", url + "/faults", switches);
     }
 
--- a/bench/src/main/java/org/cornelramp/bench/fleet/ManagedProcess.java
+++ b/bench/src/main/java/org/cornelramp/bench/fleet/ManagedProcess.java
@@ -62,7 +62,7 @@
         long limit = System.nanoTime() + READY_LIMIT.toNanos();
         while (!isReady()) {
             if (!isAlive() || System.nanoTime() - limit > 0) {
-                throw new FleetException(name + " did not become ready; its output:\n" + text());
+                throw new FleetException(name + " did not become ready; its output:\n" + readOutput());
             }
             pause();
         }
@@ -91,12 +91,12 @@
     }
 
     /** Pauses the process (SIGSTOP): its connections stay open and carry no data. */
-    public void freeze() {
+    public void suspend() {
         signal("STOP");
     }
 
     /** Resumes a paused process (SIGCONT). */
-    public void wake() {
+    public void resume() {
         signal("CONT");
     }
 
@@ -126,7 +126,7 @@
     }
 
     /** The output of the process since it was last started. */
-    public String text() {
+    public String readOutput() {
         try {
             return Files.readString(output, StandardCharsets.UTF_8);
         } catch (IOException e) {
@@ -135,7 +135,7 @@
     }
 
     private boolean isReady() {
-        return text().lines().anyMatch(line -> line.startsWith("ready "));
+        return readOutput().lines().anyMatch(line -> line.startsWith("ready "));
     }
 
     private void signal(String signal) {
--- a/bench/src/main/java/org/cornelramp/bench/gateway/GatewayFault.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/GatewayFault.java
@@ -63,9 +63,9 @@
     FREEZE(Target.PROCESS) {
         @Override
         void inject(ScheduledFault fault) throws InterruptedException {
-            fault.gateway().process().freeze();
+            fault.gateway().process().suspend();
             fault.sleepForDuration();
-            fault.gateway().process().wake();
+            fault.gateway().process().resume();
         }
     },
     HANG_UP(Target.STOP) {
--- a/bench/src/main/java/org/cornelramp/bench/recovery/RecoveryCommand.java
+++ b/bench/src/main/java/org/cornelramp/bench/recovery/RecoveryCommand.java
@@ -96,7 +96,7 @@
 
     private static Recovery measure(BenchContext context, Fleet fleet, Fault fault, boolean logDown) {
         Fault.awaitRecovered(fleet);
-        fleet.faults(fleet.logUrl(), Map.of("outage", logDown ? "true" : ""));
+        fleet.setFaults(fleet.logUrl(), Map.of("outage", logDown ? "true" : ""));
         Samples samples = new Samples();
         List<String> urls = fleet.entries().stream().map(Member::url).toList();
         long start;
@@ -113,7 +113,7 @@
             loop.runEvenly(REQUESTS_PER_SECOND, faultNanos, AFTER_SECONDS, load::send);
             Fleet.await("all requests ended", END_LIMIT, () -> samples.openCount() == 0);
         } finally {
-            fleet.faults(fleet.logUrl(), Map.of("outage", ""));
+            fleet.setFaults(fleet.logUrl(), Map.of("outage", ""));
             fault.end(fleet);
         }
         long before = faultNanos - (long) (NANOS_PER_SECOND / 2);
--- a/bench/src/main/java/org/cornelramp/bench/soak/FaultKind.java
+++ b/bench/src/main/java/org/cornelramp/bench/soak/FaultKind.java
@@ -63,36 +63,36 @@
     FREEZE_AGENT(Target.AGENT, true) {
         @Override
         void begin(FaultContext context) {
-            context.daemon().freeze();
+            context.daemon().suspend();
         }
 
         @Override
         void end(FaultContext context) {
-            context.daemon().wake();
+            context.daemon().resume();
         }
     },
     /** A backend server is paused and resumed. */
     FREEZE_BACKEND(Target.AGENT, true) {
         @Override
         void begin(FaultContext context) {
-            context.backend().freeze();
+            context.backend().suspend();
         }
 
         @Override
         void end(FaultContext context) {
-            context.backend().wake();
+            context.backend().resume();
         }
     },
     /** An entry is paused and resumed. */
     FREEZE_ENTRY(Target.ENTRY, true) {
         @Override
         void begin(FaultContext context) {
-            context.daemon().freeze();
+            context.daemon().suspend();
         }
 
         @Override
         void end(FaultContext context) {
-            context.daemon().wake();
+            context.daemon().resume();
         }
     },
     /** The open links of an agent stay open but carry no more data; new ones work. */
@@ -254,11 +254,11 @@
         }
 
         void setLogFaults(Map<String, String> switches) {
-            fleet.faults(fleet.logUrl(), switches);
+            fleet.setFaults(fleet.logUrl(), switches);
         }
 
         void setVmListFaults(Map<String, String> switches) {
-            fleet.faults(fleet.vmListUrl(), switches);
+            fleet.setFaults(fleet.vmListUrl(), switches);
         }
 
         /**
--- a/bench/src/main/java/org/cornelramp/bench/soak/SoakRun.java
+++ b/bench/src/main/java/org/cornelramp/bench/soak/SoakRun.java
@@ -136,8 +136,8 @@
     }
 
     private void awaitRecovery(Fleet fleet) {
-        fleet.faults(fleet.logUrl(), Map.of("outage", "", "stall-millis", "", "lose-answers", ""));
-        fleet.faults(fleet.vmListUrl(), Map.of("outage", ""));
+        fleet.setFaults(fleet.logUrl(), Map.of("outage", "", "stall-millis", "", "lose-answers", ""));
+        fleet.setFaults(fleet.vmListUrl(), Map.of("outage", ""));
         for (Member member : fleet.members()) {
             member.backend().filter(b -> !b.isAlive()).ifPresent(b -> {
                 violations.add("process", b.name() + " ended by itself");
@@ -146,7 +146,7 @@
             if (!member.daemon().isAlive()) {
                 violations.add(
                         "process",
-                        member.name() + " ended by itself:\n" + member.daemon().text());
+                        member.name() + " ended by itself:\n" + member.daemon().readOutput());
                 member.daemon().launch();
             }
         }
--- a/bench/src/test/java/org/cornelramp/bench/platform/PlatformContractTest.java
+++ b/bench/src/test/java/org/cornelramp/bench/platform/PlatformContractTest.java
@@ -120,7 +120,7 @@
             assertEquals(kindOf(b.exportKv(1)), PlatformException.Kind.GONE);
             b.importKv(1, kv).join();
             assertEquals(step(b, 3, step(a, 3, expected[0]))[0], expected[1]);
-            assertTrue(second.trace().from(0).next() >= 2);
+            assertTrue(second.trace().eventsFrom(0).next() >= 2);
         }
     }
 
@@ -152,7 +152,7 @@
             assertEquals(answer.path("key").asText(), "k9");
             assertEquals(answer.path("requestId").asText(), "r9");
             assertEquals(answer.path("digest").asText(), ServiceStandIn.digest(body));
-            assertEquals(fixture.trace().from(0).next(), 1);
+            assertEquals(fixture.trace().eventsFrom(0).next(), 1);
             assertFalse(fixture.platform()
                     .service(fixture.url())
                     .offer()
--- a/standins/src/main/java/org/cornelramp/standins/http/StandInServer.java
+++ b/standins/src/main/java/org/cornelramp/standins/http/StandInServer.java
@@ -88,7 +88,7 @@
             return CompletableFuture.completedFuture(setFaults(call));
         }
         if (call.matches("GET", "/trace")) {
-            return CompletableFuture.completedFuture(Reply.ok(trace.from(call.longParameter("from", 0))));
+            return CompletableFuture.completedFuture(Reply.ok(trace.eventsFrom(call.longParameter("from", 0))));
         }
         if (connections.isSilent(connection)) {
             return new CompletableFuture<>();
--- a/standins/src/main/java/org/cornelramp/standins/http/Trace.java
+++ b/standins/src/main/java/org/cornelramp/standins/http/Trace.java
@@ -61,7 +61,7 @@
     }
 
     /** The kept events whose number is at least {@code from}. */
-    public synchronized Page from(long from) {
+    public synchronized Page eventsFrom(long from) {
         long oldest = nextNumber - events.size();
         List<Object> selected =
                 events.stream().skip(Math.max(0, from - oldest)).collect(Collectors.toUnmodifiableList());
--- a/system-tests/src/test/java/org/cornelramp/systemtests/AgentPausedTest.java
+++ b/system-tests/src/test/java/org/cornelramp/systemtests/AgentPausedTest.java
@@ -43,9 +43,9 @@
         String key = FleetActions.mintKey(fleet, entry, 0);
         CompletableFuture<JsonHttp.Answer> booking = FleetActions.bookAsync(fleet, entry, key, "{\"n\":1}");
         FleetActions.pause(100);
-        agent.daemon().freeze();
+        agent.daemon().suspend();
         FleetActions.pause(4_000);
-        agent.daemon().wake();
+        agent.daemon().resume();
 
         JsonHttp.Answer first = booking.join();
         Fleet.await(
--- a/system-tests/src/test/java/org/cornelramp/systemtests/LogOutageTest.java
+++ b/system-tests/src/test/java/org/cornelramp/systemtests/LogOutageTest.java
@@ -41,7 +41,7 @@
     public void ticketsSucceedAndCallerKeysAndEditsAreRefused() {
         Member entry = fleet.entries().get(0);
         FleetActions.pause(OBSERVATION_MILLIS);
-        fleet.faults(fleet.logUrl(), Map.of("outage", "true"));
+        fleet.setFaults(fleet.logUrl(), Map.of("outage", "true"));
         for (int i = 0; i < 20; i++) {
             String key = FleetActions.mintKey(fleet, entry, 0);
             JsonHttp.Answer answer = FleetActions.book(fleet, entry, 0, key, "{\"n\":" + i + "}");
@@ -54,7 +54,7 @@
         assertNotEquals(TableEdits.editWeight(fleet, entry, version(entry), 77), "accepted");
         assertEquals(FleetActions.effectCount(fleet, callerMadeKey), 0);
 
-        fleet.faults(fleet.logUrl(), Map.of("outage", ""));
+        fleet.setFaults(fleet.logUrl(), Map.of("outage", ""));
         Fleet.await(
                 "a key that the caller made is accepted again",
                 FleetActions.AWAIT_TIMEOUT,
--- a/system-tests/src/test/java/org/cornelramp/systemtests/LostAppendAnswerTest.java
+++ b/system-tests/src/test/java/org/cornelramp/systemtests/LostAppendAnswerTest.java
@@ -38,9 +38,9 @@
     public void aBookingUnderACallersOwnKeyTakesEffectOnce() {
         for (int i = 0; i < 5; i++) {
             String key = FleetActions.callerMadeKey(i);
-            fleet.faults(fleet.logUrl(), Map.of("lose-answers", "1"));
+            fleet.setFaults(fleet.logUrl(), Map.of("lose-answers", "1"));
             JsonHttp.Answer first = FleetActions.book(fleet, fleet.entries().get(0), 0, key, "{\"n\":1}");
-            fleet.faults(fleet.logUrl(), Map.of("lose-answers", ""));
+            fleet.setFaults(fleet.logUrl(), Map.of("lose-answers", ""));
             JsonHttp.Answer second = FleetActions.book(fleet, fleet.entries().get(1), 0, key, "{\"n\":1}");
             assertEquals(second.status(), 200, first + " then " + second);
             assertEquals(FleetActions.effectCount(fleet, key), 1, first + " then " + second);
@@ -51,9 +51,9 @@
     public void anEditIsInForceOnceIfItWasAccepted() {
         Member entry = fleet.entries().get(0);
         long expectedVersion = TableEdits.row(fleet, entry).path("version").asLong();
-        fleet.faults(fleet.logUrl(), Map.of("lose-answers", "1"));
+        fleet.setFaults(fleet.logUrl(), Map.of("lose-answers", "1"));
         String kind = TableEdits.editWeight(fleet, entry, expectedVersion, 55);
-        fleet.faults(fleet.logUrl(), Map.of("lose-answers", ""));
+        fleet.setFaults(fleet.logUrl(), Map.of("lose-answers", ""));
         assertTrue(kind.equals("accepted") || kind.equals("unknown"), kind);
         if (kind.equals("accepted")) {
             for (Member e : fleet.entries()) {
--- a/system-tests/src/test/java/org/cornelramp/systemtests/PlannedStopTest.java
+++ b/system-tests/src/test/java/org/cornelramp/systemtests/PlannedStopTest.java
@@ -56,7 +56,7 @@
             member.daemon().terminate();
             load.awaitAnswered(20);
             assertTrue(member.daemon().awaitEnd(FleetActions.AWAIT_TIMEOUT), member.name() + " did not end");
-            assertEquals(member.daemon().exitCode(), 0, member.daemon().text());
+            assertEquals(member.daemon().exitCode(), 0, member.daemon().readOutput());
             member.daemon().start();
             load.awaitAnswered(20);
             List<Sample> samples = load.finish();
