--- a/bench/src/main/java/org/cornelramp/bench/fleet/Fleet.java
+++ b/bench/src/main/java/org/cornelramp/bench/fleet/Fleet.java
@@ -17,7 +17,7 @@
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import java.util.stream.Stream;
-import org.cornelramp.core.route.ChoicePolicy;
+import org.cornelramp.core.selection.ChoicePolicy;
 
 /**
  * A complete system on loopback: stand-ins for the platform services, entries, and agents with their engines and
--- a/bench/src/main/java/org/cornelramp/bench/fleet/SettingsFiles.java
+++ b/bench/src/main/java/org/cornelramp/bench/fleet/SettingsFiles.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.nio.file.Path;
-import org.cornelramp.core.route.ChoicePolicy;
+import org.cornelramp.core.selection.ChoicePolicy;
 
 /** Writes the settings files of a fleet's daemons. Confined to one thread. */
 final class SettingsFiles {
--- a/bench/src/main/java/org/cornelramp/bench/throughput/ThroughputCommand.java
+++ b/bench/src/main/java/org/cornelramp/bench/throughput/ThroughputCommand.java
@@ -20,7 +20,7 @@
 import org.cornelramp.bench.load.Samples;
 import org.cornelramp.bench.measure.Plot;
 import org.cornelramp.bench.measure.Results;
-import org.cornelramp.core.route.ChoicePolicy;
+import org.cornelramp.core.selection.ChoicePolicy;
 
 /**
  * {@code bench throughput}: measures the tokens per second in complete, in-deadline answers, divided by the upper bound
--- a/core/src/main/java/org/cornelramp/core/route/Candidate.java
+++ b/core/src/main/java/org/cornelramp/core/selection/Candidate.java
@@ -1,4 +1,4 @@
-package org.cornelramp.core.route;
+package org.cornelramp.core.selection;
 
 import org.cornelramp.core.model.AgentLoad;
 import org.cornelramp.core.model.DataCentre;
--- a/core/src/main/java/org/cornelramp/core/route/ChoicePolicy.java
+++ b/core/src/main/java/org/cornelramp/core/selection/ChoicePolicy.java
@@ -1,4 +1,4 @@
-package org.cornelramp.core.route;
+package org.cornelramp.core.selection;
 
 import com.fasterxml.jackson.annotation.JsonCreator;
 import com.fasterxml.jackson.annotation.JsonValue;
--- a/core/src/main/java/org/cornelramp/core/route/CompletionTimeEstimator.java
+++ b/core/src/main/java/org/cornelramp/core/selection/CompletionTimeEstimator.java
@@ -1,4 +1,4 @@
-package org.cornelramp.core.route;
+package org.cornelramp.core.selection;
 
 import java.time.Duration;
 import java.time.Instant;
--- a/core/src/main/java/org/cornelramp/core/route/LeastOutstandingChooser.java
+++ b/core/src/main/java/org/cornelramp/core/selection/LeastOutstandingChooser.java
@@ -1,4 +1,4 @@
-package org.cornelramp.core.route;
+package org.cornelramp.core.selection;
 
 import io.vavr.control.Either;
 import java.time.Instant;
--- a/core/src/main/java/org/cornelramp/core/route/PrefixHints.java
+++ b/core/src/main/java/org/cornelramp/core/selection/PrefixHints.java
@@ -1,4 +1,4 @@
-package org.cornelramp.core.route;
+package org.cornelramp.core.selection;
 
 import io.vavr.collection.HashMap;
 import io.vavr.collection.Queue;
--- a/core/src/main/java/org/cornelramp/core/settings/DaemonSettings.java
+++ b/core/src/main/java/org/cornelramp/core/settings/DaemonSettings.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import org.cornelramp.core.model.DataCentre;
-import org.cornelramp.core.route.ChoicePolicy;
+import org.cornelramp.core.selection.ChoicePolicy;
 
 /**
  * All settings of one daemon. Immutable, safe for use by any thread.
--- a/core/src/main/java/org/cornelramp/core/settings/SettingsReader.java
+++ b/core/src/main/java/org/cornelramp/core/settings/SettingsReader.java
@@ -16,7 +16,7 @@
 import java.util.regex.Pattern;
 import org.cornelramp.core.model.DataCentre;
 import org.cornelramp.core.model.NameValidator;
-import org.cornelramp.core.route.ChoicePolicy;
+import org.cornelramp.core.selection.ChoicePolicy;
 
 /**
  * Reads a daemon's settings from JSON: returns the settings, or every fault at once.
--- a/core/src/test/java/org/cornelramp/core/route/ChooserProperties.java
+++ b/core/src/test/java/org/cornelramp/core/selection/ChooserProperties.java
@@ -1,4 +1,4 @@
-package org.cornelramp.core.route;
+package org.cornelramp.core.selection;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/AgentRegistry.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/AgentRegistry.java
@@ -16,7 +16,7 @@
 import org.cornelramp.core.model.Incarnation;
 import org.cornelramp.core.model.Offer;
 import org.cornelramp.core.model.ServiceName;
-import org.cornelramp.core.route.Candidate;
+import org.cornelramp.core.selection.Candidate;
 import org.cornelramp.wire.link.Link;
 import org.cornelramp.wire.message.CloseStage;
 import org.cornelramp.wire.message.Heartbeat;
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/ChatQueue.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/ChatQueue.java
@@ -17,9 +17,9 @@
 import org.cornelramp.core.model.LayerRange;
 import org.cornelramp.core.model.Problem;
 import org.cornelramp.core.model.ServiceName;
-import org.cornelramp.core.route.Candidate;
-import org.cornelramp.core.route.Choice;
-import org.cornelramp.core.route.RoutingRequest;
+import org.cornelramp.core.selection.Candidate;
+import org.cornelramp.core.selection.Choice;
+import org.cornelramp.core.selection.RoutingRequest;
 import org.cornelramp.core.table.Row;
 
 /**
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/RequestIntake.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/RequestIntake.java
@@ -14,8 +14,8 @@
 import org.cornelramp.core.model.Incarnation;
 import org.cornelramp.core.model.Problem;
 import org.cornelramp.core.model.ProblemKind;
-import org.cornelramp.core.route.Choice;
-import org.cornelramp.core.route.RoutingRequest;
+import org.cornelramp.core.selection.Choice;
+import org.cornelramp.core.selection.RoutingRequest;
 import org.cornelramp.core.text.Tokenizer;
 
 /**
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/Selection.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/Selection.java
@@ -14,11 +14,11 @@
 import org.cornelramp.core.model.Incarnation;
 import org.cornelramp.core.model.LayerRange;
 import org.cornelramp.core.model.Problem;
-import org.cornelramp.core.route.Candidate;
-import org.cornelramp.core.route.Choice;
-import org.cornelramp.core.route.Chooser;
-import org.cornelramp.core.route.LinkCosts;
-import org.cornelramp.core.route.RoutingRequest;
+import org.cornelramp.core.selection.Candidate;
+import org.cornelramp.core.selection.Choice;
+import org.cornelramp.core.selection.Chooser;
+import org.cornelramp.core.selection.LinkCosts;
+import org.cornelramp.core.selection.RoutingRequest;
 
 /** Chooses backend servers among the known agents. Confined to the router's thread. */
 final class Selection {
