--- a/bench/src/main/java/org/cornelramp/bench/fleet/FleetPlan.java
+++ b/bench/src/main/java/org/cornelramp/bench/fleet/FleetPlan.java
@@ -41,8 +41,8 @@
             int serviceMillis,
             int organisations,
             int dataCentres,
-            boolean relayed) {
-        this(entries, stages, services, serviceMillis, organisations, dataCentres, relayed, false);
+            boolean hasRelays) {
+        this(entries, stages, services, serviceMillis, organisations, dataCentres, hasRelays, false);
     }
 
     /** Two entries, two replicas of a pipeline of three stages, two booking services, two organisations. */
--- a/bench/src/main/java/org/cornelramp/bench/gateway/GatewayChecks.java
+++ b/bench/src/main/java/org/cornelramp/bench/gateway/GatewayChecks.java
@@ -50,18 +50,23 @@
     private static final Set<Target> ALL_BUT_STOP = EnumSet.complementOf(EnumSet.of(Target.STOP));
 
     private final List<Call> calls;
-    private final List<ObservedRequest> arrivals;
+    private final List<ObservedRequest> observedRequests;
     private final FaultHistory faultHistory;
     private final Violations violations;
-    private final Map<String, List<ObservedRequest>> arrivalsByRequest;
+    private final Map<String, List<ObservedRequest>> observedRequestsById;
     private final Map<String, Call> callsById;
 
-    GatewayChecks(List<Call> calls, List<ObservedRequest> arrivals, FaultHistory faultHistory, Violations violations) {
+    GatewayChecks(
+            List<Call> calls,
+            List<ObservedRequest> observedRequests,
+            FaultHistory faultHistory,
+            Violations violations) {
         this.calls = calls;
-        this.arrivals = arrivals;
+        this.observedRequests = observedRequests;
         this.faultHistory = faultHistory;
         this.violations = violations;
-        this.arrivalsByRequest = arrivals.stream().collect(Collectors.groupingBy(ObservedRequest::requestId));
+        this.observedRequestsById =
+                observedRequests.stream().collect(Collectors.groupingBy(ObservedRequest::requestId));
         this.callsById = calls.stream().collect(Collectors.toMap(Call::id, call -> call));
     }
 
@@ -74,7 +79,7 @@
             checkDisconnect(call);
             checkStop(call);
         }
-        arrivals.forEach(this::checkArrival);
+        observedRequests.forEach(this::checkObservedRequest);
         checkRetries(StandInConfig.ENGINES, EnumSet.of(CallKind.CHAT));
         checkRetries(StandInConfig.PLAIN, EnumSet.of(CallKind.LOOK, CallKind.BOOK));
     }
@@ -112,7 +117,7 @@
     }
 
     private void checkExecutions(Call call) {
-        long runs = arrivalsByRequest.getOrDefault(call.id(), List.of()).stream()
+        long runs = observedRequestsById.getOrDefault(call.id(), List.of()).stream()
                 .filter(ObservedRequest::hasRun)
                 .count();
         if (call.kind() == CallKind.BOOK && runs > 1) {
@@ -137,12 +142,12 @@
 
     private void checkDisconnect(Call call) {
         long limit = call.hasDisconnected() ? call.disconnectMillis() + DISCONNECT_GRACE_MILLIS : Long.MAX_VALUE;
-        for (ObservedRequest arrival : arrivalsByRequest.getOrDefault(call.id(), List.of())) {
-            boolean late = arrival.endMillis() > limit || arrival.arrivalMillis() > limit;
+        for (ObservedRequest observed : observedRequestsById.getOrDefault(call.id(), List.of())) {
+            boolean late = observed.endMillis() > limit || observed.arrivalMillis() > limit;
             Set<Target> any = EnumSet.allOf(Target.class);
             if (late && !faultHistory.isAffected(any, call.gateway(), call.startMillis() - STABLE_MILLIS, limit)) {
                 violations.add(
-                        "left", arrival.server() + " still worked on " + call.id() + " after its client disconnected");
+                        "left", observed.server() + " still worked on " + call.id() + " after its client disconnected");
             }
         }
     }
@@ -155,37 +160,37 @@
                 faultHistory.isAffected(EnumSet.of(Target.STOP), call.gateway(), call.startMillis(), call.endMillis());
         boolean otherFault = faultHistory.isAffected(
                 ALL_BUT_STOP, call.gateway(), call.startMillis() - STABLE_MILLIS, call.endMillis());
-        boolean accepted = arrivalsByRequest.containsKey(call.id());
+        boolean accepted = observedRequestsById.containsKey(call.id());
         if (broken && stopped && accepted && !otherFault) {
             violations.add("stop", call.id() + " was cut by a planned stop: " + call.answer());
         }
     }
 
-    private void checkArrival(ObservedRequest arrival) {
-        String what = arrival.requestId() + " at " + arrival.server();
-        if (arrival.isKeyLeaked() || !arrival.organisation().equals(StandInConfig.ORGANISATION)) {
+    private void checkObservedRequest(ObservedRequest observed) {
+        String what = observed.requestId() + " at " + observed.server();
+        if (observed.isKeyLeaked() || !observed.organisation().equals(StandInConfig.ORGANISATION)) {
             violations.add(
-                    "organisation", what + " arrived with a caller key or for organisation " + arrival.organisation());
+                    "organisation", what + " arrived with a caller key or for organisation " + observed.organisation());
         }
-        boolean engine = arrival.service().equals(StandInConfig.ENGINES);
-        if (engine && arrival.hasRun() && !StandInHop.coverAllLayersOnce(arrival.hops(), GatewayEnvironment.LAYERS)) {
-            violations.add("layers", what + " passed " + arrival.hops());
+        boolean engine = observed.service().equals(StandInConfig.ENGINES);
+        if (engine && observed.hasRun() && !StandInHop.coverAllLayersOnce(observed.hops(), GatewayEnvironment.LAYERS)) {
+            violations.add("layers", what + " passed " + observed.hops());
         }
-        Call call = callsById.get(arrival.requestId());
+        Call call = callsById.get(observed.requestId());
         if (call != null) {
-            checkDrain(call, arrival);
+            checkDrain(call, observed);
         }
     }
 
-    private void checkDrain(Call call, ObservedRequest arrival) {
-        long since = arrival.leavingSinceMillis();
-        boolean late = since != Long.MAX_VALUE && arrival.arrivalMillis() - since > GatewayEnvironment.DRAIN_MILLIS;
+    private void checkDrain(Call call, ObservedRequest observed) {
+        long since = observed.leavingSinceMillis();
+        boolean late = since != Long.MAX_VALUE && observed.arrivalMillis() - since > GatewayEnvironment.DRAIN_MILLIS;
         if (late
                 && !faultHistory.isAffected(
-                        ALL_BUT_BACKEND, call.gateway(), since - STABLE_MILLIS, arrival.arrivalMillis())) {
+                        ALL_BUT_BACKEND, call.gateway(), since - STABLE_MILLIS, observed.arrivalMillis())) {
             violations.add(
                     "drain",
-                    call.id() + " reached " + arrival.server() + " " + (arrival.arrivalMillis() - since)
+                    call.id() + " reached " + observed.server() + " " + (observed.arrivalMillis() - since)
                             + " ms after that was registered as leaving");
         }
     }
@@ -200,26 +205,26 @@
         Deque<ObservedRequest> window = new ArrayDeque<>();
         Set<String> seen = new HashSet<>();
         Map<ObservedRequest, Boolean> retries = new HashMap<>();
-        List<ObservedRequest> ordered = new ArrayList<>(arrivals);
+        List<ObservedRequest> ordered = new ArrayList<>(observedRequests);
         ordered.sort(Comparator.comparingLong(ObservedRequest::arrivalMillis));
         int inWindow = 0;
         int maxExcess = 0;
-        for (ObservedRequest arrival : ordered) {
-            if (!arrival.service().equals(service) || !arrival.requestId().startsWith("r")) {
+        for (ObservedRequest observed : ordered) {
+            if (!observed.service().equals(service) || !observed.requestId().startsWith("r")) {
                 continue;
             }
-            boolean retry = !seen.add(arrival.requestId());
-            retries.put(arrival, retry);
-            window.add(arrival);
+            boolean retry = !seen.add(observed.requestId());
+            retries.put(observed, retry);
+            window.add(observed);
             inWindow += retry ? 1 : 0;
-            while (window.peek().arrivalMillis() <= arrival.arrivalMillis() - RETRY_WINDOW_MILLIS) {
+            while (window.peek().arrivalMillis() <= observed.arrivalMillis() - RETRY_WINDOW_MILLIS) {
                 inWindow -= retries.get(window.remove()) ? 1 : 0;
             }
-            double allowed = RETRY_RATIO * requestsBefore(requests, arrival.arrivalMillis()) + RETRY_RESERVE;
+            double allowed = RETRY_RATIO * requestsBefore(requests, observed.arrivalMillis()) + RETRY_RESERVE;
             maxExcess = inWindow > allowed ? Math.max(maxExcess, inWindow) : maxExcess;
         }
         if (maxExcess > 0) {
-            violations.add("retries", maxExcess + " repeats at " + service + " within ten seconds");
+            violations.add("retries", maxExcess + " retries at " + service + " within ten seconds");
         }
     }
 
--- a/bench/src/main/java/org/cornelramp/bench/recovery/Recovery.java
+++ b/bench/src/main/java/org/cornelramp/bench/recovery/Recovery.java
@@ -71,8 +71,8 @@
         for (Sample sample : samples) {
             if (sample.plannedNanos() >= from && sample.plannedNanos() < from + BUCKET_NANOS) {
                 due++;
-                double took = (sample.endNanos() - sample.plannedNanos()) / (double) NANOS_PER_MILLI;
-                prompt += sample.end() == CallEnd.IN_TIME && took <= promptMillis ? 1 : 0;
+                double durationMillis = (sample.endNanos() - sample.plannedNanos()) / (double) NANOS_PER_MILLI;
+                prompt += sample.end() == CallEnd.IN_TIME && durationMillis <= promptMillis ? 1 : 0;
             }
         }
         return prompt < RECOVERED_SHARE * due;
--- a/bench/src/main/java/org/cornelramp/bench/soak/StepCheck.java
+++ b/bench/src/main/java/org/cornelramp/bench/soak/StepCheck.java
@@ -17,24 +17,26 @@
 
     /** Adds a violation for every step that breaks the rule; the steps of each engine lifetime must be in order. */
     public static void check(List<RanStep> steps, Violations violations) {
-        Map<String, RanStep> lastOfLife = new HashMap<>();
-        Map<String, String> lifeOfEpoch = new HashMap<>();
+        Map<String, RanStep> lastStepOfIncarnation = new HashMap<>();
+        Map<String, String> incarnationOfEpoch = new HashMap<>();
         for (RanStep step : steps) {
-            RanStep last = lastOfLife.put(step.session() + " " + step.life(), step);
+            RanStep last = lastStepOfIncarnation.put(step.session() + " " + step.incarnation(), step);
             if (last != null) {
                 checkFollows(last, step, violations);
             }
-            String place = step.session() + " epoch " + step.epoch() + " layer " + step.layerFrom();
-            String life = lifeOfEpoch.putIfAbsent(place, step.life());
-            if (life != null && !life.equals(step.life())) {
-                violations.add("layers", "two engines ran session " + place + ": " + life + " and " + step.life());
+            String layerKey = step.session() + " epoch " + step.epoch() + " layer " + step.layerFrom();
+            String incarnation = incarnationOfEpoch.putIfAbsent(layerKey, step.incarnation());
+            if (incarnation != null && !incarnation.equals(step.incarnation())) {
+                violations.add(
+                        "layers",
+                        "two engines ran session " + layerKey + ": " + incarnation + " and " + step.incarnation());
             }
         }
     }
 
     private static void checkFollows(RanStep last, RanStep step, Violations violations) {
-        boolean again = step.position() == 0 && step.epoch() > last.epoch();
-        if (step.position() != last.end() && !again) {
+        boolean restarted = step.position() == 0 && step.epoch() > last.epoch();
+        if (step.position() != last.end() && !restarted) {
             violations.add("layers", step + " does not follow " + last);
         }
         if (step.epoch() < last.epoch()) {
--- a/bench/src/test/java/org/cornelramp/bench/gateway/GatewayChecksTest.java
+++ b/bench/src/test/java/org/cornelramp/bench/gateway/GatewayChecksTest.java
@@ -50,14 +50,14 @@
         return arrival(kind, true, kind == CallKind.CHAT ? COMPLETE_PATH : List.of(), SENT + 5, NEVER);
     }
 
-    private List<String> check(Call call, ObservedRequest... arrivals) {
+    private List<String> check(Call call, ObservedRequest... observedRequests) {
         Violations violations = new Violations();
-        new GatewayChecks(List.of(call), List.of(arrivals), faultHistory, violations).run();
+        new GatewayChecks(List.of(call), List.of(observedRequests), faultHistory, violations).run();
         return violations.all();
     }
 
-    private void assertViolation(String promise, Call call, ObservedRequest... arrivals) {
-        List<String> broken = check(call, arrivals);
+    private void assertViolation(String promise, Call call, ObservedRequest... observedRequests) {
+        List<String> broken = check(call, observedRequests);
         assertTrue(broken.stream().anyMatch(one -> one.startsWith(promise + ": ")), promise + " not in " + broken);
     }
 
@@ -168,10 +168,10 @@
 
     @Test
     public void reportsTooManyRetries() {
-        ObservedRequest[] arrivals = new ObservedRequest[30];
-        for (int i = 0; i < arrivals.length; i++) {
-            arrivals[i] = arrival(CallKind.LOOK, false, List.of(), SENT + i, NEVER);
+        ObservedRequest[] observedRequests = new ObservedRequest[30];
+        for (int i = 0; i < observedRequests.length; i++) {
+            observedRequests[i] = arrival(CallKind.LOOK, false, List.of(), SENT + i, NEVER);
         }
-        assertViolation("retries", complete(CallKind.LOOK), arrivals);
+        assertViolation("retries", complete(CallKind.LOOK), observedRequests);
     }
 }
--- a/bench/src/test/java/org/cornelramp/bench/soak/ChecksTest.java
+++ b/bench/src/test/java/org/cornelramp/bench/soak/ChecksTest.java
@@ -66,8 +66,8 @@
         assertTrue(faults.size() > 20, "faults " + faults.size());
     }
 
-    private static RanStep step(String life, int epoch, int position, int count) {
-        return new RanStep(life, "s", epoch, 0, position, count);
+    private static RanStep step(String incarnation, int epoch, int position, int count) {
+        return new RanStep(incarnation, "s", epoch, 0, position, count);
     }
 
     private static Violations steps(RanStep... steps) {
--- a/core/src/main/java/org/cornelramp/core/admission/Refusal.java
+++ b/core/src/main/java/org/cornelramp/core/admission/Refusal.java
@@ -5,7 +5,7 @@
 /**
  * A request that the queue dropped before it ran, with its final answer. Immutable, safe for use by any thread.
  *
- * @param waiting the request
+ * @param queuedRequest the request
  * @param problem the reason, and when to retry
  */
-public record Refusal<T>(QueuedRequest<T> waiting, Problem problem) {}
+public record Refusal<T>(QueuedRequest<T> queuedRequest, Problem problem) {}
--- a/core/src/main/java/org/cornelramp/core/fence/TermGuard.java
+++ b/core/src/main/java/org/cornelramp/core/fence/TermGuard.java
@@ -38,7 +38,7 @@
      *
      * @param term the newest term on the log, or that of a peer that has read it; {@link #UNKNOWN} if none was claimed
      */
-    public void learned(long term) {
+    public void markLearned(long term) {
         observe(term);
         learned = true;
     }
--- a/core/src/main/java/org/cornelramp/core/fleet/UnansweredProbes.java
+++ b/core/src/main/java/org/cornelramp/core/fleet/UnansweredProbes.java
@@ -8,7 +8,7 @@
  * Decides whether an unanswered probe means that the server is dead or that this process is at fault. Owned by one thread.
  *
  * <p>A process whose own link is saturated, or that is paused for a moment, gets no answer in time from any server. If it
- * took all of them for dead, it would move every stream, and a leader would place the model anew. Few servers die at the
+ * took all of them for dead, it would move every stream, and a leader would place the model again. Few servers die at the
  * same moment. Therefore, from the third silent server on, each is probed once more with a longer timeout.
  *
  * <p>A process that is short of CPU time reads answers late, and its timers are delayed as well, so the silence that it
--- a/core/src/main/java/org/cornelramp/core/key/IdempotencyKey.java
+++ b/core/src/main/java/org/cornelramp/core/key/IdempotencyKey.java
@@ -28,7 +28,7 @@
      * @param window age above which keys are refused
      */
     static Either<Problem, IdempotencyKey> read(String text, Instant now, Duration window) {
-        return parse(text).flatMap(key -> judgeAge(key, now, window));
+        return parse(text).flatMap(key -> checkAge(key, now, window));
     }
 
     /** When a key was created; empty if the text is not a valid key. */
@@ -45,7 +45,7 @@
         }
     }
 
-    private static Either<Problem, IdempotencyKey> judgeAge(IdempotencyKey key, Instant now, Duration window) {
+    private static Either<Problem, IdempotencyKey> checkAge(IdempotencyKey key, Instant now, Duration window) {
         if (key.madeAt().isAfter(now.plus(CLOCK_SKEW))) {
             return Either.left(
                     Problem.notRun(ProblemKind.KEY_MALFORMED, "The creation time of the key is in the future."));
--- a/core/src/main/java/org/cornelramp/core/member/Member.java
+++ b/core/src/main/java/org/cornelramp/core/member/Member.java
@@ -18,7 +18,7 @@
  * @param state state that it reported
  * @param load load that it reported
  * @param linked whether a link to it is up
- * @param heardAt when its last message arrived
+ * @param lastReceivedAt when its last message arrived
  * @param listedLeaving whether the VM list shows it as leaving
  */
 public record Member(
@@ -29,7 +29,7 @@
         AgentState state,
         AgentLoad load,
         boolean linked,
-        Instant heardAt,
+        Instant lastReceivedAt,
         boolean listedLeaving) {
 
     /** Whether new work may be sent to it. It counts as leaving once either the agent or the VM list says so. */
@@ -44,10 +44,10 @@
     }
 
     Member withLinked(boolean up) {
-        return new Member(incarnation, dataCentre, address, offer, state, load, up, heardAt, listedLeaving);
+        return new Member(incarnation, dataCentre, address, offer, state, load, up, lastReceivedAt, listedLeaving);
     }
 
     Member withListedLeaving(boolean leaving) {
-        return new Member(incarnation, dataCentre, address, offer, state, load, linked, heardAt, leaving);
+        return new Member(incarnation, dataCentre, address, offer, state, load, linked, lastReceivedAt, leaving);
     }
 }
--- a/core/src/main/java/org/cornelramp/core/member/Membership.java
+++ b/core/src/main/java/org/cornelramp/core/member/Membership.java
@@ -127,11 +127,11 @@
             return false;
         }
         if (present.incarnation().equals(incarnation)) {
-            boolean silent =
-                    !present.linked() && present.heardAt().plus(SILENCE_TIMEOUT).isBefore(now);
+            boolean silent = !present.linked()
+                    && present.lastReceivedAt().plus(SILENCE_TIMEOUT).isBefore(now);
             return silent && !listedAgents.containsKey(incarnation.server());
         }
-        return present.heardAt().isAfter(seenAt.plus(CLOCK_SKEW));
+        return present.lastReceivedAt().isAfter(seenAt.plus(CLOCK_SKEW));
     }
 
     /** The member of an incarnation; empty if it is not the current one. */
--- a/core/src/main/java/org/cornelramp/core/routing/Route.java
+++ b/core/src/main/java/org/cornelramp/core/routing/Route.java
@@ -42,8 +42,8 @@
     }
 
     /** Whether a request may be sent again after an attempt that may have run. */
-    public boolean mayRepeat() {
-        return kind.mayRepeat(resumable);
+    public boolean mayRetry() {
+        return kind.mayRetry(resumable);
     }
 
     /**
--- a/core/src/main/java/org/cornelramp/core/settings/BoundSettings.java
+++ b/core/src/main/java/org/cornelramp/core/settings/BoundSettings.java
@@ -6,7 +6,7 @@
  * @param bodyBytes maximum size of a request body, in bytes
  * @param headerBytes maximum size of a request head, in bytes
  * @param frameBytes maximum size of a frame on a link, in bytes
- * @param ringSlots capacity of the ring buffer of each duty thread, in events; a power of two
+ * @param ringSlots capacity of the ring buffer of each event loop, in events; a power of two
  * @param inProgress maximum number of requests in progress at one entry, or of calls and sessions at one agent
  * @param keptOutputs maximum number of positions whose outputs a stage keeps for each session
  * @param keys maximum number of idempotency keys that an agent records
--- a/core/src/main/java/org/cornelramp/core/settings/GatewaySettings.java
+++ b/core/src/main/java/org/cornelramp/core/settings/GatewaySettings.java
@@ -37,10 +37,10 @@
     public record Timing(long heartbeatMillis, long drainMillis, long graceMillis, long stallMillis) {}
 
     /**
-     * Limits on repeated requests, for all processes together. Immutable, safe for use by any thread.
+     * Limits on retries, for all processes together. Immutable, safe for use by any thread.
      *
-     * @param ratio allowed repeats per request
-     * @param reserve additional repeats allowed within a window
+     * @param ratio allowed retries per request
+     * @param reserve additional retries allowed within a window
      * @param windowMillis length of a window, in milliseconds
      */
     public record Retries(double ratio, double reserve, long windowMillis) {}
--- a/core/src/test/java/org/cornelramp/core/admission/FairQueueProperties.java
+++ b/core/src/test/java/org/cornelramp/core/admission/FairQueueProperties.java
@@ -28,13 +28,13 @@
             now = now.plusMillis(random.nextInt(30));
             Instant late = now;
             queue.expire(now).forEach(r -> {
-                assertTrue(held.remove(r.waiting().id()));
-                assertTrue(r.waiting().latestStart().isBefore(late));
+                assertTrue(held.remove(r.queuedRequest().id()));
+                assertTrue(r.queuedRequest().latestStart().isBefore(late));
             });
-            QueuedRequest<Integer> w = request(id, random, now);
-            queue.offer(w, now).peek(evicted -> {
-                held.add(w.id());
-                evicted.forEach(r -> assertTrue(held.remove(r.waiting().id())));
+            QueuedRequest<Integer> queuedRequest = request(id, random, now);
+            queue.offer(queuedRequest, now).peek(evicted -> {
+                held.add(queuedRequest.id());
+                evicted.forEach(r -> assertTrue(held.remove(r.queuedRequest().id())));
             });
             if (random.nextInt(3) == 0) {
                 queue.poll(now).ifPresent(p -> assertTrue(held.remove(p.id())));
@@ -47,7 +47,7 @@
             assertEquals(queue.size(), held.size());
         }
         Set<Long> rest = new HashSet<>();
-        queue.drainAll(now).forEach(w -> rest.add(w.id()));
+        queue.drainAll(now).forEach(queuedRequest -> rest.add(queuedRequest.id()));
         assertEquals(rest, held);
         assertEquals(queue.cost(), 0.0);
     }
@@ -64,9 +64,9 @@
         }
         double total = 0;
         for (int i = 0; i < 1_200; i++) {
-            QueuedRequest<Integer> w = queue.poll(now).orElseThrow();
-            served[w.work()] += w.cost();
-            total += w.cost();
+            QueuedRequest<Integer> queuedRequest = queue.poll(now).orElseThrow();
+            served[queuedRequest.work()] += queuedRequest.cost();
+            total += queuedRequest.cost();
         }
         for (int o = 0; o < WEIGHTS.length; o++) {
             double part = served[o] / total;
@@ -96,9 +96,11 @@
             queue.offer(request(id, 0, 1, random.nextInt(10), now.plusSeconds(9)), now);
         }
         int before = 0;
-        for (Optional<QueuedRequest<Integer>> w = queue.poll(now); w.isPresent(); w = queue.poll(now)) {
-            assertTrue(w.get().priority() >= before);
-            before = w.get().priority();
+        for (Optional<QueuedRequest<Integer>> queuedRequest = queue.poll(now);
+                queuedRequest.isPresent();
+                queuedRequest = queue.poll(now)) {
+            assertTrue(queuedRequest.get().priority() >= before);
+            before = queuedRequest.get().priority();
         }
     }
 
--- a/core/src/test/java/org/cornelramp/core/admission/FairQueueTest.java
+++ b/core/src/test/java/org/cornelramp/core/admission/FairQueueTest.java
@@ -26,7 +26,7 @@
         List<Refusal<String>> evicted =
                 queue.offer(request(10, "small", Duration.ofSeconds(9)), NOW).get();
         assertEquals(evicted.size(), 1);
-        assertEquals(evicted.get(0).waiting().organisation().value(), "large");
+        assertEquals(evicted.get(0).queuedRequest().organisation().value(), "large");
         assertEquals(evicted.get(0).problem().kind(), ProblemKind.OVERLOADED);
         assertFalse(evicted.get(0).problem().retryAfter().isZero());
         assertTrue(queue.offer(request(11, "large", Duration.ofSeconds(9)), NOW).isLeft());
--- a/core/src/test/java/org/cornelramp/core/admission/QueuedServer.java
+++ b/core/src/test/java/org/cornelramp/core/admission/QueuedServer.java
@@ -54,7 +54,7 @@
     }
 
     private void send(int organisation) {
-        QueuedRequest<Integer> w = new QueuedRequest<>(
+        QueuedRequest<Integer> request = new QueuedRequest<>(
                 nextId++,
                 new OrganisationId("o" + organisation),
                 weights[organisation],
@@ -63,29 +63,30 @@
                 now.plus(BUDGET),
                 Duration.ofMillis(20),
                 organisation);
-        queue.offer(w, now).peek(evicted -> refused += evicted.size()).peekLeft(p -> refused++);
+        queue.offer(request, now).peek(evicted -> refused += evicted.size()).peekLeft(p -> refused++);
     }
 
     private void start() {
         while (running.size() < SLOTS) {
-            QueuedRequest<Integer> w = queue.poll(now).orElse(null);
-            if (w == null) {
+            QueuedRequest<Integer> request = queue.poll(now).orElse(null);
+            if (request == null) {
                 return;
             }
-            running.add(new Running(w, now.plusMillis((long) (SERVICE_SECONDS * 1e3 * (0.5 + random.nextDouble())))));
+            running.add(
+                    new Running(request, now.plusMillis((long) (SERVICE_SECONDS * 1e3 * (0.5 + random.nextDouble())))));
         }
     }
 
     private void end() {
         while (!running.isEmpty() && !running.peek().end.isAfter(now)) {
             Running r = running.poll();
-            if (r.end.isAfter(r.waiting.deadline())) {
+            if (r.end.isAfter(r.request.deadline())) {
                 late++;
             } else {
-                inTime[r.waiting.work()]++;
+                inTime[r.request.work()]++;
             }
         }
     }
 
-    private record Running(QueuedRequest<Integer> waiting, Instant end) {}
+    private record Running(QueuedRequest<Integer> request, Instant end) {}
 }
--- a/core/src/test/java/org/cornelramp/core/fence/TermGuardProperties.java
+++ b/core/src/test/java/org/cornelramp/core/fence/TermGuardProperties.java
@@ -34,7 +34,7 @@
             switch (choice % 4) {
                 case 0 -> guard = new TermGuard();
                 case 1 -> guard.observe(Math.min(term, onLog));
-                case 2 -> guard.learned(onLog);
+                case 2 -> guard.markLearned(onLog);
                 default -> {
                     onLog = Math.max(onLog, term);
                     if (guard.decide(term) == TermGuard.Decision.PASS) {
--- a/core/src/test/java/org/cornelramp/core/model/IncarnationProperties.java
+++ b/core/src/test/java/org/cornelramp/core/model/IncarnationProperties.java
@@ -7,8 +7,8 @@
 class IncarnationProperties {
 
     @Property(seed = "4821")
-    boolean parsesItsTextForm(@ForAll long life) {
-        Incarnation incarnation = new Incarnation(new BackendServerId("gpu-7.b_2"), life);
+    boolean parsesItsTextForm(@ForAll long number) {
+        Incarnation incarnation = new Incarnation(new BackendServerId("gpu-7.b_2"), number);
         return Incarnation.parse(incarnation.toString()).equals(incarnation);
     }
 }
--- a/core/src/test/java/org/cornelramp/core/placement/PlannerTest.java
+++ b/core/src/test/java/org/cornelramp/core/placement/PlannerTest.java
@@ -138,16 +138,16 @@
     @Test
     public void reservesANewEngineForTheLayersOfALeavingOne() {
         List<BackendServer> placed = apply(emptyFleet(), plan(emptyFleet()));
-        BackendServer newcomer = EngineFixtures.engine("new", "sur", "l4", 0, 0);
-        placed.add(newcomer);
-        assertEquals(Planner.plan(SPEC, placed, Set.of(), Set.of(newcomer.id())), List.of());
+        BackendServer added = EngineFixtures.engine("new", "sur", "l4", 0, 0);
+        placed.add(added);
+        assertEquals(Planner.plan(SPEC, placed, Set.of(), Set.of(added.id())), List.of());
         BackendServer old = placed.stream()
                 .filter(one -> one.id().value().equals("sur-l4-3"))
                 .findFirst()
                 .orElseThrow();
         placed.remove(old);
-        List<Placement> orders = Planner.plan(SPEC, placed, Set.of(), Set.of(newcomer.id()));
-        assertEquals(orders.get(0).server().id(), newcomer.id());
+        List<Placement> orders = Planner.plan(SPEC, placed, Set.of(), Set.of(added.id()));
+        assertEquals(orders.get(0).server().id(), added.id());
         assertTrue(covers(apply(placed, orders), "sur"), orders.toString());
     }
 
--- a/core/src/test/java/org/cornelramp/core/retry/ServiceRetryBudgetProperties.java
+++ b/core/src/test/java/org/cornelramp/core/retry/ServiceRetryBudgetProperties.java
@@ -74,13 +74,13 @@
     }
 
     private void step(Random random, long now, int mostRequests) {
-        int needy = (int) (now / 9_000) % peers.size();
+        int borrowerIndex = (int) (now / 9_000) % peers.size();
         for (int i = random.nextInt(mostRequests + 1); i > 0; i--) {
             peers.get(random.nextInt(peers.size())).budget.recordRequest(now);
             requests.add(now);
         }
         for (int i = 0; i < 8; i++) {
-            Peer sender = peers.get(random.nextInt(3) > 0 ? needy : random.nextInt(peers.size()));
+            Peer sender = peers.get(random.nextInt(3) > 0 ? borrowerIndex : random.nextInt(peers.size()));
             boolean sent = sender.budget.tryRetry(RESERVE_PER_PEER, random.nextBoolean(), now);
             sender.budget.requestLoan(sent ? 0 : 1 + random.nextInt(8), now);
             if (sent) {
--- a/core/src/test/java/org/cornelramp/core/routing/RoutingConfigTest.java
+++ b/core/src/test/java/org/cornelramp/core/routing/RoutingConfigTest.java
@@ -65,14 +65,14 @@
         assertEquals(split.service(0.0), new ServiceName("most"));
         assertEquals(split.service(0.89), new ServiceName("most"));
         assertEquals(split.service(0.91), new ServiceName("few"));
-        assertTrue(split.mayRepeat());
+        assertTrue(split.mayRetry());
     }
 
     @Test
     public void routeKindDecidesWhetherRequestsMayBeRepeated() {
-        assertTrue(RouteKind.SAFE.mayRepeat(false));
-        assertFalse(RouteKind.UNSAFE.mayRepeat(true));
-        assertFalse(RouteKind.STREAMING.mayRepeat(false));
-        assertTrue(RouteKind.STREAMING.mayRepeat(true));
+        assertTrue(RouteKind.SAFE.mayRetry(false));
+        assertFalse(RouteKind.UNSAFE.mayRetry(true));
+        assertFalse(RouteKind.STREAMING.mayRetry(false));
+        assertTrue(RouteKind.STREAMING.mayRetry(true));
     }
 }
--- a/core/src/test/java/org/cornelramp/core/step/PipelineProperties.java
+++ b/core/src/test/java/org/cornelramp/core/step/PipelineProperties.java
@@ -36,12 +36,12 @@
         for (int i = 0; i < promptTokens; i++) {
             prompt[i] = 3 + 7L * i;
         }
-        PipelineSimulation model = new PipelineSimulation(stages, prompt, maxTokens);
-        choices.forEach(model::step);
-        model.runToEnd();
+        PipelineSimulation simulation = new PipelineSimulation(stages, prompt, maxTokens);
+        choices.forEach(simulation::step);
+        simulation.runToEnd();
         List<Long> expected = PipelineSimulation.faultFreeAnswer(stages, prompt, maxTokens);
-        if (!model.answer().equals(expected)) {
-            throw new AssertionError("Expected " + expected + " and got " + model.answer());
+        if (!simulation.answer().equals(expected)) {
+            throw new AssertionError("Expected " + expected + " and got " + simulation.answer());
         }
     }
 }
--- a/core/src/test/java/org/cornelramp/core/table/TableFoldProperties.java
+++ b/core/src/test/java/org/cornelramp/core/table/TableFoldProperties.java
@@ -80,16 +80,16 @@
         Map<String, Integer> accepted = new HashMap<>();
         FoldedTable table = FoldedTable.empty();
         for (JsonNode record : records(drafts)) {
-            FoldResult folded = TableFold.apply(table, table.offset(), record);
-            if (folded.outcome().isAccepted()) {
+            FoldResult result = TableFold.apply(table, table.offset(), record);
+            if (result.outcome().isAccepted()) {
                 TableEdit edit = TableRecords.readEdit(record).orElseThrow();
                 assertEquals(edit.baseVersion(), table.version(edit.key()));
                 accepted.merge(edit.key() + "@" + edit.baseVersion(), 1, Integer::sum);
-                assertEquals(folded.table().version(edit.key()), table.offset());
+                assertEquals(result.table().version(edit.key()), table.offset());
             } else {
-                assertEquals(folded.table(), table.atOffset(table.offset() + 1));
+                assertEquals(result.table(), table.atOffset(table.offset() + 1));
             }
-            table = folded.table();
+            table = result.table();
         }
         assertTrue(accepted.values().stream().allMatch(count -> count == 1), accepted.toString());
     }
@@ -125,8 +125,8 @@
         RowKey key = key(0);
         long stale = baseVersion == table.version(key) ? baseVersion + 1 : baseVersion;
         JsonNode record = TableRecords.writeEdit(new TableEdit("late", key, stale, Optional.of(values(9)), "operator"));
-        FoldResult folded = TableFold.apply(table, table.offset(), record);
-        assertEquals(folded.outcome().kind(), RecordOutcome.Kind.LOST_RACE);
-        assertEquals(folded.table(), table.atOffset(table.offset() + 1));
+        FoldResult result = TableFold.apply(table, table.offset(), record);
+        assertEquals(result.outcome().kind(), RecordOutcome.Kind.LOST_RACE);
+        assertEquals(result.table(), table.atOffset(table.offset() + 1));
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/AgentComponent.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/AgentComponent.java
@@ -47,7 +47,7 @@
 
     private final AgentServices services;
     private final LinkLoop links;
-    private final EventLoop<AgentEvent> duty;
+    private final EventLoop<AgentEvent> eventLoop;
     private final Agent agent;
     private volatile HostPort address;
     private volatile boolean drained;
@@ -60,14 +60,14 @@
                         settings.timing().heartbeatMillis(), settings.bounds().frameBytes())
                 .withMaxUnsentBytes(settings.bounds().frameBytes() + OUTBOUND_MARGIN_BYTES);
         this.links = new LinkLoop("agent-links", options, this::hello, this::heartbeat, this);
-        this.duty = new EventLoop<>("agent", settings.bounds().ringSlots(), this::handle, this::tick, TICK_MILLIS);
+        this.eventLoop = new EventLoop<>("agent", settings.bounds().ringSlots(), this::handle, this::tick, TICK_MILLIS);
         this.agent = buildAgent();
     }
 
     private Agent buildAgent() {
         DaemonSettings settings = services.settings();
         Supplier<Moment> clock = this::now;
-        CompletionDispatcher completions = new CompletionDispatcher(duty::offer);
+        CompletionDispatcher completions = new CompletionDispatcher(eventLoop::offer);
         CrashSuspects suspects = new CrashSuspects(services.incarnation());
         OutputSender sender = new OutputSender(
                 new OutputSender.NeighbourLinks() {
@@ -133,7 +133,7 @@
     @Override
     public void start() throws IOException {
         address = links.listen(address);
-        duty.start();
+        eventLoop.start();
         links.start();
     }
 
@@ -179,7 +179,7 @@
         Moment end =
                 new Moment(now.plusMillis(Duration.between(now.instant(), limit).toMillis()), limit);
         AgentEvent leave = new AgentEvent.Task(() -> agent.beginStop(end));
-        while (!duty.offer(leave)) {
+        while (!eventLoop.offer(leave)) {
             Thread.onSpinWait();
         }
     }
@@ -192,19 +192,19 @@
     @Override
     public void stop() {
         links.close();
-        duty.stop();
+        eventLoop.stop();
     }
 
     @Override
     public void opened(Link link) {
-        if (!duty.offer(new AgentEvent.LinkOpened(link))) {
+        if (!eventLoop.offer(new AgentEvent.LinkOpened(link))) {
             link.close("the agent's ring is full");
         }
     }
 
     @Override
     public void received(Link link, Message message) {
-        if (duty.offer(new AgentEvent.MessageReceived(link, message))) {
+        if (eventLoop.offer(new AgentEvent.MessageReceived(link, message))) {
             return;
         }
         if (message instanceof Invoke invoke && invoke.key().isEmpty()) {
@@ -224,7 +224,7 @@
 
     @Override
     public void closed(Link link, String why) {
-        if (!duty.offer(new AgentEvent.LinkClosed(link, why))) {
+        if (!eventLoop.offer(new AgentEvent.LinkClosed(link, why))) {
             LOG.log(System.Logger.Level.DEBUG, "agent: the ring is full, so the next tick removes the closed link");
         }
     }
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/OrderHandler.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/OrderHandler.java
@@ -59,7 +59,7 @@
             return;
         }
         // A claim's term is the offset of its record.
-        terms.learned(page.next() - 1);
+        terms.markLearned(page.next() - 1);
         LOG.log(System.Logger.Level.INFO, "agent: the newest term is known; term=" + terms.newestTerm());
     }
 
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/OutputSender.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/OutputSender.java
@@ -88,30 +88,32 @@
 
     /** Sends the pending outputs of a stage until the link accepts no more. */
     void sendPending(Stage stage, Moment now) {
-        Optional<OutputBatch> send = stage.session.nextSend(MAX_OUTPUTS_PER_STEP);
-        while (send.isPresent() && send(stage, send.get(), now)) {
-            stage.session.markSent(send.get());
-            send = stage.session.nextSend(MAX_OUTPUTS_PER_STEP);
+        Optional<OutputBatch> batch = stage.session.nextSend(MAX_OUTPUTS_PER_STEP);
+        while (batch.isPresent() && send(stage, batch.get(), now)) {
+            stage.session.markSent(batch.get());
+            batch = stage.session.nextSend(MAX_OUTPUTS_PER_STEP);
         }
     }
 
-    private boolean send(Stage stage, OutputBatch send, Moment now) {
-        return stage.session.spec().isLast() ? sendTokens(stage, send, now) : sendStep(stage, toStep(stage, send), now);
+    private boolean send(Stage stage, OutputBatch batch, Moment now) {
+        return stage.session.spec().isLast()
+                ? sendTokens(stage, batch, now)
+                : sendStep(stage, toStep(stage, batch), now);
     }
 
-    private static Step toStep(Stage stage, OutputBatch send) {
-        return new Step(stage.id(), stage.session.epoch(), send.position(), send.outputs());
+    private static Step toStep(Stage stage, OutputBatch batch) {
+        return new Step(stage.id(), stage.session.epoch(), batch.position(), batch.outputs());
     }
 
     /** Skips outputs before the prompt's last position: they predict tokens that the caller supplied. */
-    private boolean sendTokens(Stage stage, OutputBatch send, Moment now) {
-        int first = Math.max(send.position(), stage.session.spec().promptTokens() - 1);
-        int skip = first - send.position();
-        if (skip >= send.outputs().length) {
+    private boolean sendTokens(Stage stage, OutputBatch batch, Moment now) {
+        int first = Math.max(batch.position(), stage.session.spec().promptTokens() - 1);
+        int skip = first - batch.position();
+        if (skip >= batch.outputs().length) {
             return true;
         }
-        long[] tokens = new long[send.outputs().length - skip];
-        System.arraycopy(send.outputs(), skip, tokens, 0, tokens.length);
+        long[] tokens = new long[batch.outputs().length - skip];
+        System.arraycopy(batch.outputs(), skip, tokens, 0, tokens.length);
         Step feed = new Step(stage.id(), stage.session.epoch(), first + 1, tokens);
         if (stage.nextAddress().isEmpty()) {
             localSteps.step(feed, now);
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/StageHandler.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/StageHandler.java
@@ -166,10 +166,10 @@
     }
 
     private static StageSession newSession(OpenStage open) {
-        return new StageSession(shape(open), open.epoch());
+        return new StageSession(toStageSpec(open), open.epoch());
     }
 
-    private static StageSpec shape(OpenStage open) {
+    private static StageSpec toStageSpec(OpenStage open) {
         return new StageSpec(open.stage(), open.stages().size(), open.promptTokens(), open.maxTokens());
     }
 
@@ -193,7 +193,7 @@
         ExportedStage from = exported.get();
         completions.whenComplete(engine.importKv(open.session(), from.kv()), (done, failure) -> {
             if (failure == null) {
-                add(link, open, new StageSession(shape(open), open.epoch(), from.snapshot()), now);
+                add(link, open, new StageSession(toStageSpec(open), open.epoch(), from.snapshot()), now);
             } else {
                 LOG.log(
                         System.Logger.Level.INFO,
@@ -212,8 +212,8 @@
         if (stage == null) {
             return;
         }
-        StepAcceptance verdict = stage.session.accept(step.epoch(), step.position(), step.inputs());
-        if (verdict == StepAcceptance.OUT_OF_RANGE) {
+        StepAcceptance acceptance = stage.session.accept(step.epoch(), step.position(), step.inputs());
+        if (acceptance == StepAcceptance.OUT_OF_RANGE) {
             stage.reportLost(stage.open.stage(), ProblemKind.BACKEND_LOST, "Inputs before the received step were lost");
         }
         if (stage.session.isReady()) {
--- a/daemon/src/main/java/org/cornelramp/daemon/agent/ThroughputMeter.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/agent/ThroughputMeter.java
@@ -40,10 +40,10 @@
         if (++samples <= WARM_UP_SAMPLES) {
             return;
         }
-        double took = Math.max(nanos, 1);
-        took = meanNanos == 0 ? took : Math.min(took, MAX_SAMPLE_RATIO * meanNanos);
-        double rate = units * NANOS_PER_SECOND / took;
-        meanNanos = meanNanos == 0 ? took : meanNanos + SMOOTHING_FACTOR * (took - meanNanos);
+        double sampleNanos = Math.max(nanos, 1);
+        sampleNanos = meanNanos == 0 ? sampleNanos : Math.min(sampleNanos, MAX_SAMPLE_RATIO * meanNanos);
+        double rate = units * NANOS_PER_SECOND / sampleNanos;
+        meanNanos = meanNanos == 0 ? sampleNanos : meanNanos + SMOOTHING_FACTOR * (sampleNanos - meanNanos);
         perSecond = perSecond == 0 ? rate : perSecond + SMOOTHING_FACTOR * (rate - perSecond);
     }
 
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/CallRun.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/CallRun.java
@@ -156,9 +156,9 @@
             pendingActions.addAll(state.notChosen(Refusals.overloaded("The organisation's retries are used up.")));
             return;
         }
-        RoutingRequest work =
+        RoutingRequest routingRequest =
                 new RoutingRequest(row.service(), 0, 0, call.request().deadline(), "", state.failed());
-        Either<Problem, Choice> choice = context.selection().chooseRepeatable(work, now);
+        Either<Problem, Choice> choice = context.selection().chooseForRetryable(routingRequest, now);
         if (choice.isLeft()) {
             pendingActions.addAll(state.notChosen(choice.getLeft()));
         } else {
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/ChatQueue.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/ChatQueue.java
@@ -55,9 +55,9 @@
     }
 
     /** Whether a request for this work has to wait for a free slot. */
-    boolean mustWait(RoutingRequest work, Instant now) {
-        FairQueue<QueuedChat> queue = queues.get(work.service());
-        return (queue != null && queue.size() > 0) || isFull(work.service(), now);
+    boolean mustWait(RoutingRequest routingRequest, Instant now) {
+        FairQueue<QueuedChat> queue = queues.get(routingRequest.service());
+        return (queue != null && queue.size() > 0) || isFull(routingRequest.service(), now);
     }
 
     /**
@@ -70,19 +70,19 @@
     Optional<Problem> offer(
             long id,
             CallerRequest request,
-            RoutingRequest work,
+            RoutingRequest routingRequest,
             Consumer<Instant> start,
             RefusalHandler refuser,
             Instant now) {
-        Either<Problem, Choice> idle = selection.chooseAsIfIdle(work, now);
+        Either<Problem, Choice> idle = selection.chooseAsIfIdle(routingRequest, now);
         if (idle.isLeft()) {
             return Optional.of(idle.getLeft());
         }
-        QueuedRequest<QueuedChat> waiting =
-                queuedRequest(id, request, work, idle.get().expectedTime(), new QueuedChat(request, start));
+        QueuedRequest<QueuedChat> queuedRequest =
+                queuedRequest(id, request, routingRequest, idle.get().expectedTime(), new QueuedChat(request, start));
         Either<Problem, List<Refusal<QueuedChat>>> result = queues.computeIfAbsent(
-                        work.service(), service -> new FairQueue<>(capacity, random))
-                .offer(waiting, now);
+                        routingRequest.service(), service -> new FairQueue<>(capacity, random))
+                .offer(queuedRequest, now);
         if (result.isLeft()) {
             return Optional.of(result.getLeft());
         }
@@ -94,7 +94,7 @@
     Optional<CallerRequest> cancel(long id, Instant now) {
         return queues.values().stream()
                 .flatMap(queue -> queue.cancel(id, now).stream())
-                .map(waiting -> waiting.work().request())
+                .map(queuedRequest -> queuedRequest.work().request())
                 .findFirst();
     }
 
@@ -103,7 +103,8 @@
         queues.forEach((service, queue) -> {
             queue.expire(now).forEach(refusal -> refuse(refusal, refuser, now));
             while (queue.size() > 0 && !isFull(service, now)) {
-                queue.poll(now).ifPresent(waiting -> waiting.work().start().accept(now));
+                queue.poll(now)
+                        .ifPresent(queuedRequest -> queuedRequest.work().start().accept(now));
             }
         });
     }
@@ -114,21 +115,21 @@
     }
 
     private static QueuedRequest<QueuedChat> queuedRequest(
-            long id, CallerRequest request, RoutingRequest work, Duration runTime, QueuedChat chat) {
+            long id, CallerRequest request, RoutingRequest routingRequest, Duration runTime, QueuedChat chat) {
         Row row = request.row();
         return new QueuedRequest<>(
                 id,
                 row.key().organisation(),
                 row.values().weight(),
                 row.values().priority(),
-                Math.max(1, work.promptTokens() + work.maxTokens()),
+                Math.max(1, routingRequest.promptTokens() + routingRequest.maxTokens()),
                 request.deadline(),
                 runTime,
                 chat);
     }
 
     private static void refuse(Refusal<QueuedChat> refusal, RefusalHandler refuser, Instant now) {
-        refuser.refuse(refusal.waiting().work().request(), refusal.problem(), now);
+        refuser.refuse(refusal.queuedRequest().work().request(), refusal.problem(), now);
     }
 
     /** Whether the model is full: its agents form a complete pipeline, but those with a free slot do not. */
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/ChatRun.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/ChatRun.java
@@ -42,7 +42,7 @@
     private static final int LOSSES_BEFORE_DELAY = 2;
     private static final Duration CRASH_REPORT_DELAY = Duration.ofMillis(100);
     private static final Duration RECONNECT_TIMEOUT = Duration.ofSeconds(5);
-    private static final Duration RECHOOSE_DELAY = Duration.ofMillis(20);
+    private static final Duration RESELECT_DELAY = Duration.ofMillis(20);
 
     private final long session;
     private final CallerRequest request;
@@ -60,7 +60,7 @@
     private int emittedTokens;
     private int stageLosses;
     private boolean refusedByLink;
-    private Optional<Instant> rechooseAt = Optional.empty();
+    private Optional<Instant> reselectStagesAt = Optional.empty();
     private Optional<Instant> lostAt = Optional.empty();
 
     ChatRun(long session, CallerRequest request, ChatRequest chat, String fingerprint, RouterContext context) {
@@ -79,7 +79,7 @@
 
     /** Chooses the pipeline and opens it. */
     void start(Instant now) {
-        usePipeline(context.selection().chooseRepeatable(work(), now), now);
+        usePipeline(context.selection().chooseForRetryable(routingRequest(), now), now);
     }
 
     void handle(StageOpened message, Instant now) {
@@ -123,9 +123,9 @@
 
     /** Chooses a pipeline again when that is due, and ends the session at its deadline. */
     void tick(Instant now) {
-        if (rechooseAt.isPresent() && !now.isBefore(rechooseAt.get())) {
-            rechooseAt = Optional.empty();
-            rechoose(now);
+        if (reselectStagesAt.isPresent() && !now.isBefore(reselectStagesAt.get())) {
+            reselectStagesAt = Optional.empty();
+            reselectStages(now);
         }
         if (!now.isBefore(request.deadline())) {
             giveUp(Problem.notRun(ProblemKind.DEADLINE_PASSED, "The answer was not complete at the deadline."), now);
@@ -167,7 +167,7 @@
         countedAgents = stages;
     }
 
-    private RoutingRequest work() {
+    private RoutingRequest routingRequest() {
         int remainingTokens = Math.max(1, chat.maxTokens() - state.generatedTokens());
         return new RoutingRequest(
                 chat.model(), promptTokens, remainingTokens, request.deadline(), "", state.failedAgents());
@@ -192,11 +192,11 @@
             send(0, new Step(session, feed.epoch(), feed.position(), feed.tokens()), feed.epoch());
         } else if (action instanceof SessionAction.Emit emit) {
             emit(emit.tokens(), now);
-        } else if (action instanceof SessionAction.SelectStages rechoose) {
+        } else if (action instanceof SessionAction.SelectStages selectStages) {
             lostAt = lostAt.or(() -> Optional.of(now));
             tracker.recordDecision(
-                    request, now, "rebuild", "why=" + rechoose.reason() + " failed=" + state.failedAgents());
-            rechooseOrDelay(now);
+                    request, now, "rebuild", "why=" + selectStages.reason() + " failed=" + state.failedAgents());
+            reselectStagesOrDelay(now);
         } else if (action instanceof SessionAction.Close close) {
             agents.closeStage(close.agent(), new CloseStage(session, close.epoch()), request.deadline());
         } else if (action instanceof SessionAction.Finish) {
@@ -215,18 +215,18 @@
      * chosen again at once, it would refuse again in an endless loop. This thread would never get to process the end of
      * the link, and all requests of the entry would stall.
      */
-    private void rechooseOrDelay(Instant now) {
+    private void reselectStagesOrDelay(Instant now) {
         if (refusedByLink) {
             refusedByLink = false;
-            rechooseAt = Optional.of(now.plus(RECHOOSE_DELAY));
+            reselectStagesAt = Optional.of(now.plus(RESELECT_DELAY));
         } else if (stageLosses >= LOSSES_BEFORE_DELAY) {
-            rechooseAt = Optional.of(now.plus(CRASH_REPORT_DELAY));
+            reselectStagesAt = Optional.of(now.plus(CRASH_REPORT_DELAY));
         } else {
-            rechoose(now);
+            reselectStages(now);
         }
     }
 
-    private void rechoose(Instant now) {
+    private void reselectStages(Instant now) {
         if (!state.isAwaitingStages()) {
             return;
         }
@@ -235,9 +235,9 @@
             giveUp(stop.get(), now);
             return;
         }
-        Either<Problem, Choice> choice = context.selection().chooseReplacement(work(), state.stages(), now);
+        Either<Problem, Choice> choice = context.selection().chooseReplacement(routingRequest(), state.stages(), now);
         if (choice.isLeft() && mayReconnect(now)) {
-            rechooseAt = Optional.of(now.plus(RECHOOSE_DELAY));
+            reselectStagesAt = Optional.of(now.plus(RESELECT_DELAY));
         } else {
             usePipeline(choice, now);
         }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/EntryPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/EntryPlugin.java
@@ -103,7 +103,7 @@
         FleetView view = new FleetView(context.agents().membership());
         router.addTickAction(view::tick);
         registry.share(FleetView.class, view);
-        registry.add(router.duty());
+        registry.add(router.eventLoop());
         registry.add(new LinkComponent(loop));
         registry.add(state);
         addRoutes(
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/FleetPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/FleetPlugin.java
@@ -72,7 +72,8 @@
         node.put("waiting", member.load().waiting());
         node.put("tokensPerSecond", Math.round(member.load().tokensPerSecond()));
         node.put("tableOffset", tableOffset);
-        node.put("heardMillisAgo", Duration.between(member.heardAt(), now).toMillis());
+        node.put(
+                "heardMillisAgo", Duration.between(member.lastReceivedAt(), now).toMillis());
         return node;
     }
 
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/RequestIntake.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/RequestIntake.java
@@ -62,21 +62,21 @@
     }
 
     private void startOrWait(long session, CallerRequest request, ChatRequest chat, String fingerprint, Instant now) {
-        RoutingRequest work = new RoutingRequest(
+        RoutingRequest routingRequest = new RoutingRequest(
                 chat.model(),
                 Tokenizer.encode(chat.messages()).length,
                 chat.maxTokens(),
                 request.deadline(),
                 "",
                 Set.of());
-        if (!context.chatQueue().mustWait(work, now)) {
+        if (!context.chatQueue().mustWait(routingRequest, now)) {
             router.startChat(session, request, chat, fingerprint, now);
             return;
         }
         context.tracker().recordDecision(request, now, "waits", "reason=no-free-slot");
         Consumer<Instant> start = at -> router.startChat(session, request, chat, fingerprint, at);
         context.chatQueue()
-                .offer(session, request, work, start, router::refuse, now)
+                .offer(session, request, routingRequest, start, router::refuse, now)
                 .ifPresent(problem -> router.refuse(request, problem, now));
     }
 
@@ -140,8 +140,9 @@
     }
 
     private Either<Problem, Incarnation> chooseAgent(CallerRequest request, Instant now) {
-        RoutingRequest work = new RoutingRequest(request.row().key().service(), 0, 0, request.deadline(), "", Set.of());
-        Either<Problem, Choice> choice = context.selection().choose(work, now);
+        RoutingRequest routingRequest =
+                new RoutingRequest(request.row().key().service(), 0, 0, request.deadline(), "", Set.of());
+        Either<Problem, Choice> choice = context.selection().choose(routingRequest, now);
         return choice.map(chosen -> chosen.stages().get(0).incarnation());
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/Router.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/Router.java
@@ -38,10 +38,10 @@
 
     private final Clock clock;
     private final RandomGenerator random;
-    private final EventLoop<Runnable> duty;
+    private final EventLoop<Runnable> eventLoop;
     private final Map<Long, ChatRun> chats = new HashMap<>();
     private final Map<Long, CallRun> calls = new HashMap<>();
-    private final Map<Long, DenialRun> denials = new HashMap<>();
+    private final Map<Long, DenialRun> refusedCalls = new HashMap<>();
     private final Queue<Consumer<Instant>> deferred = new ConcurrentLinkedQueue<>();
     private final List<Consumer<Instant>> tickActions = new ArrayList<>();
     private RouterContext context;
@@ -51,7 +51,7 @@
     Router(Clock clock, int ringSlots, RandomGenerator random) {
         this.clock = clock;
         this.random = random;
-        this.duty = new EventLoop<>("router", ringSlots, Runnable::run, this::tick, TICK_MILLIS);
+        this.eventLoop = new EventLoop<>("router", ringSlots, Runnable::run, this::tick, TICK_MILLIS);
     }
 
     /** Sets the collaborators that need the router to be constructed. Called before the start. */
@@ -66,8 +66,8 @@
     }
 
     /** Returns the thread that the kernel starts and stops. */
-    EventLoop<Runnable> duty() {
-        return duty;
+    EventLoop<Runnable> eventLoop() {
+        return eventLoop;
     }
 
     /** Returns the number of requests in progress, as of the last action or tick. */
@@ -82,7 +82,7 @@
 
     /** Submits an action to the router's thread. Returns false if the ring is full. */
     boolean tryRun(Consumer<Instant> action) {
-        return duty.offer(() -> perform(action));
+        return eventLoop.offer(() -> perform(action));
     }
 
     /**
@@ -138,7 +138,7 @@
                 .recordDecision(
                         call.request(), now, "denied", "kind=" + reason.kind().text());
         DenialRun run = new DenialRun(callId, call, reason, context);
-        denials.put(callId, run);
+        refusedCalls.put(callId, run);
         requestVmListRead.run();
         run.tick(now);
     }
@@ -153,7 +153,7 @@
     int countInProgress() {
         return chats.size()
                 + calls.size()
-                + denials.size()
+                + refusedCalls.size()
                 + context.chatQueue().size();
     }
 
@@ -189,7 +189,7 @@
         Incarnation agent = link.peer().incarnation();
         context.admission().linkLost(agent);
         calls.values().forEach(call -> call.linkLost(agent, now));
-        denials.values().forEach(denial -> denial.linkLost(agent, now));
+        refusedCalls.values().forEach(refusedCall -> refusedCall.linkLost(agent, now));
         chats.values().forEach(chat -> chat.linkLost(agent, "The link to a stage was lost: " + why, now));
     }
 
@@ -215,9 +215,9 @@
         if (call != null) {
             call.replyReceived(AgentReplies.from(result), now);
         }
-        DenialRun denial = denials.get(result.call());
-        if (denial != null) {
-            denial.replyReceived(agent, AgentReplies.from(result), now);
+        DenialRun refusedCall = refusedCalls.get(result.call());
+        if (refusedCall != null) {
+            refusedCall.replyReceived(agent, AgentReplies.from(result), now);
         }
     }
 
@@ -255,11 +255,11 @@
         context.chatQueue().tick(this::refuse, now);
         chats.values().forEach(chat -> chat.tick(now));
         calls.values().forEach(call -> call.tick(now));
-        denials.values().forEach(denial -> denial.tick(now));
+        refusedCalls.values().forEach(refusedCall -> refusedCall.tick(now));
         runDeferred(now);
         chats.values().removeIf(ChatRun::isEnded);
         calls.values().removeIf(CallRun::isEnded);
-        denials.values().removeIf(DenialRun::isEnded);
+        refusedCalls.values().removeIf(DenialRun::isEnded);
         inProgress = countInProgress();
     }
 }
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/Selection.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/Selection.java
@@ -44,31 +44,31 @@
     }
 
     /** Chooses for new work that may run at most once where it is sent. */
-    Either<Problem, Choice> choose(RoutingRequest work, Instant now) {
-        return choose(agents.candidates(now), work, now);
+    Either<Problem, Choice> choose(RoutingRequest routingRequest, Instant now) {
+        return choose(agents.candidates(now), routingRequest, now);
     }
 
     /**
      * Chooses for new work that may safely run again elsewhere. An ejected agent that is due for a probe is chosen for
      * it: only such work can safely test whether the agent has recovered, and it has all its retries left.
      */
-    Either<Problem, Choice> chooseRepeatable(RoutingRequest work, Instant now) {
+    Either<Problem, Choice> chooseForRetryable(RoutingRequest routingRequest, Instant now) {
         List<Candidate> candidates = agents.candidates(now);
-        Optional<Candidate> probe = agents.claimProbe(work.service(), work.excludedAgents(), now);
+        Optional<Candidate> probe = agents.claimProbe(routingRequest.service(), routingRequest.excludedAgents(), now);
         if (probe.isPresent()) {
             candidates.removeIf(candidate ->
                     candidate.offer().layers().equals(probe.get().offer().layers())
-                            && candidate.offer().service().equals(work.service()));
+                            && candidate.offer().service().equals(routingRequest.service()));
             candidates.add(probe.get());
         }
-        return choose(candidates, work, now);
+        return choose(candidates, routingRequest, now);
     }
 
     /** Chooses as if no backend server had any work, to estimate how long the request itself takes. */
-    Either<Problem, Choice> chooseAsIfIdle(RoutingRequest work, Instant now) {
+    Either<Problem, Choice> chooseAsIfIdle(RoutingRequest routingRequest, Instant now) {
         List<Candidate> idle =
                 agents.candidates(now).stream().map(Selection::asIfIdle).toList();
-        return choose(idle, work, now);
+        return choose(idle, routingRequest, now);
     }
 
     /**
@@ -79,7 +79,7 @@
         // A prediction must not end a running stream that may still complete in time; only its deadline does. Speeds
         // measured in the seconds after a fault are low, and with the real deadline streams would be ended with half
         // their time left.
-        RoutingRequest work = new RoutingRequest(
+        RoutingRequest routingRequest = new RoutingRequest(
                 original.service(),
                 original.promptTokens(),
                 original.maxTokens(),
@@ -87,18 +87,18 @@
                 original.prefixHash(),
                 original.excludedAgents());
         Set<Incarnation> kept = new HashSet<>(stages);
-        kept.removeAll(work.excludedAgents());
+        kept.removeAll(routingRequest.excludedAgents());
         List<Candidate> survivors = agents.linkedCandidates(kept);
         List<Candidate> candidates = new ArrayList<>(survivors);
         agents.candidates(now).stream()
                 .filter(candidate -> survivors.stream().noneMatch(survivor -> layersOverlap(survivor, candidate)))
                 .forEach(candidates::add);
-        Either<Problem, Choice> choice = choose(candidates, work, now);
-        return choice.isRight() ? choice : choose(work, now);
+        Either<Problem, Choice> choice = choose(candidates, routingRequest, now);
+        return choice.isRight() ? choice : choose(routingRequest, now);
     }
 
-    private Either<Problem, Choice> choose(List<Candidate> candidates, RoutingRequest work, Instant now) {
-        return chooser.choose(candidates, work, localDataCentre, costs, now, random);
+    private Either<Problem, Choice> choose(List<Candidate> candidates, RoutingRequest routingRequest, Instant now) {
+        return chooser.choose(candidates, routingRequest, localDataCentre, costs, now, random);
     }
 
     private static Candidate asIfIdle(Candidate candidate) {
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/OperatorPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/OperatorPlugin.java
@@ -56,10 +56,10 @@
     public void register(Registry registry) {
         OperatorAgentAccess agents = new OperatorAgentAccess();
         registry.share(OperatorAgentAccess.class, agents);
-        EventLoop<Runnable> edits = eventLoop("operator-edits");
-        EventLoop<Runnable> reads = eventLoop("operator");
-        registry.add(edits);
-        registry.add(reads);
+        EventLoop<Runnable> editLoop = eventLoop("operator-edits");
+        EventLoop<Runnable> readLoop = eventLoop("operator");
+        registry.add(editLoop);
+        registry.add(readLoop);
         TableKeeper keeper = registry.require(TableKeeper.class);
         LogClient log = registry.require(LogClient.class);
         EntryList entries = new EntryList(registry.require(VmListClient.class));
@@ -68,18 +68,18 @@
                 registry.require(Routes.class),
                 new OperatorAccess(registry.settings().operators()));
         EditService service = new EditService(log, keeper, registry.clock(), EditLimits.DEFAULTS);
-        registrar.add("POST", "edits", edits, new EditEndpoint(keeper, service));
-        registrar.add("GET", "table", reads, new TableEndpoint(keeper));
-        registrar.add("GET", "table/", reads, new TableEndpoint(keeper));
-        registrar.add("GET", "history/", reads, new HistoryEndpoint(keeper, new TableLogReader(log)));
-        registrar.add("GET", "status", reads, status(registry, processName, entries));
-        registrar.add("GET", "applied", reads, applied(processName, keeper, agents, entries));
-        registrar.add("GET", "explain/", reads, explain(registry, processName));
-        registrar.add("GET", "burn", reads, burn(registry, processName, keeper));
+        registrar.add("POST", "edits", editLoop, new EditEndpoint(keeper, service));
+        registrar.add("GET", "table", readLoop, new TableEndpoint(keeper));
+        registrar.add("GET", "table/", readLoop, new TableEndpoint(keeper));
+        registrar.add("GET", "history/", readLoop, new HistoryEndpoint(keeper, new TableLogReader(log)));
+        registrar.add("GET", "status", readLoop, status(registry, processName, entries));
+        registrar.add("GET", "applied", readLoop, applied(processName, keeper, agents, entries));
+        registrar.add("GET", "explain/", readLoop, explain(registry, processName));
+        registrar.add("GET", "burn", readLoop, burn(registry, processName, keeper));
         registrar.add(
                 "POST",
                 "drain",
-                reads,
+                readLoop,
                 new DrainEndpoint(processName, agents, entries, registry.require(StopSwitch.class)));
     }
 
--- a/daemon/src/main/java/org/cornelramp/daemon/table/TableFollower.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/table/TableFollower.java
@@ -47,8 +47,8 @@
     private final Thread thread = new Thread(this::run, "table");
     private volatile boolean running = true;
     private volatile String logFault = "";
-    private volatile TableReadState reading = TableReadState.start();
-    private SnapshotSchedule plan = SnapshotSchedule.start();
+    private volatile TableReadState readState = TableReadState.start();
+    private SnapshotSchedule snapshotSchedule = SnapshotSchedule.start();
     private long backoffMillis = INITIAL_BACKOFF_MILLIS;
 
     TableFollower(
@@ -94,7 +94,7 @@
 
     /** Returns the state of the log for the status document. */
     ObjectNode status() {
-        TableReadState current = reading;
+        TableReadState current = readState;
         ObjectNode node = JsonNodeFactory.instance.objectNode();
         node.put("reachable", logFault.isEmpty());
         node.put("trouble", logFault);
@@ -111,9 +111,9 @@
         while (running) {
             try {
                 follow();
-                setLogFault(describeFault(reading));
+                setLogFault(describeFault(readState));
                 backoffMillis = INITIAL_BACKOFF_MILLIS;
-                if (reading.phase() == TableReadState.Phase.STUCK) {
+                if (readState.phase() == TableReadState.Phase.STUCK) {
                     backOff();
                 }
             } catch (InterruptedException e) {
@@ -127,30 +127,31 @@
     }
 
     private void follow() throws InterruptedException, ExecutionException, TimeoutException {
-        TableReadState before = reading.onPeerTable(keeper.folded());
+        TableReadState before = readState.onPeerTable(keeper.folded());
         TableReadState after = read(before);
-        reading = after;
+        readState = after;
         reportDivergence(before, after);
         // States from before the end of the log, as read during the start, are no longer in force.
         if (after.isAtEnd() || keeper.isReady()) {
             keeper.replaceIfNewer(after.table());
         }
-        SnapshotSchedule.Decision step = plan.evaluate(after, snapshotAge, processName, clock.instant());
-        plan = step.schedule();
+        SnapshotSchedule.Decision step = snapshotSchedule.evaluate(after, snapshotAge, processName, clock.instant());
+        snapshotSchedule = step.schedule();
         if (step.write()) {
             writeSnapshot(after.table());
         }
     }
 
-    private TableReadState read(TableReadState from) throws InterruptedException, ExecutionException, TimeoutException {
-        long wait = from.isAtEnd() ? LONG_POLL_MILLIS : 0;
+    private TableReadState read(TableReadState state)
+            throws InterruptedException, ExecutionException, TimeoutException {
+        long wait = state.isAtEnd() ? LONG_POLL_MILLIS : 0;
         try {
-            LogPage page = log.read(LogStream.TABLE, from.readFrom(), PAGE_RECORDS, wait)
+            LogPage page = log.read(LogStream.TABLE, state.readFrom(), PAGE_RECORDS, wait)
                     .get(wait + ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-            return from.onPage(boundsOf(page), recordsOf(page));
+            return state.onPage(boundsOf(page), recordsOf(page));
         } catch (ExecutionException e) {
             if (e.getCause() instanceof PlatformException fault && fault.kind() == PlatformException.Kind.GONE) {
-                return from.onRecordsGone(
+                return state.onRecordsGone(
                         boundsOf(log.bounds(LogStream.TABLE).get(ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)));
             }
             throw e;
@@ -200,14 +201,14 @@
                 .toList();
     }
 
-    private static String describeFault(TableReadState reading) {
-        if (reading.phase() == TableReadState.Phase.STUCK) {
-            return "the log no longer holds the records from " + reading.table().offset()
+    private static String describeFault(TableReadState state) {
+        if (state.phase() == TableReadState.Phase.STUCK) {
+            return "the log no longer holds the records from " + state.table().offset()
                     + " on and has no snapshot that covers them; a peer with a newer table can supply them";
         }
-        if (reading.isLogBehind()) {
-            return "the log ends at " + reading.bounds().next() + ", below the offset of the table in force, "
-                    + reading.table().offset() + "; it was reset to an earlier state";
+        if (state.isLogBehind()) {
+            return "the log ends at " + state.bounds().next() + ", below the offset of the table in force, "
+                    + state.table().offset() + "; it was reset to an earlier state";
         }
         return "";
     }
@@ -220,7 +221,7 @@
                     newFault.isEmpty() ? System.Logger.Level.INFO : System.Logger.Level.WARNING,
                     newFault.isEmpty()
                             ? "table: the log can be followed again; offset="
-                                    + reading.table().offset()
+                                    + readState.table().offset()
                             : "table: the log cannot be followed, the table in force is kept; offset="
                                     + keeper.folded().offset() + " why=" + newFault);
         }
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/BackendFailureTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/BackendFailureTest.java
@@ -33,7 +33,7 @@
             link.send(InvokeTest.booking(1, "key-1", agent.incarnation));
             TestEntry.await(() -> agent.service.replies.size() == 1);
             agent.service.replies.get(0).completeExceptionally(failure(PlatformException.Kind.ANSWER_LOST));
-            agent.service.life = "life-2";
+            agent.service.incarnation = "life-2";
 
             assertEquals(entry.next(InvokeResult.class).outcome(), Outcome.UNKNOWN);
             TestEntry.await(() -> entry.lastHeartbeat(agent).crashed().stream()
@@ -72,7 +72,7 @@
             Link link = entry.link(agent);
             link.send(InvokeTest.booking(1, "key-1", agent.incarnation));
             TestEntry.await(() -> agent.service.replies.size() == 1);
-            agent.service.life = "life-2";
+            agent.service.incarnation = "life-2";
             assertEquals(entry.next(InvokeResult.class).outcome(), Outcome.UNKNOWN);
 
             agent.service.replies.get(0).complete(FakeService.reply("late"));
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/CutNeighbourLinkTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/CutNeighbourLinkTest.java
@@ -21,22 +21,22 @@
     public void stepsOnACutLinkAreSentAgainUnderTheSameEpoch() throws Exception {
         try (TestAgent a = TestAgent.engine("gpu-a", 0, 3, 6);
                 TestAgent b = TestAgent.engine("gpu-b", 3, 6, 6);
-                TcpProxy relay = new TcpProxy(b.address());
+                TcpProxy proxy = new TcpProxy(b.address());
                 TestEntry entry = new TestEntry("entry-1")) {
             TestPipeline pipeline = new TestPipeline(entry, PROMPT, TOKENS);
-            pipeline.overrideAddress(b, relay.address());
+            pipeline.overrideAddress(b, proxy.address());
             pipeline.start(List.of(a, b));
             for (int cut = 1; cut <= 3; cut++) {
                 pipeline.collect(cut * 50);
-                relay.cut();
+                proxy.cut();
                 // The stages run ahead of the collected tokens: without a new connection the next cut would have no
                 // effect.
                 int wanted = cut + 1;
-                TestEntry.await(() -> relay.accepted() >= wanted);
+                TestEntry.await(() -> proxy.accepted() >= wanted);
             }
             pipeline.collect(400);
 
-            assertTrue(relay.accepted() >= 4);
+            assertTrue(proxy.accepted() >= 4);
             assertEquals(pipeline.epoch(), 1);
             assertEquals(
                     pipeline.tokens().subList(0, 400),
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/FakeEngine.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/FakeEngine.java
@@ -31,7 +31,7 @@
     private final LayerRange layers;
     private final Map<String, long[]> states = new HashMap<>();
     private final Map<String, Integer> positions = new HashMap<>();
-    private String life = "life-1";
+    private String incarnation = "life-1";
     private boolean down;
     private boolean silent;
     private CompletableFuture<EngineStepResults> unansweredReply;
@@ -43,7 +43,7 @@
 
     /** Restarts the engine with a new incarnation and an empty cache. */
     synchronized void restart() {
-        life = life + "+";
+        incarnation = incarnation + "+";
         states.clear();
         positions.clear();
     }
@@ -62,7 +62,7 @@
         return down
                 ? refused()
                 : CompletableFuture.completedFuture(
-                        new BackendOffer(new ServiceName("model"), Optional.of(layers), "1", "fast", 8, life));
+                        new BackendOffer(new ServiceName("model"), Optional.of(layers), "1", "fast", 8, incarnation));
     }
 
     @Override
@@ -91,7 +91,7 @@
     private EngineStepResults runAll(List<EngineStep> steps) {
         List<EngineStepResult> results = new ArrayList<>();
         steps.forEach(step -> results.add(run(step)));
-        return new EngineStepResults(life, results);
+        return new EngineStepResults(incarnation, results);
     }
 
     private static <T> CompletableFuture<T> refused() {
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/FakeService.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/FakeService.java
@@ -16,13 +16,13 @@
     final List<ServiceCall> calls = new CopyOnWriteArrayList<>();
     final List<CompletableFuture<ServiceReply>> replies = new CopyOnWriteArrayList<>();
     volatile boolean answersImmediately = true;
-    volatile String life = "life-1";
+    volatile String incarnation = "life-1";
     volatile int slots = 2;
 
     @Override
     public CompletableFuture<BackendOffer> offer() {
         return CompletableFuture.completedFuture(
-                new BackendOffer(new ServiceName("booking"), Optional.empty(), "1", "none", slots, life));
+                new BackendOffer(new ServiceName("booking"), Optional.empty(), "1", "none", slots, incarnation));
     }
 
     @Override
--- a/daemon/src/test/java/org/cornelramp/daemon/agent/TcpProxy.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/agent/TcpProxy.java
@@ -57,13 +57,13 @@
     private void accept() {
         try {
             while (true) {
-                Socket near = server.accept();
-                Socket far = new Socket(target.host(), target.port());
+                Socket clientSocket = server.accept();
+                Socket targetSocket = new Socket(target.host(), target.port());
                 accepted.incrementAndGet();
-                sockets.add(near);
-                sockets.add(far);
-                start(() -> pipe(near, far));
-                start(() -> pipe(far, near));
+                sockets.add(clientSocket);
+                sockets.add(targetSocket);
+                start(() -> pipe(clientSocket, targetSocket));
+                start(() -> pipe(targetSocket, clientSocket));
             }
         } catch (IOException e) {
             // The proxy was closed.
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/FakePipeline.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/FakePipeline.java
@@ -44,8 +44,8 @@
     private volatile int crashingPromptLength = -1;
 
     /** Returns an agent that holds one of the three layers. */
-    synchronized FakeAgent agent(String name, long life, int layer) {
-        Incarnation incarnation = new Incarnation(new BackendServerId(name), life);
+    synchronized FakeAgent agent(String name, long incarnationNumber, int layer) {
+        Incarnation incarnation = new Incarnation(new BackendServerId(name), incarnationNumber);
         Offer offer = new Offer(MODEL, Optional.of(new LayerRange(layer, layer + 1, LAYERS)), "1", "fake", 8);
         FakeAgent agent = new FakeAgent(incarnation, offer);
         Stage stage = new Stage(layer, agent);
--- a/daemon/src/test/java/org/cornelramp/daemon/entry/FakeService.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/entry/FakeService.java
@@ -38,9 +38,9 @@
         boolean intercept(Link link, Invoke invoke);
     }
 
-    FakeService(String name, long life) {
+    FakeService(String name, long incarnationNumber) {
         Offer offer = new Offer(NAME, Optional.empty(), "1", "none", 8);
-        agent = new FakeAgent(new Incarnation(new BackendServerId(name), life), offer);
+        agent = new FakeAgent(new Incarnation(new BackendServerId(name), incarnationNumber), offer);
         agent.messageHandler = this::handle;
     }
 
--- a/gateway/src/main/java/org/cornelramp/gateway/Gateway.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/Gateway.java
@@ -60,7 +60,7 @@
     private final ServerFollower serverFollower;
     private final PeerUpdateService peers;
     private final LeaderLease lease;
-    private final LayerPlacer placement;
+    private final LayerPlacer layerPlacer;
     private final GatewayHttpServer server;
     private final CountDownLatch stop = new CountDownLatch(1);
 
@@ -77,8 +77,8 @@
         EngineControl control = new EngineControl(clients.pooled());
         this.router = new Router(settings, clients, config, clock, log, meters, new AsyncEngineControl(control));
         RecordCache cache = new RecordCache();
-        StoreAvailability access = new StoreAvailability();
-        ReadCoordinator share = new ReadCoordinator(settings.metrics());
+        StoreAvailability storeAvailability = new StoreAvailability();
+        ReadCoordinator readCoordinator = new ReadCoordinator(settings.metrics());
         BooleanSupplier isLeader = () -> !this.lease().term(clock.millis()).equals(LeaderLease.NONE);
         PeerConfigVersions versions = new PeerConfigVersions(
                 () -> config.current().map(RoutingConfig::version).orElse(PeerConfigVersions.NONE));
@@ -87,20 +87,20 @@
                 settings.dataCentre(),
                 router::currentUpdate,
                 router::receivePeerUpdate,
-                share,
+                readCoordinator,
                 versions,
                 isLeader,
                 clock,
                 log);
-        this.lease =
-                new LeaderLease(settings.name(), settings.peers(), peers::setPeers, store, access, clock, log, meters);
+        this.lease = new LeaderLease(
+                settings.name(), settings.peers(), peers::setPeers, store, storeAvailability, clock, log, meters);
         PeerRecordsClient peerRecords =
                 new PeerRecordsClient(clients.pooled(), settings.metrics().port(), peers::peers);
-        TopicFollower.Dependencies parts =
-                new TopicFollower.Dependencies(store, access, share, isLeader, cache, peerRecords, clock, log, meters);
+        TopicFollower.Dependencies parts = new TopicFollower.Dependencies(
+                store, storeAvailability, readCoordinator, isLeader, cache, peerRecords, clock, log, meters);
         this.configFollower = new ConfigFollower(parts, config, versions);
         this.serverFollower = new ServerFollower(parts, router);
-        this.placement = new LayerPlacer(lease, control, config, router::view, clock, log, meters);
+        this.layerPlacer = new LayerPlacer(lease, control, config, router::view, clock, log, meters);
         meters.gauge("requests.underway", router::activeRequestCount);
         meters.gauge("servers", () -> router.view().servers().size());
         meters.gauge("servers.suspected", () -> router.view().suspects().size());
@@ -142,7 +142,7 @@
         server.start();
         peers.start();
         lease.start();
-        placement.start();
+        layerPlacer.start();
         meters.start();
     }
 
@@ -160,7 +160,7 @@
                 .write();
         server.beginShutdown();
         router.announceStop();
-        placement.stop();
+        layerPlacer.stop();
         lease.stop();
         long limitMillis = beganMillis + settings.timing().graceMillis() - END_MARGIN_MILLIS;
         while (clock.millis() < limitMillis
@@ -182,7 +182,7 @@
     public void close() throws Exception {
         configFollower.stop();
         serverFollower.stop();
-        placement.stop();
+        layerPlacer.stop();
         lease.stop();
         peers.stop();
         server.stop();
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/PeerConfigVersions.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/PeerConfigVersions.java
@@ -37,12 +37,12 @@
     }
 
     /** Records the version that a peer has in force. */
-    public synchronized void recordVersion(String peer, long theirs, long nowMillis) {
-        if (theirs > version) {
-            version = theirs;
+    public synchronized void recordVersion(String peer, long peerVersion, long nowMillis) {
+        if (peerVersion > version) {
+            version = peerVersion;
             nextAskMillis = nowMillis + (ownVersion() == NONE ? 0 : FETCH_DELAY_MILLIS);
         }
-        if (theirs == version) {
+        if (peerVersion == version) {
             host = peer; // the peer that sent the latest update is the most likely to answer
         }
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/follow/TopicFollower.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/follow/TopicFollower.java
@@ -205,8 +205,8 @@
      * records.
      */
     private boolean continuesFromHere(RecordCache.RecordSet recordSet) {
-        long theirs = recordSet.page().era();
-        return theirs == era || (theirs > era && recordSet.complete());
+        long recordSetEra = recordSet.page().era();
+        return recordSetEra == era || (recordSetEra > era && recordSet.complete());
     }
 
     private long handleFault(PlatformFault fault) {
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerUpdate.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerUpdate.java
@@ -20,9 +20,9 @@
  * @param leaving whether it is stopping
  * @param loads the load of its requests in progress on each engine; empty if this update omits the loads
  * @param crossings number of hops to another data centre of all its requests in progress
- * @param paces factor by which each engine is slower than usual; engines with a factor of 1 are omitted
+ * @param slowdowns factor by which each engine is slower than usual; engines with a factor of 1 are omitted
  * @param suspects servers that it has seen fail since its last update or shortly before
- * @param repeats the retries that it requests and lends out of the budget that all gateways share
+ * @param retryLoans the retries that it requests and lends out of the budget that all gateways share
  * @param recentPeers addresses of some peers that have recently sent it an update
  * @param reading how far it has read the store for all gateways; empty if it does not read for them
  * @param configVersion version of the configuration that it has in force; negative for none
@@ -33,16 +33,16 @@
         boolean leaving,
         Optional<Map<BackendServerId, EngineLoads.Load>> loads,
         int crossings,
-        Map<BackendServerId, Double> paces,
+        Map<BackendServerId, Double> slowdowns,
         Set<BackendServerId> suspects,
-        RetryLoanUpdate repeats,
+        RetryLoanUpdate retryLoans,
         List<HostPort> recentPeers,
         Optional<ReadCoordinator.ReadPosition> reading,
         long configVersion) {
 
     public PeerUpdate {
         loads = loads.map(Map::copyOf);
-        paces = Map.copyOf(paces);
+        slowdowns = Map.copyOf(slowdowns);
         suspects = Set.copyOf(suspects);
         recentPeers = List.copyOf(recentPeers);
     }
@@ -70,7 +70,7 @@
             int crossings,
             Map<BackendServerId, Double> paces,
             Set<BackendServerId> suspects,
-            RetryLoanUpdate repeats) {
+            RetryLoanUpdate retryLoans) {
         return new PeerUpdate(
                 sender,
                 number,
@@ -79,7 +79,7 @@
                 crossings,
                 paces,
                 suspects,
-                repeats,
+                retryLoans,
                 List.of(),
                 Optional.empty(),
                 PeerConfigVersions.NONE);
@@ -93,9 +93,9 @@
                 leaving,
                 loads,
                 crossings,
-                paces,
+                slowdowns,
                 suspects,
-                repeats,
+                retryLoans,
                 addresses,
                 reading,
                 configVersion);
@@ -109,9 +109,9 @@
                 leaving,
                 loads,
                 crossings,
-                paces,
+                slowdowns,
                 suspects,
-                repeats,
+                retryLoans,
                 recentPeers,
                 progress,
                 configVersion);
@@ -125,9 +125,9 @@
                 leaving,
                 loads,
                 crossings,
-                paces,
+                slowdowns,
                 suspects,
-                repeats,
+                retryLoans,
                 recentPeers,
                 reading,
                 version);
@@ -141,9 +141,9 @@
                 leaving,
                 Optional.empty(),
                 crossings,
-                paces,
+                slowdowns,
                 suspects,
-                repeats,
+                retryLoans,
                 recentPeers,
                 reading,
                 configVersion);
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerUpdateCodec.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerUpdateCodec.java
@@ -39,8 +39,8 @@
                 writeLoads(update.loads().get(), out);
             }
             out.packInt(update.crossings());
-            out.packMapHeader(update.paces().size());
-            for (Map.Entry<BackendServerId, Double> pace : update.paces().entrySet()) {
+            out.packMapHeader(update.slowdowns().size());
+            for (Map.Entry<BackendServerId, Double> pace : update.slowdowns().entrySet()) {
                 out.packString(pace.getKey().value());
                 out.packDouble(pace.getValue());
             }
@@ -48,7 +48,7 @@
             for (BackendServerId id : update.suspects()) {
                 out.packString(id.value());
             }
-            writeRepeats(update.repeats(), out);
+            writeRetryLoans(update.retryLoans(), out);
             out.packArrayHeader(update.recentPeers().size());
             for (HostPort peer : update.recentPeers()) {
                 out.packString(peer.toString());
@@ -89,17 +89,17 @@
         return loads;
     }
 
-    private static void writeRepeats(RetryLoanUpdate repeats, MessageBufferPacker out) throws IOException {
-        out.packMapHeader(repeats.loanRequests().size());
+    private static void writeRetryLoans(RetryLoanUpdate retryLoans, MessageBufferPacker out) throws IOException {
+        out.packMapHeader(retryLoans.loanRequests().size());
         for (Map.Entry<ServiceName, RetryLoanUpdate.LoanRequest> ask :
-                repeats.loanRequests().entrySet()) {
+                retryLoans.loanRequests().entrySet()) {
             out.packString(ask.getKey().value());
             out.packLong(ask.getValue().id());
             out.packInt(ask.getValue().amount());
         }
-        out.packMapHeader(repeats.loans().size());
+        out.packMapHeader(retryLoans.loans().size());
         for (Map.Entry<ServiceName, List<RetryLoanUpdate.Loan>> loans :
-                repeats.loans().entrySet()) {
+                retryLoans.loans().entrySet()) {
             out.packString(loans.getKey().value());
             out.packArrayHeader(loans.getValue().size());
             for (RetryLoanUpdate.Loan loan : loans.getValue()) {
@@ -110,7 +110,7 @@
         }
     }
 
-    private static RetryLoanUpdate readRepeats(MessageUnpacker in) throws IOException {
+    private static RetryLoanUpdate readRetryLoans(MessageUnpacker in) throws IOException {
         Map<ServiceName, RetryLoanUpdate.LoanRequest> asks = new HashMap<>();
         for (int left = in.unpackMapHeader(); left > 0; left--) {
             asks.put(
@@ -154,10 +154,10 @@
             for (int left = in.unpackArrayHeader(); left > 0; left--) {
                 suspects.add(new BackendServerId(in.unpackString()));
             }
-            RetryLoanUpdate repeats = readRepeats(in);
-            List<HostPort> heard = new ArrayList<>();
+            RetryLoanUpdate retryLoans = readRetryLoans(in);
+            List<HostPort> recentPeers = new ArrayList<>();
             for (int left = in.unpackArrayHeader(); left > 0; left--) {
-                heard.add(HostPort.parse(in.unpackString()));
+                recentPeers.add(HostPort.parse(in.unpackString()));
             }
             Optional<ReadCoordinator.ReadPosition> reading = in.unpackBoolean()
                     ? Optional.of(new ReadCoordinator.ReadPosition(
@@ -165,7 +165,17 @@
                     : Optional.empty();
             long version = in.unpackLong();
             return Either.right(new PeerUpdate(
-                    sender, number, leaving, loads, crossings, paces, suspects, repeats, heard, reading, version));
+                    sender,
+                    number,
+                    leaving,
+                    loads,
+                    crossings,
+                    paces,
+                    suspects,
+                    retryLoans,
+                    recentPeers,
+                    reading,
+                    version));
         } catch (IOException | RuntimeException e) {
             return Either.left(e.toString());
         }
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/PeerUpdateService.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/PeerUpdateService.java
@@ -38,7 +38,7 @@
     private final HostPort address;
     private final Supplier<PeerUpdate> ownUpdate;
     private final Consumer<PeerUpdate> onUpdate;
-    private final ReadCoordinator share;
+    private final ReadCoordinator readCoordinator;
     private final PeerConfigVersions versions;
     private final BooleanSupplier isLeader;
     private final SteadyClock clock;
@@ -60,7 +60,7 @@
      * @param dataCentre the data centre of this gateway
      * @param ownUpdate supplies this gateway's update
      * @param onUpdate called with each newer update of a peer
-     * @param share supplies how far this gateway has read the store, and is given what peers report
+     * @param readCoordinator supplies how far this gateway has read the store, and is given what peers report
      * @param versions supplies the version of the configuration in force, and is given what peers report
      * @param isLeader whether this gateway is the leader
      */
@@ -69,12 +69,12 @@
             DataCentre dataCentre,
             Supplier<PeerUpdate> ownUpdate,
             Consumer<PeerUpdate> onUpdate,
-            ReadCoordinator share,
+            ReadCoordinator readCoordinator,
             PeerConfigVersions versions,
             BooleanSupplier isLeader,
             SteadyClock clock,
             EventLog log) {
-        this.share = share;
+        this.readCoordinator = readCoordinator;
         this.versions = versions;
         this.isLeader = isLeader;
         this.address = address;
@@ -164,7 +164,7 @@
         PeerUpdate update = ownUpdate
                 .get()
                 .withRecentPeers(peersToIntroduce())
-                .withReading(share.ownPosition(isLeader.getAsBoolean(), clock.millis()))
+                .withReading(readCoordinator.ownPosition(isLeader.getAsBoolean(), clock.millis()))
                 .withConfigVersion(versions.ownVersion());
         Set<InetSocketAddress> selected = new LinkedHashSet<>(rotation.select(
                 known, urgency.isUrgent(update), update.reading().isPresent()));
@@ -227,7 +227,7 @@
             directory.addSender(sender, clock.millis());
             locations.setLocation(sender, update.sender().dataCentre());
             versions.recordVersion(sender.getHostString(), update.configVersion(), clock.millis());
-            if (!update.repeats().loanRequests().isEmpty()) {
+            if (!update.retryLoans().loanRequests().isEmpty()) {
                 priorityPeers.add(sender);
             }
         }
@@ -240,7 +240,7 @@
                 && previous[1] >= update.sequenceNumber();
         if (!outdated) {
             latestReceived.put(update.name(), new long[] {update.sender().incarnation(), update.sequenceNumber()});
-            update.reading().ifPresent(reading -> share.receivePosition(reading, clock.millis()));
+            update.reading().ifPresent(reading -> readCoordinator.receivePosition(reading, clock.millis()));
             onUpdate.accept(update);
         }
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/peer/UpdateUrgency.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/peer/UpdateUrgency.java
@@ -25,7 +25,7 @@
      * peers of a single turn may have none to lend.
      */
     boolean isUrgent(PeerUpdate update) {
-        Set<Long> askIds = askIds(update.repeats().loanRequests().values());
+        Set<Long> askIds = askIds(update.retryLoans().loanRequests().values());
         boolean readingProgressed =
                 update.reading().isPresent() && !update.reading().equals(sentReading);
         boolean urgent = !sentSuspects.containsAll(update.suspects())
--- a/gateway/src/main/java/org/cornelramp/gateway/place/LayerPlacer.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/place/LayerPlacer.java
@@ -165,17 +165,17 @@
                     .with("loading", orders.size())
                     .write();
         }
-        Set<BackendServerId> fixed = new HashSet<>(orders.keySet());
+        Set<BackendServerId> busy = new HashSet<>(orders.keySet());
         candidates.forEach(server -> firstSeenMillis.putIfAbsent(server.id(), now));
         firstSeenMillis
                 .keySet()
                 .retainAll(view.servers().stream().map(BackendServer::id).toList());
-        Set<BackendServerId> newcomers = new HashSet<>();
+        Set<BackendServerId> reserved = new HashSet<>();
         candidates.stream()
                 .map(BackendServer::id)
                 .filter(id -> now - firstSeenMillis.get(id) < NEW_ENGINE_MILLIS)
-                .forEach(newcomers::add);
-        for (Placement placement : Planner.plan(spec, candidates, fixed, newcomers)) {
+                .forEach(reserved::add);
+        for (Placement placement : Planner.plan(spec, candidates, busy, reserved)) {
             sendOrder(placement, spec, now);
         }
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/place/LeaderLease.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/place/LeaderLease.java
@@ -59,7 +59,7 @@
     private final String member;
     private final Consumer<List<HostPort>> onPeers;
     private final MetadataStore store;
-    private final StoreAvailability access;
+    private final StoreAvailability storeAvailability;
     private final SteadyClock clock;
     private final EventLog log;
     private final Meters meters;
@@ -85,21 +85,21 @@
      * @param name name of this process
      * @param address address on which it receives its peers' updates
      * @param onPeers receives the addresses of all members
-     * @param access records whether the store answers
+     * @param storeAvailability records whether the store answers
      */
     public LeaderLease(
             String name,
             HostPort address,
             Consumer<List<HostPort>> onPeers,
             MetadataStore store,
-            StoreAvailability access,
+            StoreAvailability storeAvailability,
             SteadyClock clock,
             EventLog log,
             Meters meters) {
         this.member = name + MEMBER_SEPARATOR + address;
         this.onPeers = onPeers;
         this.store = store;
-        this.access = access;
+        this.storeAvailability = storeAvailability;
         this.clock = clock;
         this.log = log;
         this.meters = meters;
@@ -142,9 +142,10 @@
     private void step(long now) {
         if (now >= nextJoinMillis) {
             join(now);
-            nextJoinMillis = now + (access.hasEverAnswered() ? JOIN_INTERVAL_MILLIS : FIRST_JOIN_INTERVAL_MILLIS);
+            nextJoinMillis =
+                    now + (storeAvailability.hasEverAnswered() ? JOIN_INTERVAL_MILLIS : FIRST_JOIN_INTERVAL_MILLIS);
         }
-        if (now >= nextMembersMillis && !access.isUnavailable()) {
+        if (now >= nextMembersMillis && !storeAvailability.isUnavailable()) {
             readMembers(now);
         }
     }
@@ -154,11 +155,11 @@
                 store.join(GROUP, member, GROUP, TTL_MILLIS, generation);
         meters.countStoreCall("join", joined.fold(fault -> fault.kind().name(), any -> "ok"));
         if (joined.isLeft()) {
-            access.recordFailure();
+            storeAvailability.recordFailure();
             log.line("lease", "not joined").with("fault", joined.getLeft()).write();
             return;
         }
-        access.recordAnswer(clock.millis());
+        storeAvailability.recordAnswer(clock.millis());
         State old = state;
         long era = joined.get().era();
         boolean restored = old.era() != NO_ERA && era != old.era();
--- a/gateway/src/main/java/org/cornelramp/gateway/request/GatewayHttpServer.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/GatewayHttpServer.java
@@ -66,14 +66,14 @@
         server.addConnector(readiness);
         ServerConnector internalConnector = connector(settings.metrics(), "internal");
         server.addConnector(internalConnector);
-        ClientRequestHandler intake =
+        ClientRequestHandler requestHandler =
                 new ClientRequestHandler(config, router, clock, log, () -> shuttingDown, this::refuses, meters);
         server.setHandler(new Handler.Abstract.NonBlocking() {
             @Override
             public boolean handle(Request request, Response response, Callback callback) throws Exception {
                 Connector connector = request.getConnectionMetaData().getConnector();
                 if (connector == requests) {
-                    intake.handle(request, response, callback);
+                    requestHandler.handle(request, response, callback);
                 } else if (connector == readiness) {
                     readiness(request, response, callback);
                 } else {
--- a/gateway/src/main/java/org/cornelramp/gateway/request/Refusal.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/Refusal.java
@@ -6,15 +6,15 @@
  * thread.
  */
 public enum Refusal {
-    NO_CONFIGURATION(503, "This process has no configuration yet; come again soon.", 400),
-    LEAVING(503, "This process stops; come again on a new connection.", 100),
-    ALL_LEAVING(503, "All processes stop or start; come again in a while.", 1_500),
+    NO_CONFIGURATION(503, "This process has no configuration yet; send the request again soon.", 400),
+    LEAVING(503, "This process is stopping; send the request again on a new connection.", 100),
+    ALL_LEAVING(503, "All processes are stopping or starting; send the request again later.", 1_500),
     NO_ROUTE(404, "No route takes this host and path; check both.", 0),
     NO_KEY(401, "The key is missing or unknown; send a valid one.", 0),
     TOO_LARGE(413, "The body is larger than the configuration allows; send less.", 0),
-    NO_SERVER(503, "No backend server can take this request now; come again.", 1_000),
-    OVERLOADED(503, "All backend servers are full; come again.", 1_500),
-    NOT_RUN_IN_TIME(503, "No backend server ran this request in time; come again.", 500),
+    NO_SERVER(503, "No backend server can take this request now; send it again.", 1_000),
+    OVERLOADED(503, "All backend servers are full; send the request again.", 1_500),
+    NOT_RUN_IN_TIME(503, "No backend server ran this request in time; send it again.", 500),
     TIMED_OUT(504, "No answer came in time, and the request may have run.", 0),
     UNKNOWN(502, "The backend server was lost, and the request may have run.", 0);
 
--- a/gateway/src/main/java/org/cornelramp/gateway/route/FailureDetector.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/FailureDetector.java
@@ -131,7 +131,7 @@
     }
 
     private void suspect(BackendServer server, Evidence evidence, String why, long now) {
-        if (!fleet.suspicions().suspect(server.id(), evidence, now)) {
+        if (!fleet.suspectedServers().suspect(server.id(), evidence, now)) {
             return;
         }
         if (evidence.isLost()) {
@@ -173,7 +173,7 @@
     }
 
     private void recordAlive(BackendServerId id, long seenMillis, String why, long now) {
-        if (fleet.suspicions().recordSignOfLife(id, seenMillis, now)) {
+        if (fleet.suspectedServers().recordSignOfLife(id, seenMillis, now)) {
             log.line("fleet", "trusted").with("server", id).with("why", why).write();
         }
     }
@@ -204,8 +204,8 @@
 
     private void handleMissingReport(BackendServer engine, PlatformFault fault, long now) {
         boolean dead = fault.kind() == PlatformFault.Kind.NOT_LISTENING;
-        if (fleet.suspicions().isLost(engine.id(), now)) {
-            fleet.suspicions().probeFailed(engine.id(), now);
+        if (fleet.suspectedServers().isLost(engine.id(), now)) {
+            fleet.suspectedServers().probeFailed(engine.id(), now);
         } else if (!dead && unanswered.isLikelyLocalFault(engine.id(), fleet.isLate(now), now)) {
             engineControl.requestReport(engine, router); // with a timeout long enough for an overloaded process
         } else {
--- a/gateway/src/main/java/org/cornelramp/gateway/route/FleetState.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/FleetState.java
@@ -27,7 +27,7 @@
 
     private final long confirmMillis;
     private final ServerRegistry registry = new ServerRegistry();
-    private final SuspectedServers suspicions = new SuspectedServers();
+    private final SuspectedServers suspectedServers = new SuspectedServers();
     private final EngineLoads loads = new EngineLoads();
     private final PlainServerSelector plainServers = new PlainServerSelector();
     private long lagMillis;
@@ -47,8 +47,8 @@
     }
 
     /** Servers that have failed recently. */
-    public SuspectedServers suspicions() {
-        return suspicions;
+    public SuspectedServers suspectedServers() {
+        return suspectedServers;
     }
 
     /** Load and slowdown of each engine. */
@@ -170,7 +170,7 @@
 
     /** Whether the server has failed recently, so that no requests are sent to it. */
     public boolean isSuspect(BackendServerId id, long nowMillis) {
-        return suspicions.isSuspect(id, nowMillis);
+        return suspectedServers.isSuspect(id, nowMillis);
     }
 
     /** Whether a server of the service accepts work but is suspected, so that it may be usable again soon. */
@@ -183,7 +183,7 @@
 
     /** Whether a server is dead, unreachable or restarted, so that its running requests should move. */
     public boolean isLost(BackendServerId id, long nowMillis) {
-        return suspicions.isLost(id, nowMillis) || registry.isReplaced(id);
+        return suspectedServers.isLost(id, nowMillis) || registry.isReplaced(id);
     }
 
     /** The server of a service at an address; another service may have registered the same address. */
@@ -208,7 +208,7 @@
 
     /** Removes the state of servers that are no longer registered. */
     public void removeUnregistered() {
-        suspicions.retain(id -> registry.server(id).isPresent());
+        suspectedServers.retain(id -> registry.server(id).isPresent());
         loads.retain(id -> registry.server(id).isPresent());
         plainServers.retain(id -> registry.server(id).isPresent());
     }
--- a/gateway/src/main/java/org/cornelramp/gateway/route/OverdueAttempts.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/OverdueAttempts.java
@@ -21,7 +21,7 @@
 
     private final SharedRetries sharedRetries;
     private final Dispatcher dispatcher;
-    private final LostAnswerDetector firstEvents = new LostAnswerDetector();
+    private final LostAnswerDetector lostAnswerDetector = new LostAnswerDetector();
 
     OverdueAttempts(SharedRetries sharedRetries, Dispatcher dispatcher) {
         this.sharedRetries = sharedRetries;
@@ -37,7 +37,8 @@
     void recordFirstEvent(ActiveRequest request, Attempt attempt, long now) {
         if (request.markFirstEvent()) {
             attempt.path()
-                    .ifPresent(path -> firstEvents.recordBegun(path.first().id(), attempt.startMillis(), now));
+                    .ifPresent(
+                            path -> lostAnswerDetector.recordBegun(path.first().id(), attempt.startMillis(), now));
         }
     }
 
@@ -61,15 +62,16 @@
      * engines die are not used for this.
      */
     boolean canRestart(ActiveRequest request, long now) {
-        return request.route().mayRepeat()
+        return request.route().mayRetry()
                 && sharedRetries.isAvailable(request.service(), false, now)
                 && dispatcher.hasPath(request, now);
     }
 
     private boolean isAnswerLost(ActiveRequest request, Attempt attempt, long now) {
-        return request.route().mayRepeat()
+        return request.route().mayRetry()
                 && attempt.path()
-                        .filter(path -> firstEvents.isAnswerLost(path.first().id(), attempt.startMillis(), now))
+                        .filter(path ->
+                                lostAnswerDetector.isAnswerLost(path.first().id(), attempt.startMillis(), now))
                         .isPresent();
     }
 
@@ -78,9 +80,9 @@
      * late.
      */
     private static boolean isLate(ActiveRequest request, Attempt attempt, long now) {
-        double patience = LATE_FACTOR * request.route().targetMillis();
+        double maxWaitMillis = LATE_FACTOR * request.route().targetMillis();
         boolean first = request.route().kind() == RouteKind.SAFE && request.attemptCount() == 1;
-        return first && !attempt.hasResponseStarted() && now - attempt.startMillis() > patience;
+        return first && !attempt.hasResponseStarted() && now - attempt.startMillis() > maxWaitMillis;
     }
 
     private boolean canRetry(ActiveRequest request, Attempt attempt, long now) {
--- a/gateway/src/main/java/org/cornelramp/gateway/route/PeerUpdateHandler.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/PeerUpdateHandler.java
@@ -100,19 +100,19 @@
     }
 
     /** Applies a peer's update. */
-    void handleUpdate(PeerUpdate theirs, long nowMillis) {
-        if (theirs.leaving()) {
-            stayingPeers.remove(theirs.name());
+    void handleUpdate(PeerUpdate update, long nowMillis) {
+        if (update.leaving()) {
+            stayingPeers.remove(update.name());
         } else {
-            stayingPeers.put(theirs.name(), nowMillis);
+            stayingPeers.put(update.name(), nowMillis);
         }
         EngineLoads loads = fleet.loads();
-        theirs.loads()
+        update.loads()
                 .ifPresentOrElse(
-                        peerLoads -> loads.updatePeer(theirs.name(), peerLoads, theirs.crossings(), nowMillis),
-                        () -> loads.keepPeer(theirs.name(), theirs.crossings(), nowMillis));
-        sharedRetries.applyPeerUpdate(theirs.name(), theirs.repeats(), nowMillis);
-        theirs.paces().forEach((id, slowdown) -> {
+                        peerLoads -> loads.updatePeer(update.name(), peerLoads, update.crossings(), nowMillis),
+                        () -> loads.keepPeer(update.name(), update.crossings(), nowMillis));
+        sharedRetries.applyPeerUpdate(update.name(), update.retryLoans(), nowMillis);
+        update.slowdowns().forEach((id, slowdown) -> {
             if (loads.slowdown(id) == 1) {
                 loads.setSlowdown(id, slowdown, nowMillis - SLOWDOWN_AGE_MILLIS);
             }
@@ -120,7 +120,7 @@
         // A gateway whose own link or processor is overloaded gets no answers and considers every server dead, so its
         // update is a reason to probe and no proof: taken as proof, it made gateways give up 52 of 80 layers of a data
         // centre.
-        for (BackendServerId id : theirs.suspects()) {
+        for (BackendServerId id : update.suspects()) {
             if (!fleet.isSuspect(id, nowMillis)) {
                 fleet.registry().server(id).ifPresent(probe);
             }
--- a/gateway/src/main/java/org/cornelramp/gateway/route/RetryDispatcher.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/RetryDispatcher.java
@@ -52,7 +52,7 @@
     private final Dispatcher dispatcher;
     private final FleetState fleet;
     private final RoutingLog routingLog;
-    private final RetryQueue<ActiveRequest> waiting = new RetryQueue<>();
+    private final RetryQueue<ActiveRequest> retryQueue = new RetryQueue<>();
 
     RetryDispatcher(SharedRetries sharedRetries, Dispatcher dispatcher, FleetState fleet, RoutingLog routingLog) {
         this.sharedRetries = sharedRetries;
@@ -87,7 +87,7 @@
 
     /** Queues a started stream for which there is no path. */
     void queueForPath(ActiveRequest request, long now) {
-        waiting.add(request, queueEntry(request, now));
+        retryQueue.add(request, queueEntry(request, now));
         handleNoPath(request, now);
     }
 
@@ -97,9 +97,9 @@
      */
     void retryWaiting(long now) {
         Map<ServiceName, Integer> lacking = new HashMap<>();
-        for (ActiveRequest request : waiting.inOrder()) {
+        for (ActiveRequest request : retryQueue.inOrder()) {
             if (trySend(request, now)) {
-                waiting.remove(request);
+                retryQueue.remove(request);
             } else if (request.needsRetry()) {
                 lacking.merge(request.service(), 1, Integer::sum);
             }
@@ -109,17 +109,17 @@
 
     /** Removes and returns the requests that have not started and have waited for the longest permitted time. */
     List<ActiveRequest> removeExpired(long now) {
-        return waiting.removeOverdue(now);
+        return retryQueue.removeOverdue(now);
     }
 
     /** Whether a request is in the queue. */
     boolean isWaiting(ActiveRequest request) {
-        return waiting.contains(request);
+        return retryQueue.contains(request);
     }
 
     /** Removes a request that has ended from the queue. */
     void remove(ActiveRequest request) {
-        waiting.remove(request);
+        retryQueue.remove(request);
     }
 
     private boolean mayAttemptAgain(ActiveRequest request, Attempt failed, long now) {
@@ -171,7 +171,7 @@
     }
 
     private void logNoRetryLeft(ActiveRequest request, long now) {
-        if (!waiting.contains(request)) {
+        if (!retryQueue.contains(request)) {
             routingLog.noRetryLeft(
                     request,
                     sharedRetries.remaining(request.service(), now),
@@ -181,7 +181,7 @@
     }
 
     private boolean enqueue(ActiveRequest request, long now) {
-        return isWaitUseful(request, now) && waiting.add(request, queueEntry(request, now));
+        return isWaitUseful(request, now) && retryQueue.add(request, queueEntry(request, now));
     }
 
     /** Whether waiting may help; a request that could only be refused later is refused at once. */
--- a/gateway/src/main/java/org/cornelramp/gateway/route/Router.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Router.java
@@ -53,7 +53,7 @@
     private final OverdueAttempts overdueAttempts;
     private final PeerUpdateHandler peerUpdateHandler;
     private final AtomicInteger activeRequestCount = new AtomicInteger();
-    private final EventLoop<RouterEvent> duty;
+    private final EventLoop<RouterEvent> eventLoop;
     private final Dispatcher dispatcher;
     private final RetryDispatcher retryDispatcher;
     private final StreamMonitor streamMonitor;
@@ -80,7 +80,7 @@
         this.meters = meters;
         this.engineControl = engineControl;
         this.routingLog = new RoutingLog(log, meters);
-        this.duty = new EventLoop<>("router", RING_CAPACITY, this::handle, this::tick, TICK_MILLIS);
+        this.eventLoop = new EventLoop<>("router", RING_CAPACITY, this::handle, this::tick, TICK_MILLIS);
         this.sharedRetries = new SharedRetries(settings.name(), settings.retries(), new SplittableRandom());
         this.failureDetector =
                 new FailureDetector(fleet, engineControl, settings.timing().stallMillis(), log, meters, this::offer);
@@ -100,17 +100,17 @@
 
     /** Starts the router's thread. */
     public void start() {
-        duty.start();
+        eventLoop.start();
     }
 
     /** Stops the router's thread. */
     public void stop() {
-        duty.stop();
+        eventLoop.stop();
     }
 
     /** Queues an event for the router's thread; false if the ring buffer is full. */
     public boolean offer(RouterEvent event) {
-        return duty.offer(event);
+        return eventLoop.offer(event);
     }
 
     /** Number of requests in progress. */
@@ -139,8 +139,8 @@
     }
 
     /** Queues a peer's update for the router's thread; dropped if the ring buffer is full. */
-    public void receivePeerUpdate(PeerUpdate told) {
-        offer(new RouterEvent.PeerUpdateReceived(told));
+    public void receivePeerUpdate(PeerUpdate update) {
+        offer(new RouterEvent.PeerUpdateReceived(update));
     }
 
     private void handle(RouterEvent event) {
@@ -151,8 +151,8 @@
             handleAttemptEnd(ended.attempt(), ended.end(), now);
         } else if (event instanceof RouterEvent.RegistrationsRead registered) {
             handleRegistrations(registered, now);
-        } else if (event instanceof RouterEvent.PeerUpdateReceived told) {
-            peerUpdateHandler.handleUpdate(told.update(), now);
+        } else if (event instanceof RouterEvent.PeerUpdateReceived received) {
+            peerUpdateHandler.handleUpdate(received.update(), now);
         } else if (event instanceof RouterEvent.StoreStatus answers) {
             storeAvailable(answers.available(), now);
         } else if (event instanceof RouterEvent.EngineReportResult reported) {
@@ -255,7 +255,7 @@
         // failure.
         boolean started = request.exchange().isCommitted();
         boolean failed = started || end.status() >= SERVER_ERROR;
-        if (failed && request.route().mayRepeat() && retryAnswered(request, attempt, end, now)) {
+        if (failed && request.route().mayRetry() && retryAnswered(request, attempt, end, now)) {
             return;
         }
         if (started) {
@@ -279,8 +279,8 @@
     private void handleFailure(ActiveRequest request, Attempt attempt, AttemptEnd end, long now) {
         failureDetector.handleFailedAttempt(attempt, end, now);
         routingLog.attemptFailed(request, attempt, end, now);
-        boolean mayRepeat = end.kind().surelyNotRun() || request.route().mayRepeat();
-        if (mayRepeat && retryDispatcher.retryOrQueue(request, attempt, end, now)) {
+        boolean mayRetry = end.kind().surelyNotRun() || request.route().mayRetry();
+        if (mayRetry && retryDispatcher.retryOrQueue(request, attempt, end, now)) {
             return;
         }
         giveUp(request, refusalFor(request), end.detail());
@@ -388,7 +388,7 @@
             checkRequest(request, now);
         }
         retryWaiting(now);
-        for (BackendServerId id : fleet.suspicions().dueForProbe(now)) {
+        for (BackendServerId id : fleet.suspectedServers().dueForProbe(now)) {
             fleet.registry()
                     .server(id)
                     .filter(server -> !server.card().isEmpty())
--- a/gateway/src/main/java/org/cornelramp/gateway/route/RoutingLog.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/RoutingLog.java
@@ -31,16 +31,16 @@
 
     /**
      * @param left retries left for the service; may include some that are reserved for started streams
-     * @param waits whether the request waits for a retry
+     * @param waitsForRetry whether the request waits for a retry
      */
-    void noRetryLeft(ActiveRequest request, long left, int peers, boolean waits) {
+    void noRetryLeft(ActiveRequest request, long left, int peers, boolean waitsForRetry) {
         boolean started = request.exchange().isCommitted();
         log.line("route", "no repeat left")
                 .with("id", request.exchange().request().id())
                 .with("begun", started)
                 .with("left", left)
                 .with("peers", peers)
-                .with("outcome", waits ? "waits for one" : "not repeated")
+                .with("outcome", waitsForRetry ? "waits for one" : "not repeated")
                 .write();
     }
 
--- a/gateway/src/main/java/org/cornelramp/gateway/route/SharedRetries.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/SharedRetries.java
@@ -33,7 +33,7 @@
     private final String name;
     private final GatewaySettings.Retries bounds;
     private final RandomGenerator ids;
-    private final Map<ServiceName, ServiceRetryBudget> accounts = new HashMap<>();
+    private final Map<ServiceName, ServiceRetryBudget> budgets = new HashMap<>();
     private int peers;
     private int maxPeers;
     private long maxPeersMillis;
@@ -71,22 +71,22 @@
 
     /** Counts a client's request. */
     void countRequest(ServiceName service, long nowMillis) {
-        account(service).recordRequest(nowMillis);
+        budgetOf(service).recordRequest(nowMillis);
     }
 
     /** Consumes one retry, for a started answer or a request that has not started; false if none is left now. */
     boolean tryConsume(ServiceName service, boolean started, long nowMillis) {
-        return account(service).tryRetry(reservePerProcess(), started, nowMillis);
+        return budgetOf(service).tryRetry(reservePerProcess(), started, nowMillis);
     }
 
     /** Whether {@link #tryConsume} would succeed now. */
     boolean isAvailable(ServiceName service, boolean started, long nowMillis) {
-        return account(service).hasRetry(reservePerProcess(), started, nowMillis);
+        return budgetOf(service).hasRetry(reservePerProcess(), started, nowMillis);
     }
 
     /** Retries left now, rounded down. */
     long remaining(ServiceName service, long nowMillis) {
-        return (long) Math.floor(account(service).remaining(reservePerProcess(), nowMillis));
+        return (long) Math.floor(budgetOf(service).remaining(reservePerProcess(), nowMillis));
     }
 
     /**
@@ -95,39 +95,39 @@
      */
     void requestLoans(Map<ServiceName, Integer> lacking, long nowMillis) {
         int peersAsked = Math.max(1, Math.min(peers, PeerRotation.MAX_PEERS_PER_ROUND));
-        lacking.keySet().forEach(this::account);
-        accounts.forEach((service, account) -> {
-            int wanted = lacking.getOrDefault(service, 0) + account.shortage(reservePerProcess(), nowMillis);
+        lacking.keySet().forEach(this::budgetOf);
+        budgets.forEach((service, budget) -> {
+            int wanted = lacking.getOrDefault(service, 0) + budget.shortage(reservePerProcess(), nowMillis);
             int each = (wanted + peersAsked - 1) / peersAsked;
-            account.requestLoan(Math.min(MAX_REQUESTED, each), nowMillis);
+            budget.requestLoan(Math.min(MAX_REQUESTED, each), nowMillis);
         });
     }
 
     /** The loans and the requests for loans to send to the peers. */
     RetryLoanUpdate loanUpdate(long nowMillis) {
-        Map<ServiceName, RetryLoanUpdate.LoanRequest> asks = new HashMap<>();
+        Map<ServiceName, RetryLoanUpdate.LoanRequest> loanRequests = new HashMap<>();
         Map<ServiceName, List<RetryLoanUpdate.Loan>> loans = new HashMap<>();
-        accounts.forEach((service, account) -> {
-            account.loanRequest().ifPresent(ask -> asks.put(service, ask));
-            List<RetryLoanUpdate.Loan> lent = account.loansToSend(nowMillis);
+        budgets.forEach((service, budget) -> {
+            budget.loanRequest().ifPresent(request -> loanRequests.put(service, request));
+            List<RetryLoanUpdate.Loan> lent = budget.loansToSend(nowMillis);
             if (!lent.isEmpty()) {
                 loans.put(service, lent);
             }
         });
-        return new RetryLoanUpdate(asks, loans);
+        return new RetryLoanUpdate(loanRequests, loans);
     }
 
     /** Applies a peer's update: its loans to this process, and its requests for loans. */
-    void applyPeerUpdate(String peer, RetryLoanUpdate theirs, long nowMillis) {
-        theirs.loans().forEach((service, loans) -> loans.stream()
+    void applyPeerUpdate(String peer, RetryLoanUpdate update, long nowMillis) {
+        update.loans().forEach((service, loans) -> loans.stream()
                 .filter(loan -> loan.borrower().equals(name))
-                .forEach(loan -> account(service).acceptLoan(peer, loan, nowMillis)));
-        theirs.loanRequests()
-                .forEach((service, ask) -> account(service).lend(peer, ask, reservePerProcess(), nowMillis));
+                .forEach(loan -> budgetOf(service).acceptLoan(peer, loan, nowMillis)));
+        update.loanRequests()
+                .forEach((service, request) -> budgetOf(service).lend(peer, request, reservePerProcess(), nowMillis));
     }
 
-    private ServiceRetryBudget account(ServiceName service) {
-        return accounts.computeIfAbsent(
+    private ServiceRetryBudget budgetOf(ServiceName service) {
+        return budgets.computeIfAbsent(
                 service, any -> new ServiceRetryBudget(bounds.ratio(), bounds.windowMillis(), ids));
     }
 }
--- a/gateway/src/main/java/org/cornelramp/gateway/route/StreamMonitor.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/StreamMonitor.java
@@ -89,7 +89,7 @@
      * because the events that it reads now may have been sent before the engine fell silent.
      */
     private void trustForwardingEngines(List<SilentEngineDetector.StreamActivity> streams, long now) {
-        if (fleet.isLate(now) || !fleet.suspicions().hasSilentSuspects(now)) {
+        if (fleet.isLate(now) || !fleet.suspectedServers().hasSilentSuspects(now)) {
             return;
         }
         streams.stream().filter(SilentEngineDetector.StreamActivity::begun).forEach(stream -> stream.engines()
@@ -104,7 +104,7 @@
     /** Probes the engines that may be dead, so that their streams continue elsewhere before the clients notice. */
     private void probeSilentEngines(List<SilentEngineDetector.StreamActivity> streams, long now) {
         for (BackendServerId id : SilentEngineDetector.findSuspects(streams, fleet.isLate(now), now)) {
-            if (!fleet.suspicions().isLost(id, now)) {
+            if (!fleet.suspectedServers().isLost(id, now)) {
                 fleet.registry()
                         .server(id)
                         .ifPresent(engine -> engineControl.probe(engine, router, fleet.lagMillis(), now));
--- a/gateway/src/test/java/org/cornelramp/gateway/GatewayFixture.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/GatewayFixture.java
@@ -23,7 +23,7 @@
     public static final String KEY = StandInConfig.KEY;
 
     /** Settings of a gateway without retries. */
-    public static final String NO_REPEATS = ",\"retries\":{\"ratio\":0,\"reserve\":0,\"windowSeconds\":2}";
+    public static final String NO_RETRIES = ",\"retries\":{\"ratio\":0,\"reserve\":0,\"windowSeconds\":2}";
 
     private static final long TIMEOUT_MILLIS = 20_000;
 
--- a/gateway/src/test/java/org/cornelramp/gateway/LeavingAndSuspectedEngineTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/LeavingAndSuspectedEngineTest.java
@@ -29,7 +29,7 @@
 
     @BeforeMethod
     public void start() throws Exception {
-        fixture = GatewayFixture.ofHalves(2, GatewayFixture.NO_REPEATS);
+        fixture = GatewayFixture.ofHalves(2, GatewayFixture.NO_RETRIES);
     }
 
     @AfterMethod(alwaysRun = true)
@@ -183,7 +183,7 @@
     @Test
     public void streamIsNotCutWhileThereIsNoOtherPath() throws Exception {
         fixture.close();
-        fixture = GatewayFixture.ofHalves(1, GatewayFixture.NO_REPEATS);
+        fixture = GatewayFixture.ofHalves(1, GatewayFixture.NO_RETRIES);
         setBehaviour(Behaviour.ordinary().withEvents(8).withPauseMillis(150));
         reportAllEnginesStalled();
         HttpResponse<String> answer = fixture.client().send("/chat/a", "alone", "alone");
@@ -201,7 +201,7 @@
     @Test
     public void streamMovesToAThirdEngineWhenTheSecondRefuses() throws Exception {
         fixture.close();
-        fixture = GatewayFixture.ofHalves(3, GatewayFixture.NO_REPEATS);
+        fixture = GatewayFixture.ofHalves(3, GatewayFixture.NO_RETRIES);
         setBehaviour(Behaviour.ordinary().withEvents(4).withPauseMillis(900));
         CompletableFuture<HttpResponse<String>> answer = begin("around");
         StandInServer first = engineOnPathOf("around", 1);
--- a/gateway/src/test/java/org/cornelramp/gateway/OverdueResponseTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/OverdueResponseTest.java
@@ -32,7 +32,7 @@
      */
     @Test
     public void lateResponseIsAwaitedWhenNoRetryIsLeft() throws Exception {
-        fixture = new GatewayFixture(GatewayFixture.NO_REPEATS);
+        fixture = new GatewayFixture(GatewayFixture.NO_RETRIES);
         respondLate();
         assertEquals(fixture.client().send("/look/a", "late", "late").statusCode(), 200);
         assertEquals(fixture.received("late"), 1);
--- a/gateway/src/test/java/org/cornelramp/gateway/follow/ReadCoordinatorTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/follow/ReadCoordinatorTest.java
@@ -17,10 +17,10 @@
     private static final long ERA = 2;
 
     private static ReadCoordinator leaderThatReadBoth(long configEnd, long serversEnd) {
-        ReadCoordinator share = new ReadCoordinator(READER);
-        share.recordRead(Topic.OPERATORS, ERA, configEnd, NOW);
-        share.recordRead(Topic.SERVERS, ERA, serversEnd, NOW);
-        return share;
+        ReadCoordinator coordinator = new ReadCoordinator(READER);
+        coordinator.recordRead(Topic.OPERATORS, ERA, configEnd, NOW);
+        coordinator.recordRead(Topic.SERVERS, ERA, serversEnd, NOW);
+        return coordinator;
     }
 
     /**
@@ -72,10 +72,10 @@
      */
     @Test
     public void leaderAlwaysReadsStore() {
-        ReadCoordinator share = leaderThatReadBoth(4, 70);
-        share.receivePosition(new ReadPosition(OTHER, 9, 99, ERA), NOW);
-        assertEquals(share.source(Topic.SERVERS, ERA, 70, true, NOW), Source.STORE);
-        assertEquals(share.ownPosition(false, NOW), Optional.empty());
+        ReadCoordinator coordinator = leaderThatReadBoth(4, 70);
+        coordinator.receivePosition(new ReadPosition(OTHER, 9, 99, ERA), NOW);
+        assertEquals(coordinator.source(Topic.SERVERS, ERA, 70, true, NOW), Source.STORE);
+        assertEquals(coordinator.ownPosition(false, NOW), Optional.empty());
     }
 
     /**
@@ -104,10 +104,10 @@
     /** Guards against a position with ends of two eras, while the reader has read only one topic since the restore. */
     @Test
     public void readerBetweenErasAnnouncesNothing() {
-        ReadCoordinator share = leaderThatReadBoth(4, 70);
-        share.recordRead(Topic.SERVERS, ERA + 1, 60, NOW);
-        assertEquals(share.ownPosition(true, NOW), Optional.empty());
-        share.recordRead(Topic.OPERATORS, ERA + 1, 3, NOW);
-        assertEquals(share.ownPosition(true, NOW), Optional.of(new ReadPosition(READER, 3, 60, ERA + 1)));
+        ReadCoordinator coordinator = leaderThatReadBoth(4, 70);
+        coordinator.recordRead(Topic.SERVERS, ERA + 1, 60, NOW);
+        assertEquals(coordinator.ownPosition(true, NOW), Optional.empty());
+        coordinator.recordRead(Topic.OPERATORS, ERA + 1, 3, NOW);
+        assertEquals(coordinator.ownPosition(true, NOW), Optional.of(new ReadPosition(READER, 3, 60, ERA + 1)));
     }
 }
--- a/gateway/src/test/java/org/cornelramp/gateway/follow/StoreAvailabilityTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/follow/StoreAvailabilityTest.java
@@ -10,13 +10,13 @@
     /** Guards against a gateway that stops reading because of one lost answer. */
     @Test
     public void singleFaultIsNoOutage() {
-        StoreAvailability access = new StoreAvailability();
-        access.recordFailure();
-        assertFalse(access.isUnavailable());
-        access.recordAnswer(10);
-        access.recordFailure();
-        assertFalse(access.isUnavailable());
-        assertFalse(access.hasRecoveredSince(0));
+        StoreAvailability availability = new StoreAvailability();
+        availability.recordFailure();
+        assertFalse(availability.isUnavailable());
+        availability.recordAnswer(10);
+        availability.recordFailure();
+        assertFalse(availability.isUnavailable());
+        assertFalse(availability.hasRecoveredSince(0));
     }
 
     /**
@@ -24,15 +24,15 @@
      */
     @Test
     public void firstAnswerEndsOutageForAllThreads() {
-        StoreAvailability access = new StoreAvailability();
-        access.recordFailure();
-        access.recordFailure();
-        assertTrue(access.isUnavailable());
-        assertFalse(access.hasEverAnswered());
-        access.recordAnswer(5_000);
-        assertTrue(access.hasEverAnswered());
-        assertFalse(access.isUnavailable());
-        assertTrue(access.hasRecoveredSince(4_800));
-        assertFalse(access.hasRecoveredSince(5_001));
+        StoreAvailability availability = new StoreAvailability();
+        availability.recordFailure();
+        availability.recordFailure();
+        assertTrue(availability.isUnavailable());
+        assertFalse(availability.hasEverAnswered());
+        availability.recordAnswer(5_000);
+        assertTrue(availability.hasEverAnswered());
+        assertFalse(availability.isUnavailable());
+        assertTrue(availability.hasRecoveredSince(4_800));
+        assertFalse(availability.hasRecoveredSince(5_001));
     }
 }
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/LentRetryTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/LentRetryTest.java
@@ -32,18 +32,18 @@
     private DatagramSocket socket;
     private Thread peer;
     private final AtomicInteger updatesReceived = new AtomicInteger();
-    private volatile boolean lends;
+    private volatile boolean peerLends;
     private volatile boolean running = true;
-    private volatile Optional<RetryLoanUpdate.LoanRequest> asked = Optional.empty();
+    private volatile Optional<RetryLoanUpdate.LoanRequest> lastLoanRequest = Optional.empty();
 
     @BeforeMethod
     public void start() throws Exception {
-        fixture = new GatewayFixture(GatewayFixture.NO_REPEATS);
+        fixture = new GatewayFixture(GatewayFixture.NO_RETRIES);
         socket = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         socket.setSoTimeout(20);
         running = true;
         updatesReceived.set(0);
-        asked = Optional.empty();
+        lastLoanRequest = Optional.empty();
         peer = new Thread(this::runPeer, PEER);
         peer.start();
         GatewayFixture.await(() -> updatesReceived.get() > 1, "the gateway knows the peer and sends it updates");
@@ -57,7 +57,7 @@
         fixture.close();
     }
 
-    /** Sends an update every 20 ms, and lends a retry for each request if {@link #lends} is set. */
+    /** Sends an update every 20 ms, and lends a retry for each request if {@link #peerLends} is set. */
     private void runPeer() {
         byte[] buffer = new byte[8_192];
         for (long number = 1; running; number++) {
@@ -66,9 +66,10 @@
                 DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
                 socket.receive(packet);
                 updatesReceived.incrementAndGet();
-                PeerUpdateCodec.read(buffer, packet.getLength())
-                        .forEach(update ->
-                                update.repeats().loanRequests().values().forEach(ask -> asked = Optional.of(ask)));
+                PeerUpdateCodec.read(buffer, packet.getLength()).forEach(update -> update.retryLoans()
+                        .loanRequests()
+                        .values()
+                        .forEach(ask -> lastLoanRequest = Optional.of(ask)));
             } catch (SocketTimeoutException e) {
                 // the gateway sends only in its own rounds
             } catch (Exception e) {
@@ -78,7 +79,8 @@
     }
 
     private void sendUpdate(long number) throws Exception {
-        Map<ServiceName, List<RetryLoanUpdate.Loan>> loans = asked.filter(any -> lends)
+        Map<ServiceName, List<RetryLoanUpdate.Loan>> loans = lastLoanRequest
+                .filter(any -> peerLends)
                 .map(ask -> Map.of(
                         new ServiceName(StandInConfig.ENGINES), List.of(new RetryLoanUpdate.Loan("g1", ask.id(), 1))))
                 .orElse(Map.of());
@@ -112,7 +114,7 @@
      */
     @Test
     public void streamThatHasNotBegunWaitsForALentRetry() throws Exception {
-        lends = true;
+        peerLends = true;
         HttpResponse<String> answer = sendWithBrokenFirstAttempt("lent");
         assertEquals(answer.statusCode(), 200, fixture.log());
         assertTrue(answer.body().endsWith("id: 4\ndata: piece 4\n\n"), answer.body());
@@ -125,10 +127,10 @@
      */
     @Test
     public void streamFailsWhenNoPeerLendsARetry() throws Exception {
-        lends = false;
+        peerLends = false;
         HttpResponse<String> answer = sendWithBrokenFirstAttempt("alone");
         assertEquals(answer.statusCode(), 502, fixture.log());
-        assertTrue(asked.isPresent(), "it asked its peer for a retry");
+        assertTrue(lastLoanRequest.isPresent(), "it asked its peer for a retry");
         assertEquals(fixture.received("alone"), 1, "no retry");
     }
 
@@ -139,7 +141,7 @@
      */
     @Test
     public void serverErrorIsForwardedWhenNoRetryIsLeft() throws Exception {
-        lends = false;
+        peerLends = false;
         fixture.firstApp.setBehaviour(Behaviour.ordinary().withStatus(500));
         fixture.secondApp.setBehaviour(Behaviour.ordinary().withStatus(500));
         HttpResponse<String> answer = fixture.client().send("/look/a", "failed", "failed");
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/PeerRotationProperties.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/PeerRotationProperties.java
@@ -21,12 +21,12 @@
      */
     @Property(seed = "20261203", tries = 200)
     void everyPeerHasItsTurnBeforeItCountsAsDead(@ForAll @IntRange(min = 1, max = 2_000) int peers) {
-        PeerRotation turns = new PeerRotation();
+        PeerRotation rotation = new PeerRotation();
         List<Integer> all = IntStream.range(0, peers).boxed().toList();
         Set<Integer> reached = new HashSet<>();
         int rounds = 0;
         while (reached.size() < peers) {
-            List<Integer> selected = turns.select(all, false, false);
+            List<Integer> selected = rotation.select(all, false, false);
             assertTrue(selected.size() <= PeerRotation.MAX_PEERS_PER_ROUND);
             reached.addAll(selected);
             rounds++;
--- a/gateway/src/test/java/org/cornelramp/gateway/peer/PeerUpdateServiceTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/peer/PeerUpdateServiceTest.java
@@ -30,7 +30,7 @@
         }
     }
 
-    private static PeerUpdateService link(String name, HostPort address, Queue<PeerUpdate> received) {
+    private static PeerUpdateService newService(String name, HostPort address, Queue<PeerUpdate> received) {
         AtomicLong number = new AtomicLong();
         EventLog log = new EventLog(new ByteArrayOutputStream(), Clock.systemUTC(), name);
         return new PeerUpdateService(
@@ -62,8 +62,8 @@
         HostPort listed = freeAddress();
         HostPort refused = freeAddress();
         Queue<PeerUpdate> receivedByOther = new ConcurrentLinkedQueue<>();
-        PeerUpdateService one = link("listed", listed, new ConcurrentLinkedQueue<>());
-        PeerUpdateService other = link("refused", refused, receivedByOther);
+        PeerUpdateService one = newService("listed", listed, new ConcurrentLinkedQueue<>());
+        PeerUpdateService other = newService("refused", refused, receivedByOther);
         one.setPeers(List.of());
         other.setPeers(List.of(listed));
         one.start();
@@ -83,19 +83,19 @@
     public void gatewaysThatTheStoreDoesNotListAreIntroduced() throws Exception {
         HostPort listed = freeAddress();
         Queue<PeerUpdate> receivedByFirst = new ConcurrentLinkedQueue<>();
-        PeerUpdateService introducer = link("listed", listed, new ConcurrentLinkedQueue<>());
-        PeerUpdateService first = link("first", freeAddress(), receivedByFirst);
-        PeerUpdateService second = link("second", freeAddress(), new ConcurrentLinkedQueue<>());
+        PeerUpdateService introducer = newService("listed", listed, new ConcurrentLinkedQueue<>());
+        PeerUpdateService first = newService("first", freeAddress(), receivedByFirst);
+        PeerUpdateService second = newService("second", freeAddress(), new ConcurrentLinkedQueue<>());
         first.setPeers(List.of(listed));
         second.setPeers(List.of(listed));
-        for (PeerUpdateService link : List.of(introducer, first, second)) {
-            link.start();
+        for (PeerUpdateService service : List.of(introducer, first, second)) {
+            service.start();
         }
         GatewayFixture.await(
                 () -> receivedByFirst.stream().anyMatch(update -> update.name().equals("second")),
                 "the first gets an update of the second");
-        for (PeerUpdateService link : List.of(introducer, first, second)) {
-            link.stop();
+        for (PeerUpdateService service : List.of(introducer, first, second)) {
+            service.stop();
         }
     }
 }
--- a/gateway/src/test/java/org/cornelramp/gateway/place/LayerPlacerTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/place/LayerPlacerTest.java
@@ -63,7 +63,7 @@
                     clock,
                     log,
                     meters);
-            LayerPlacer duty = new LayerPlacer(
+            LayerPlacer placer = new LayerPlacer(
                     lease,
                     new EngineControl(http),
                     config,
@@ -72,14 +72,14 @@
                     log,
                     meters);
             lease.start();
-            duty.start();
+            placer.start();
             GatewayFixture.await(
                     () -> !lease.term(clock.millis()).equals(LeaderLease.NONE), "this process is the leader");
             Thread.sleep(2_000); // longer than the first plan waits for more engines
             assertEquals(engine.layers(), "0-0");
             storeAnswers.set(true);
             GatewayFixture.await(() -> engine.layers().equals("0-8"), "the layers are placed");
-            duty.stop();
+            placer.stop();
             lease.stop();
         } finally {
             log.stop();
--- a/wire/src/main/java/org/cornelramp/wire/codec/MessageType.java
+++ b/wire/src/main/java/org/cornelramp/wire/codec/MessageType.java
@@ -68,9 +68,9 @@
     private final int number;
     private final Class<? extends Message> messageClass;
 
-    MessageType(int number, Class<? extends Message> form) {
+    MessageType(int number, Class<? extends Message> messageClass) {
         this.number = number;
-        this.messageClass = form;
+        this.messageClass = messageClass;
     }
 
     /** The type byte in the frame, 1 to 127. */
--- a/wire/src/main/java/org/cornelramp/wire/message/OrderOutcome.java
+++ b/wire/src/main/java/org/cornelramp/wire/message/OrderOutcome.java
@@ -7,7 +7,7 @@
     /** The engine accepted it. */
     @JsonProperty("taken")
     TAKEN,
-    /** Refused: a newer term is known. The sender of the order no longer holds its duty. */
+    /** Refused: a newer term is known. The claim of the sender is superseded by a newer claim. */
     @JsonProperty("stale")
     STALE,
     /** Refused for now: since its start the agent could not learn the newest term, or it has too many orders. */
--- a/wire/src/test/java/org/cornelramp/wire/codec/FrameRoundTripTest.java
+++ b/wire/src/test/java/org/cornelramp/wire/codec/FrameRoundTripTest.java
@@ -49,7 +49,7 @@
 /** Every message type survives being written to a frame and read back. */
 public class FrameRoundTripTest {
     private static final int MAX = 1 << 20;
-    private static final Incarnation LIFE = new Incarnation(new BackendServerId("gpu-1"), -3);
+    private static final Incarnation INCARNATION = new Incarnation(new BackendServerId("gpu-1"), -3);
     private static final OrganisationId ORG = new OrganisationId("ward");
 
     @DataProvider
@@ -57,7 +57,7 @@
         Offer offer = new Offer(new ServiceName("quote"), Optional.of(new LayerRange(0, 8, 24)), "1", "fast", 16);
         byte[] bytes = {0, 1, -1};
         return new Object[] {
-            new Hello("gpu-1", false, LIFE, new DataCentre("dc-1"), Optional.of(offer), "127.0.0.1:7070"),
+            new Hello("gpu-1", false, INCARNATION, new DataCentre("dc-1"), Optional.of(offer), "127.0.0.1:7070"),
             new Heartbeat(
                     AgentState.LEAVING,
                     new AgentLoad(1, 2, 3, 4.5, 6, 7),
@@ -73,9 +73,21 @@
             new Drain("operator"),
             new Beat(),
             new Invoke(
-                    1, "r", ORG, false, Optional.of("k"), Optional.of(LIFE), 0, 900, "POST", "/b", "t/x", bytes, "f"),
+                    1,
+                    "r",
+                    ORG,
+                    false,
+                    Optional.of("k"),
+                    Optional.of(INCARNATION),
+                    0,
+                    900,
+                    "POST",
+                    "/b",
+                    "t/x",
+                    bytes,
+                    "f"),
             new InvokeResult(1, Outcome.NOT_RUN, Optional.of(ProblemKind.OVERLOADED), "full", 20, 0, "", new byte[0]),
-            new Settle(2, "k", LIFE, true),
+            new Settle(2, "k", INCARNATION, true),
             new Settled(2),
             new OpenStage(
                     -5,
@@ -85,7 +97,7 @@
                     new ServiceName("quote"),
                     0,
                     List.of("127.0.0.1:1"),
-                    List.of(LIFE),
+                    List.of(INCARNATION),
                     3,
                     9,
                     0,
