--- a/core/src/main/java/org/cornelramp/core/routing/Route.java
+++ b/core/src/main/java/org/cornelramp/core/routing/Route.java
@@ -10,7 +10,7 @@
  * @param name name that operators assigned
  * @param host value of the requests' Host header, in lower case
  * @param pathPrefix prefix of the requests' path, with a slash at both ends
- * @param kind kind of its requests, which decides whether they may be repeated
+ * @param kind kind of its requests, which decides whether they may be retried
  * @param timeoutMillis maximum time until a request's final answer, in milliseconds
  * @param targetMillis time within which an answer, or a stream's first event, counts as on time, in milliseconds
  * @param gapMillis longest pause between two events of a stream that counts as on time, in milliseconds; 0 if not set
--- a/core/src/main/java/org/cornelramp/core/settings/GatewaySettings.java
+++ b/core/src/main/java/org/cornelramp/core/settings/GatewaySettings.java
@@ -13,7 +13,7 @@
  * @param peers address on which messages of other gateways are received
  * @param store address of the platform's store
  * @param timing intervals and timeouts agreed with the platform
- * @param retries limits on repeated requests
+ * @param retries limits on retries
  */
 public record GatewaySettings(
         String name,
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/EditService.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/EditService.java
@@ -88,11 +88,12 @@
     }
 
     /**
-     * Returns the first offset at which an edit that replaced version {@code against} can be. Returns {@code offset} if
-     * that is more than {@link #MAX_CONFLICT_DISTANCE} records back, too many to read for an error message.
+     * Returns the first offset at which an edit that replaced version {@code baseVersion} can be. Returns
+     * {@code offset} if that is more than {@link #MAX_CONFLICT_DISTANCE} records back, too many to read for an error
+     * message.
      */
-    private long conflictStart(long offset, long against) {
-        return offset - against <= MAX_CONFLICT_DISTANCE ? Math.min(offset, against + 1) : offset;
+    private long conflictStart(long offset, long baseVersion) {
+        return offset - baseVersion <= MAX_CONFLICT_DISTANCE ? Math.min(offset, baseVersion + 1) : offset;
     }
 
     /**
--- a/daemon/src/test/java/org/cornelramp/daemon/operator/RacingOperatorsTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/operator/RacingOperatorsTest.java
@@ -23,17 +23,17 @@
 public class RacingOperatorsTest {
     private static final int ROUNDS = 30;
 
-    private static EditResult edit(MemoryLog log, TestEntry entry, String id, long against, int weight)
+    private static EditResult edit(MemoryLog log, TestEntry entry, String id, long baseVersion, int weight)
             throws InterruptedException {
         return new EditService(log, entry.keeper, Clock.systemUTC(), EditLimits.DEFAULTS)
-                .apply(List.of(TestEntry.edit(id, against, weight)))
+                .apply(List.of(TestEntry.edit(id, baseVersion, weight)))
                 .get()
                 .get(0);
     }
 
     private static List<EditResult> race(ExecutorService operators, MemoryLog log, List<TestEntry> entries, int round)
             throws Exception {
-        long against = entries.get(0).keeper.folded().version(TestEntry.KEY);
+        long baseVersion = entries.get(0).keeper.folded().version(TestEntry.KEY);
         CountDownLatch both = new CountDownLatch(entries.size());
         List<Future<EditResult>> edits = new ArrayList<>();
         for (int i = 0; i < entries.size(); i++) {
@@ -42,7 +42,7 @@
                 both.countDown();
                 both.await();
                 String id = "r" + round + "-" + operator;
-                return edit(log, entries.get(operator), id, against, 1 + 2 * round + operator);
+                return edit(log, entries.get(operator), id, baseVersion, 1 + 2 * round + operator);
             }));
         }
         return List.of(edits.get(0).get(), edits.get(1).get());
--- a/daemon/src/test/java/org/cornelramp/daemon/table/RetentionTest.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/table/RetentionTest.java
@@ -17,8 +17,8 @@
  */
 public class RetentionTest {
 
-    private static void edit(MemoryLog log, String id, long against, int weight) throws Exception {
-        log.append(LogStream.TABLE, List.of(TableRecords.writeEdit(TestEntry.edit(id, against, weight))))
+    private static void edit(MemoryLog log, String id, long baseVersion, int weight) throws Exception {
+        log.append(LogStream.TABLE, List.of(TableRecords.writeEdit(TestEntry.edit(id, baseVersion, weight))))
                 .get();
     }
 
--- a/daemon/src/test/java/org/cornelramp/daemon/table/TestEntry.java
+++ b/daemon/src/test/java/org/cornelramp/daemon/table/TestEntry.java
@@ -65,8 +65,8 @@
     }
 
     /** Returns an edit of the row. */
-    public static TableEdit edit(String id, long against, int weight) {
-        return new TableEdit(id, KEY, against, Optional.of(values(weight)), "operator");
+    public static TableEdit edit(String id, long baseVersion, int weight) {
+        return new TableEdit(id, KEY, baseVersion, Optional.of(values(weight)), "operator");
     }
 
     @Override
--- a/gateway/src/main/java/org/cornelramp/gateway/route/Dispatcher.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Dispatcher.java
@@ -169,7 +169,7 @@
                 path,
                 path.map(stagePath -> call.priority()),
                 exchange.lastEventId());
-        // A request that may not be repeated must not use a pooled connection, which its server may just be closing.
+        // A request that may not be retried must not use a pooled connection, which its server may just be closing.
         HttpClient http = request.route().mayRetry() ? clients.pooled() : clients.unpooled();
         Attempt attempt = new Attempt(http, exchange, server, head, clock, onEnd);
         request.startAttempt(attempt);
--- a/gateway/src/main/java/org/cornelramp/gateway/route/RetryDispatcher.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/RetryDispatcher.java
@@ -61,13 +61,13 @@
         this.routingLog = routingLog;
     }
 
-    /** Retries a repeatable request now or queues it; false if the request is to be ended. */
+    /** Retries a retryable request now or queues it; false if the request is to be ended. */
     boolean retryOrQueue(ActiveRequest request, Attempt failed, AttemptEnd end, long now) {
         return prepareRetry(request, failed, end, now) && (trySend(request, now) || enqueue(request, now));
     }
 
     /**
-     * Retries a repeatable request if a retry and a server are available; false if not. A request that has an answer,
+     * Retries a retryable request if a retry and a server are available; false if not. A request that has an answer,
      * though an error, is not queued, because the answer can be passed on instead.
      */
     boolean retryNow(ActiveRequest request, Attempt failed, AttemptEnd end, long now) {
--- a/gateway/src/main/java/org/cornelramp/gateway/route/Router.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/route/Router.java
@@ -25,7 +25,7 @@
  * Chooses a backend server for each request, and another one when an attempt fails.
  *
  * <p>All state is confined to one thread; other threads only {@link #offer} events. Invariant: a request that may not
- * be repeated is sent again only after an attempt that certainly did not run.
+ * be retried is sent again only after an attempt that certainly did not run.
  */
 public final class Router {
     private static final int RING_CAPACITY = 8_192;
--- a/gateway/src/test/java/org/cornelramp/gateway/OverdueResponseTest.java
+++ b/gateway/src/test/java/org/cornelramp/gateway/OverdueResponseTest.java
@@ -28,7 +28,7 @@
     /**
      * Guards against an attempt that is cancelled at 1.2 times the target latency while no retry is left, so that the
      * client gets "outcome unknown" instead of a late response. The server takes twice the target for a request that
-     * may be repeated.
+     * may be retried.
      */
     @Test
     public void lateResponseIsAwaitedWhenNoRetryIsLeft() throws Exception {
