--- a/core/src/main/java/org/cornelramp/core/fleet/ServerRegistry.java
+++ b/core/src/main/java/org/cornelramp/core/fleet/ServerRegistry.java
@@ -19,7 +19,8 @@
  *
  * <p>While the store is down, registrations expire although their servers still run. Removing them at once would leave
  * requests without any server just when the store returns. Therefore a removal that is read within
- * {@link #REGISTRATION_GRACE_MILLIS} of an outage takes effect only after that time, unless the server registers again before.
+ * {@link #REGISTRATION_GRACE_MILLIS} of an outage takes effect only after that time, unless the server registers again
+ * before.
  */
 public final class ServerRegistry {
     /**
--- a/core/src/main/java/org/cornelramp/core/limit/Limiter.java
+++ b/core/src/main/java/org/cornelramp/core/limit/Limiter.java
@@ -20,8 +20,9 @@
  * Enforces one entry's part of each row's limits on requests per second, concurrent requests and tokens per second.
  *
  * <p>Entries share no store. Each reports its demand to the agents in its heartbeats ({@link #demand}), and each agent
- * reports back the sum over its entries ({@link #recordReport}). The part of an entry is its demand divided by that sum. Owned
- * by one thread, which passes the current time in. Memory is bounded: rows without demand are dropped after a minute.
+ * reports back the sum over its entries ({@link #recordReport}). The part of an entry is its demand divided by that
+ * sum. Owned by one thread, which passes the current time in. Memory is bounded: rows without demand are dropped after
+ * a minute.
  *
  * <p>Invariant: while reports arrive, the requests that all entries admit over a time t exceed the limit × t by at most a
  * burst, plus the excess from demand that moved between entries since the last reports.
@@ -196,7 +197,10 @@
             return wait;
         }
 
-        /** Charges one request. A limit that is not set is not charged, since its debt would block the row once it is set. */
+        /**
+         * Charges one request. A limit that is not set is not charged, since its debt would block the row once it is
+         * set.
+         */
         void charge(RowValues limits, int tokenCount) {
             requests.take(limits.requestsPerSecond() > 0 ? 1 : 0);
             tokens.take(limits.tokensPerSecond() > 0 ? tokenCount : 0);
--- a/core/src/main/java/org/cornelramp/core/retry/RetryPolicy.java
+++ b/core/src/main/java/org/cornelramp/core/retry/RetryPolicy.java
@@ -5,9 +5,9 @@
 import org.cornelramp.core.model.ProblemKind;
 
 /**
- * Decides whether a failed attempt may be retried. The caller also consumes a retry of the {@link OrganisationRetryBudget} and
- * excludes the failed agent, so that a request does not meet the same fault twice. Stateless, safe for use by any
- * thread.
+ * Decides whether a failed attempt may be retried. The caller also consumes a retry of the
+ * {@link OrganisationRetryBudget} and excludes the failed agent, so that a request does not meet the same fault twice.
+ * Stateless, safe for use by any thread.
  */
 public final class RetryPolicy {
     /** Most attempts for one request. */
--- a/core/src/test/java/org/cornelramp/core/fleet/SuspectedServersTest.java
+++ b/core/src/test/java/org/cornelramp/core/fleet/SuspectedServersTest.java
@@ -22,7 +22,10 @@
         assertFalse(suspects.isSuspect(ID, 300));
     }
 
-    /** Forty requests fail at the same dead server: this is one failure, and the exclusion time does not double forty times. */
+    /**
+     * Forty requests fail at the same dead server: this is one failure, and the exclusion time does not double forty
+     * times.
+     */
     @Test
     public void manyReportsOfOneFailureCountOnce() {
         SuspectedServers suspects = new SuspectedServers();
--- a/core/src/test/java/org/cornelramp/core/fleet/UnansweredProbesTest.java
+++ b/core/src/test/java/org/cornelramp/core/fleet/UnansweredProbesTest.java
@@ -13,9 +13,10 @@
     }
 
     /**
-     * Guards against a gateway that takes all engines for dead and cuts its streams because its own link was saturated for
-     * half a second, as under the load before 28 gateways, and none of twenty probes was answered in time. Two silent
-     * servers count as dead; the others are probed again and count as dead if they do not answer then either.
+     * Guards against a gateway that takes all engines for dead and cuts its streams because its own link was saturated
+     * for half a second, as under the load of a rolling release with 28 gateways, and none of twenty probes was
+     * answered in time. Two silent servers count as dead; the others are probed again and count as dead if they do not
+     * answer then either.
      */
     @Test
     public void manySilentServersAtOnceAreProbedAgain() {
@@ -38,9 +39,9 @@
     }
 
     /**
-     * Guards against a gateway with a tenth of a core that stalls for some hundred milliseconds, reads the answers of running
-     * engines only after their timeout and takes the engines for dead, which would move all their streams. It must probe
-     * again with a longer timeout instead.
+     * Guards against a gateway with a tenth of a core that stalls for some hundred milliseconds, reads the answers of
+     * running engines only after their timeout and takes the engines for dead, which would move all their streams. It
+     * must probe again with a longer timeout instead.
      */
     @Test
     public void aDelayedProcessIgnoresAFirstSilence() {
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/DenialRun.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/DenialRun.java
@@ -12,8 +12,8 @@
 import org.cornelramp.wire.message.Settle;
 
 /**
- * A call in progress that is refused because its key cannot be bound. Carries out the actions that its {@link UnboundCallRefusal}
- * returns.
+ * A call in progress that is refused because its key cannot be bound. Carries out the actions that its
+ * {@link UnboundCallRefusal} returns.
  *
  * <p>Confined to the router's thread. Invariant: the caller gets one final answer.
  */
--- a/daemon/src/main/java/org/cornelramp/daemon/entry/RequestIntake.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/entry/RequestIntake.java
@@ -22,8 +22,8 @@
  * Submits callers' requests to the router: refuses those that may not start, binds keys, and starts or queues the
  * others.
  *
- * <p>{@link #submitChat}, {@link #submitCall} and {@link #submitTicketRequest} may be called by any thread and return false if
- * the router's ring is full. Everything else is confined to the router's thread.
+ * <p>{@link #submitChat}, {@link #submitCall} and {@link #submitTicketRequest} may be called by any thread and return
+ * false if the router's ring is full. Everything else is confined to the router's thread.
  */
 final class RequestIntake {
     private final Router router;
--- a/daemon/src/main/java/org/cornelramp/daemon/operator/OperatorPlugin.java
+++ b/daemon/src/main/java/org/cornelramp/daemon/operator/OperatorPlugin.java
@@ -29,8 +29,8 @@
  * Serves the operators' interface of an entry, and shares the {@link OperatorAgentAccess} that connects it to the agents.
  * Stateless.
  *
- * <p>Calls run on two threads, each a {@link EventLoop}: one for edits, which may wait for the log for seconds, and one for
- * all other calls, which must not wait behind edits.
+ * <p>Calls run on two threads, each an {@link EventLoop}: one for edits, which may wait for the log for seconds, and
+ * one for all other calls, which must not wait behind edits.
  */
 public final class OperatorPlugin implements Plugin {
     private static final String BASE = "/operator/v1/";
--- a/gateway/src/main/java/org/cornelramp/gateway/request/Exchange.java
+++ b/gateway/src/main/java/org/cornelramp/gateway/request/Exchange.java
@@ -154,8 +154,7 @@
             beginResponse(200);
             ResponseHead.copyEndToEnd(fields, response.getHeaders());
             // On a connection that closes after the response, the server would let the close mark its end. A stream
-            // that
-            // is cut because the process is killed would then look complete; the last chunk tells the two apart.
+            // that is cut because the process is killed would then look complete; the last chunk tells the two apart.
             response.getHeaders().put(HttpHeader.TRANSFER_ENCODING, "chunked");
         }
         lastEventId = Math.max(lastEventId, lastId);
--- a/wire/src/main/java/org/cornelramp/wire/link/LinkLoop.java
+++ b/wire/src/main/java/org/cornelramp/wire/link/LinkLoop.java
@@ -29,10 +29,10 @@
  * Runs all links of one process on one network thread: it listens, connects and reconnects, sends hello messages and
  * heartbeats, and closes links that are silent, stalled or send invalid data.
  *
- * <p>{@link #listen}, {@link #keepConnected}, {@link #disconnect} and {@link #sendHeartbeatsNow} are safe for use by any thread; the rest
- * of the state is confined to the network thread, which also calls the suppliers and the listener. They must not
- * block. Invariant: for each link the first call of the listener is {@code opened} and the last is {@code closed}, each
- * once; a connection whose peer never sends a hello is not reported.
+ * <p>{@link #listen}, {@link #keepConnected}, {@link #disconnect} and {@link #sendHeartbeatsNow} are safe for use by
+ * any thread; the rest of the state is confined to the network thread, which also calls the suppliers and the listener.
+ * They must not block. Invariant: for each link the first call of the listener is {@code opened} and the last is
+ * {@code closed}, each once; a connection whose peer never sends a hello is not reported.
  */
 public final class LinkLoop implements AutoCloseable {
     private static final System.Logger LOG = System.getLogger(LinkLoop.class.getName());
